--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -25,7 +25,7 @@
 
 /// What is allowed for one service, over all nodes.
 #[derive(Clone, Copy, Debug)]
-pub struct BudgetConfig {
+pub struct RetryBudgetConfig {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats on top of that in each window.
@@ -51,7 +51,7 @@
 }
 
 impl<const KEPT: usize> RecentCounts<KEPT> {
-    fn advance(&mut self, config: &BudgetConfig, now: Time) {
+    fn advance(&mut self, config: &RetryBudgetConfig, now: Time) {
         let length = (config.window.as_micros() as u64 / BUCKETS as u64).max(1);
         let bucket = now.0 / length;
         let passed = bucket.saturating_sub(self.bucket).min(KEPT as u64);
@@ -61,12 +61,12 @@
         self.bucket = self.bucket.max(bucket);
     }
 
-    fn count(&mut self, config: &BudgetConfig, now: Time) {
+    fn count(&mut self, config: &RetryBudgetConfig, now: Time) {
         self.advance(config, now);
         self.counts[index::<KEPT>(self.bucket)] += 1;
     }
 
-    fn sum(&mut self, config: &BudgetConfig, now: Time) -> u32 {
+    fn sum(&mut self, config: &RetryBudgetConfig, now: Time) -> u32 {
         self.advance(config, now);
         self.counts.iter().sum()
     }
@@ -87,19 +87,19 @@
 
 impl RetryBudget {
     /// Counts a request that a client sent.
-    pub fn request(&mut self, config: &BudgetConfig, now: Time) {
+    pub fn request(&mut self, config: &RetryBudgetConfig, now: Time) {
         self.begun.get_or_insert(now);
         self.requests.count(config, now);
     }
 
     /// Counts an arrival beyond a request's first.
-    pub fn repeat(&mut self, config: &BudgetConfig, now: Time) {
+    pub fn repeat(&mut self, config: &RetryBudgetConfig, now: Time) {
         self.repeats.count(config, now);
     }
 
     /// Whether one more repeat is within this node's part, `nodes` sharing the
     /// allowance.
-    pub fn allows(&mut self, config: &BudgetConfig, now: Time, nodes: usize) -> bool {
+    pub fn allows(&mut self, config: &RetryBudgetConfig, now: Time, nodes: usize) -> bool {
         let requests = f64::from(self.requests.sum(config, now));
         let repeats = f64::from(self.repeats.sum(config, now));
         let allowed = (config.ratio * requests + self.share(config, now, nodes)) * PRUDENCE;
@@ -107,7 +107,7 @@
     }
 
     /// The part of the allowance that is this process's.
-    fn share(&self, config: &BudgetConfig, now: Time, nodes: usize) -> f64 {
+    fn share(&self, config: &RetryBudgetConfig, now: Time, nodes: usize) -> f64 {
         let whole = config.allowance / nodes.max(1) as f64;
         let begun = self
             .begun
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -12,13 +12,13 @@
 mod resting;
 mod slots;
 
-use crate::budget::{BudgetConfig, RetryBudget};
+use crate::budget::{RetryBudget, RetryBudgetConfig};
 use crate::fingerprint::{Fingerprint, Fingerprints};
 use crate::occupancy::Occupancy;
-use crate::quarantine::{Quarantine, RunHash};
+use crate::quarantine::{AttemptHash, Quarantine};
 use crate::rate_limit::RateLimits;
 use crate::report::{NodeHash, UpstreamHash};
-use crate::request::{Admission, AssignmentNumber, RequestHead, Ticket, UnknownCause};
+use crate::request::{AdmissionError, AssignmentNumber, RequestHead, Ticket, UnknownCause};
 use crate::rests::Rests;
 use crate::speed::SpeedTable;
 use absences::Absences;
@@ -49,16 +49,16 @@
     /// This node's zone.
     pub zone: Zone,
     /// Bound on repeats.
-    pub budget: BudgetConfig,
+    pub budget: RetryBudgetConfig,
     /// Most requests that wait here.
     pub queue_limit: usize,
     /// Most requests beyond its slots that an upstream is sent: it may answer
     /// nothing to what it can't queue.
-    pub most_queued: u32,
+    pub max_queued: u32,
     /// What another zone costs, as time.
     pub zone_cost: Duration,
     /// How long a leaving holder of keys still gets requests.
-    pub leaver_grace: Duration,
+    pub drain_grace: Duration,
     /// How long a holder of keys in a zone that is evacuated still gets requests: its keys
     /// go to others meanwhile.
     pub evacuation_grace: Duration,
@@ -66,13 +66,13 @@
     pub cold_start: ColdStartBound,
     /// Whether requests to upstreams that name a rate need permits. Only a test that shows
     /// why turns it off.
-    pub keeps_named_rates: bool,
+    pub honors_rate_limits: bool,
     /// Whether nothing is sent to upstreams that asked for rest. Only a test that shows why
     /// turns it off.
-    pub keeps_rests: bool,
+    pub honors_rests: bool,
     /// Whether what may not be repeated is sent again only on proof that it
     /// has not run. Only a test that shows why turns it off.
-    pub proves_before_repeat: bool,
+    pub requires_proof_before_retry: bool,
 }
 
 /// Part of a route's target latency that a request may wait here.
@@ -92,7 +92,7 @@
     rounds: f64,
     /// Whether the upstream was warm then.
     is_warm: bool,
-    run: RunHash,
+    run: AttemptHash,
     /// The fingerprint of whose permit it was sent, if it needed one.
     permit: Option<Fingerprint>,
 }
@@ -155,7 +155,7 @@
 
 /// An upstream to which a connection broke off or fell silent: it may have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DoubtedUpstream {
+pub struct ProbeTarget {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Where it listens.
@@ -191,7 +191,7 @@
     speeds: SpeedTable,
     quarantine: Quarantine,
     /// Upstreams to which connections broke off, and where they listen.
-    doubted: Vec<DoubtedUpstream>,
+    doubted: Vec<ProbeTarget>,
     /// When each upstream was last doubted.
     doubted_at: HashMap<UpstreamHash, Time>,
     /// When each upstream last answered a request of any node.
@@ -271,13 +271,18 @@
     /// Puts other bounds in force: of repeats, and of leavers.
     pub fn set_bounds(&mut self, config: &DispatchConfig) {
         self.config.budget = config.budget;
-        self.config.leaver_grace = config.leaver_grace;
+        self.config.drain_grace = config.drain_grace;
         self.config.evacuation_grace = config.evacuation_grace;
         self.cold_starts.set_bound(config.cold_start);
     }
 
     /// Takes the newest assignment of a divided service.
-    pub fn assign(&mut self, now: Time, service: ServiceName, assignment: Rc<Assignment>) {
+    pub fn apply_assignment(
+        &mut self,
+        now: Time,
+        service: ServiceName,
+        assignment: Rc<Assignment>,
+    ) {
         self.absences.follow(now, &service, &assignment);
         self.assignments.insert(service, assignment);
     }
@@ -289,12 +294,12 @@
     }
 
     /// States how many nodes share the retry allowance.
-    pub fn set_nodes(&mut self, nodes: usize) {
+    pub fn set_node_count(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
     /// Follows the directory: forgets who is gone, notes who begins to leave.
-    pub fn follow(&mut self, now: Time, directory: &Directory) {
+    pub fn apply_directory(&mut self, now: Time, directory: &Directory) {
         if self.followed == Some(directory.changes()) {
             return;
         }
@@ -321,25 +326,25 @@
     /// Takes in a request. It is then decided on by [`Dispatcher::poll`].
     ///
     /// # Errors
-    /// [`Admission`] when it can't be served at all.
+    /// [`AdmissionError`] when it can't be served at all.
     pub fn admit(
         &mut self,
         now: Time,
         ticket: Ticket,
         head: &RequestHead,
-    ) -> Result<(), Admission> {
+    ) -> Result<(), AdmissionError> {
         if !self.configured {
-            return Err(Admission::NoConfiguration);
+            return Err(AdmissionError::NoConfiguration);
         }
         let route = self.routes.find(&head.host, &head.path);
-        let route = route.ok_or(Admission::NoRoute)?.clone();
+        let route = route.ok_or(AdmissionError::NoRoute)?.clone();
         let service = self.choose_backend(&route);
         let divided = self.divided.get(&service).copied().unwrap_or_default();
         if divided && head.key.is_none() {
-            return Err(Admission::NoKey);
+            return Err(AdmissionError::NoKey);
         }
         if self.waiting.len() >= self.config.queue_limit {
-            return Err(Admission::Overloaded);
+            return Err(AdmissionError::Overloaded);
         }
         let budget = self.budgets.entry(service.clone()).or_default();
         budget.request(&self.config.budget, now);
@@ -349,7 +354,7 @@
             let count = loads.entry(key).or_default();
             *count = count.saturating_add(1);
         }
-        let patience = head.patience.unwrap_or(route.timeout);
+        let patience = head.client_timeout.unwrap_or(route.timeout);
         let returned = self.has_returned(&route, patience);
         let time = patience.min(route.timeout);
         let deadline = now + time.saturating_sub(ANSWER_MARGIN);
--- a/crates/dispatch/src/dispatcher/choice.rs
+++ b/crates/dispatch/src/dispatcher/choice.rs
@@ -162,7 +162,7 @@
         let left = self
             .draining_since
             .get(holder)
-            .is_some_and(|since| now.since(*since) >= self.config.leaver_grace);
+            .is_some_and(|since| now.since(*since) >= self.config.drain_grace);
         let evacuated = directory
             .evacuated_since(registration)
             .is_some_and(|since| now.since(since) >= self.config.evacuation_grace);
@@ -344,7 +344,7 @@
         let left = query.left * TARGET_SHARE;
         let rounds = ((left - expected) / expected.max(1e-3)).max(0.0);
         let queued = (rounds * f64::from(slots)) as u32;
-        slots + queued.min(self.config.most_queued)
+        slots + queued.min(self.config.max_queued)
     }
 
     /// Whether attempts at an upstream failed of late.
--- a/crates/dispatch/src/dispatcher/decide.rs
+++ b/crates/dispatch/src/dispatcher/decide.rs
@@ -6,7 +6,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::{Standing, TrialRequest, TrialStep};
 use crate::report::NodeHash;
-use crate::request::{Conclusion, Decision, Ending, RefusalReason, Ticket};
+use crate::request::{ConcludedRequest, Conclusion, Decision, RefusalReason, Ticket};
 use beamtray_catalog::{Directory, Registration};
 use beamtray_types::Time;
 use rand::RngExt;
@@ -39,7 +39,8 @@
             };
             let decision = self.decide(now, directory, ticket, &mut request);
             let (waits, ended) = match &decision {
-                None | Some(Decision::Ask(_) | Decision::AskTrial(_) | Decision::AskPermit(_)) => {
+                None
+                | Some(Decision::AskSlot(_) | Decision::AskTrial(_) | Decision::AskPermit(_)) => {
                     (true, false)
                 }
                 Some(Decision::Forward(..)) => (false, false),
@@ -88,7 +89,7 @@
                 };
                 self.try_alone(now, ticket, request, &registration, fingerprint)
             }
-            Ok(Choice::Ask) => Some(Decision::Ask(self.slot_request(now, ticket, request))),
+            Ok(Choice::Ask) => Some(Decision::AskSlot(self.slot_request(now, ticket, request))),
             Ok(Choice::AskPermit(asked)) => Some(Decision::AskPermit(asked)),
             Ok(Choice::Wait) => None,
             Err(reason) if now >= request.wait_until || self.is_futile(now, request, reason) => {
@@ -167,7 +168,7 @@
         now: Time,
         request: &Request,
         reason: RefusalReason,
-    ) -> Ending {
+    ) -> ConcludedRequest {
         let conclusion = match request.unknown {
             Some(cause) => Conclusion::Unknown(cause),
             None => Conclusion::Refused {
@@ -175,7 +176,7 @@
                 retry_after: self.retry_after(now, request, reason),
             },
         };
-        Ending {
+        ConcludedRequest {
             conclusion,
             route: request.route.name.clone(),
             service: request.service.clone(),
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -12,10 +12,11 @@
 use super::slots::SlotState;
 use super::{Dispatcher, LimitWait, Request};
 use crate::rate_limit::{
-    ANSWER_WAIT, LimitNotice, LimitWord, PermitCounts, PermitReply, PermitRequest, PermitStep,
+    ANSWER_WAIT, PermitCounts, PermitReply, PermitRequest, PermitStep, RateLimitEvent,
+    RateLimitUpdate,
 };
 use crate::report::UpstreamHash;
-use crate::request::{LimitFacts, RefusalReason, Ticket};
+use crate::request::{RateLimitState, RefusalReason, Ticket};
 use beamtray_catalog::{RateWord, Registration, RequestRate};
 use beamtray_types::Time;
 use rand::RngExt;
@@ -36,8 +37,8 @@
 
 impl Dispatcher {
     /// Takes what the answer to a request said of its upstream's rate, before its end.
-    pub fn rate_named(&mut self, now: Time, ticket: Ticket, word: RateWord) {
-        if !self.config.keeps_named_rates {
+    pub fn observe_rate(&mut self, now: Time, ticket: Ticket, word: RateWord) {
+        if !self.config.honors_rate_limits {
             return;
         }
         let request = self.requests.get(&ticket);
@@ -48,32 +49,36 @@
     }
 
     /// Takes another node's word of a rate; whether it was news.
-    pub fn limit_told(&mut self, now: Time, word: &LimitWord) -> bool {
+    pub fn apply_rate_limit_update(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
         self.limits.told(now, word)
     }
 
     /// What is known of an upstream's rate, for another node.
-    pub fn limit_word(&mut self, now: Time, upstream: UpstreamHash) -> Option<LimitWord> {
+    pub fn rate_limit_update(
+        &mut self,
+        now: Time,
+        upstream: UpstreamHash,
+    ) -> Option<RateLimitUpdate> {
         self.limits.known().word(now, upstream)
     }
 
     /// All rates that are known to be named, for another node.
-    pub fn limit_words(&mut self, now: Time) -> Vec<LimitWord> {
+    pub fn rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
         self.limits.known().words(now)
     }
 
     /// What other nodes were not told of rates.
-    pub fn take_untold_limits(&mut self, now: Time) -> Vec<LimitWord> {
+    pub fn take_rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
         self.limits.known().take_untold(now)
     }
 
     /// What became known of rates since the last call.
-    pub fn take_limit_notices(&mut self) -> Vec<LimitNotice> {
+    pub fn take_rate_limit_events(&mut self) -> Vec<RateLimitEvent> {
         self.limits.known().take_notices()
     }
 
     /// How many upstreams name a rate.
-    pub fn limited_count(&self) -> usize {
+    pub fn rate_limited_count(&self) -> usize {
         self.limits.count()
     }
 
@@ -83,7 +88,7 @@
     }
 
     /// The rate that an upstream names.
-    pub fn named_rate(&self, upstream: UpstreamHash) -> Option<RequestRate> {
+    pub fn advertised_rate(&self, upstream: UpstreamHash) -> Option<RequestRate> {
         self.limits.rate(upstream)
     }
 
@@ -93,7 +98,7 @@
     }
 
     /// Takes a lender's answer.
-    pub fn permits_lent(&mut self, now: Time, reply: &PermitReply) {
+    pub fn handle_permit_reply(&mut self, now: Time, reply: &PermitReply) {
         self.limits.answered(now, reply);
     }
 
@@ -228,13 +233,13 @@
         now: Time,
         request: &Request,
         reason: RefusalReason,
-    ) -> Option<LimitFacts> {
+    ) -> Option<RateLimitState> {
         let wait = request.limited_by?;
         if reason != RefusalReason::Limited {
             return None;
         }
         let in_time = |time: Option<Time>| time.map_or(Duration::ZERO, |time| time.since(now));
-        Some(LimitFacts {
+        Some(RateLimitState {
             upstream: wait.upstream,
             rate: self.limits.rate(wait.upstream),
             next_in: in_time(wait.until),
--- a/crates/dispatch/src/dispatcher/outcome.rs
+++ b/crates/dispatch/src/dispatcher/outcome.rs
@@ -2,12 +2,12 @@
 
 use super::choice::rounds;
 use super::slots::SlotState;
-use super::{Attempt, Denial, Dispatcher, DoubtedUpstream, Request};
+use super::{Attempt, Denial, Dispatcher, ProbeTarget, Request};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Quarantine, RunHash, RunOfRequest, TrialOutcome};
+use crate::quarantine::{AttemptHash, Quarantine, RunOfRequest, TrialOutcome};
 use crate::report::UpstreamHash;
 use crate::request::{
-    AttemptOutcome, Ending, Forward, RefusalReason, Ticket, UnknownCause, Untouched,
+    AttemptOutcome, ConcludedRequest, Forward, NotExecuted, RefusalReason, Ticket, UnknownCause,
 };
 use beamtray_catalog::Registration;
 use beamtray_types::Time;
@@ -59,7 +59,7 @@
             sent: now,
             rounds: rounds(occupied, record.slots),
             is_warm: now >= registration.warm_at,
-            run: RunHash::of(node, process, ticket, self.attempts),
+            run: AttemptHash::of(node, process, ticket, self.attempts),
             permit,
         });
         Forward {
@@ -78,7 +78,12 @@
 
     /// Takes the end of an attempt. A request that is to be tried again waits
     /// for the next poll; the conclusion of one that is not comes back.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, outcome: AttemptOutcome) -> Option<Ending> {
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        outcome: AttemptOutcome,
+    ) -> Option<ConcludedRequest> {
         let mut request = self.requests.remove(&ticket)?;
         let attempt = request.attempt.take()?;
         self.occupancy.end(attempt.hash);
@@ -86,7 +91,9 @@
         self.suspect(now, &request, &attempt, outcome);
         match outcome {
             AttemptOutcome::Answered { .. } => return None,
-            AttemptOutcome::Untouched(proof) => self.untouched(now, &mut request, &attempt, proof),
+            AttemptOutcome::NotExecuted(proof) => {
+                self.untouched(now, &mut request, &attempt, proof)
+            }
             AttemptOutcome::Unknown(cause) => {
                 request.unknown = Some(cause);
                 request.tried.push(attempt.hash);
@@ -122,12 +129,14 @@
                     self.learn_speed(now, request, attempt);
                 }
             }
-            AttemptOutcome::Untouched(Untouched::Full) => {
+            AttemptOutcome::NotExecuted(NotExecuted::Full) => {
                 health.paused_until = now + FULL_PAUSE;
             }
-            AttemptOutcome::Untouched(Untouched::Misdirected | Untouched::Unsent) => {}
+            AttemptOutcome::NotExecuted(NotExecuted::Misdirected | NotExecuted::Unsent) => {}
             AttemptOutcome::Unknown(UnknownCause::WrongAnswer | UnknownCause::BrokenOff) => {}
-            AttemptOutcome::Untouched(Untouched::Unconnected | Untouched::ConnectionRefused)
+            AttemptOutcome::NotExecuted(
+                NotExecuted::Unconnected | NotExecuted::ConnectionRefused,
+            )
             | AttemptOutcome::Unknown(UnknownCause::TimedOut) => {
                 let pause = FAILURE_PAUSE * 2u32.saturating_pow(health.failures.min(6));
                 health.failures += 1;
@@ -167,7 +176,7 @@
                 }
                 self.quarantine.end_trial(permit, TrialOutcome::Answered);
             }
-            AttemptOutcome::Untouched(_) => {
+            AttemptOutcome::NotExecuted(_) => {
                 self.quarantine.end_trial(permit, TrialOutcome::Unused);
             }
             AttemptOutcome::Unknown(UnknownCause::BrokenOff) => {
@@ -197,7 +206,7 @@
             permit: attempt.permit,
         };
         self.quarantine.broke_off(now, run);
-        let doubted = DoubtedUpstream {
+        let doubted = ProbeTarget {
             upstream: attempt.upstream.clone(),
             address: attempt.address,
         };
@@ -208,7 +217,7 @@
 
     /// Upstreams to which connections broke off, or fell silent, since the last call.
     /// Whether they ended decides whether their requests are suspected.
-    pub fn take_doubted(&mut self) -> Vec<DoubtedUpstream> {
+    pub fn take_probe_targets(&mut self) -> Vec<ProbeTarget> {
         std::mem::take(&mut self.doubted)
     }
 
@@ -227,24 +236,24 @@
         now: Time,
         request: &mut Request,
         attempt: &Attempt,
-        proof: Untouched,
+        proof: NotExecuted,
     ) {
         match proof {
-            Untouched::Unconnected | Untouched::ConnectionRefused | Untouched::Unsent => {
+            NotExecuted::Unconnected | NotExecuted::ConnectionRefused | NotExecuted::Unsent => {
                 // It never arrived, so it costs no budget.
                 request.arrivals -= 1;
             }
             // What is to be done about a request whose upstream rests is known at once.
-            Untouched::Full if self.is_resting(now, attempt.hash) => {}
-            Untouched::Full => request.not_before = now + FULL_PAUSE,
-            Untouched::Misdirected if request.key.is_some() => {
+            NotExecuted::Full if self.is_resting(now, attempt.hash) => {}
+            NotExecuted::Full => request.not_before = now + FULL_PAUSE,
+            NotExecuted::Misdirected if request.key.is_some() => {
                 request.denied = Some(Denial {
                     holder: attempt.upstream.clone(),
                     assignment: self.assignment(request),
                     until: now + DENIED_PAUSE,
                 });
             }
-            Untouched::Misdirected => {}
+            NotExecuted::Misdirected => {}
         }
         if request.key.is_none() {
             request.tried.push(attempt.hash);
@@ -261,8 +270,8 @@
         request: &Request,
         outcome: AttemptOutcome,
     ) -> bool {
-        let proved = matches!(outcome, AttemptOutcome::Untouched(_)) && request.unknown.is_none();
-        let must_prove = self.config.proves_before_repeat && !request.route.repeatable;
+        let proved = matches!(outcome, AttemptOutcome::NotExecuted(_)) && request.unknown.is_none();
+        let must_prove = self.config.requires_proof_before_retry && !request.route.repeatable;
         if !proved && must_prove {
             return false;
         }
--- a/crates/dispatch/src/dispatcher/reports.rs
+++ b/crates/dispatch/src/dispatcher/reports.rs
@@ -4,20 +4,20 @@
 use crate::occupancy::Occupancy;
 use crate::occupancy::SumSource;
 use crate::report::{
-    Answers, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
+    AnswerStats, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
 };
 use crate::speed::{SpeedRecord, SpeedTable};
 use beamtray_types::Time;
 
 impl Dispatcher {
     /// Takes another node's report.
-    pub fn report(&mut self, now: Time, report: &LoadReport) {
-        self.occupancy.report(now, report);
-        self.take_others_answers(now, &report.answers);
+    pub fn apply_load_report(&mut self, now: Time, report: &LoadReport) {
+        self.occupancy.apply_load_report(now, report);
+        self.apply_answers(now, &report.answers);
     }
 
     /// When an upstream last answered a request of any node, as far as known.
-    pub fn heard(&self, upstream: UpstreamHash) -> Option<Time> {
+    pub fn last_answer_at(&self, upstream: UpstreamHash) -> Option<Time> {
         self.heard.get(&upstream).copied()
     }
 
@@ -32,7 +32,7 @@
 
     /// This node's requests under way, for other nodes. `answers` tells them
     /// also of the answers since the last such report.
-    pub fn load_report(&mut self, answers: Vec<Answers>) -> LoadReport {
+    pub fn load_report(&mut self, answers: Vec<AnswerStats>) -> LoadReport {
         self.sequence += 1;
         let own = self.occupancy.own_all();
         let in_flight: Vec<InFlight> = own
@@ -52,9 +52,9 @@
     }
 
     /// Takes a relay's sum of requests under way.
-    pub fn take_sum(&mut self, now: Time, source: SumSource, sum: &LoadSum) {
+    pub fn apply_load_sum(&mut self, now: Time, source: SumSource, sum: &LoadSum) {
         let own = NodeHash::of(&self.config.node);
-        self.occupancy.take_sum(now, own, source, sum);
+        self.occupancy.apply_load_sum(now, own, source, sum);
     }
 
     /// Requests under way of this node and of those that report to it, for the
@@ -65,7 +65,7 @@
     }
 
     /// Takes answers that other nodes had.
-    pub fn take_others_answers(&mut self, now: Time, answers: &[Answers]) {
+    pub fn apply_answers(&mut self, now: Time, answers: &[AnswerStats]) {
         for answers in answers {
             self.heard.insert(answers.upstream, now);
             if answers.failures > 0 {
@@ -79,10 +79,10 @@
     }
 
     /// Answers that other nodes were not told of.
-    pub fn take_answers(&mut self) -> Vec<Answers> {
+    pub fn take_answers(&mut self) -> Vec<AnswerStats> {
         let untold = self.speeds.take_untold().into_iter();
         untold
-            .map(|(upstream, untold)| Answers {
+            .map(|(upstream, untold)| AnswerStats {
                 upstream,
                 samples: untold.count.min(u32::from(u8::MAX)) as u8,
                 sum: untold.sum as f32,
@@ -109,7 +109,7 @@
     }
 
     /// Takes speeds that an earlier process learned.
-    pub fn adopt_speeds(&mut self, record: &SpeedRecord) {
+    pub fn restore_speeds(&mut self, record: &SpeedRecord) {
         self.speeds.adopt(record);
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Requests that wait here, and all that are not answered yet.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn request_counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.requests.len())
     }
 }
--- a/crates/dispatch/src/dispatcher/resting.rs
+++ b/crates/dispatch/src/dispatcher/resting.rs
@@ -16,19 +16,19 @@
 
 impl Dispatcher {
     /// An upstream turned a request away and asked this node for rest.
-    pub fn asked_to_rest(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
-        if self.config.keeps_rests {
+    pub fn begin_rest(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
+        if self.config.honors_rests {
             self.rests.asked(now, UpstreamHash::of(upstream), rest);
         }
     }
 
     /// An upstream asked some node for rest. That binds this node in nothing.
-    pub fn asked_any_to_rest(&mut self, now: Time, upstream: UpstreamHash, rest: Duration) {
+    pub fn note_rest_elsewhere(&mut self, now: Time, upstream: UpstreamHash, rest: Duration) {
         self.rests_of_any.asked(now, upstream, rest + PROBATION);
     }
 
     /// Whether an upstream asked some node for rest, as far as known, of late.
-    pub fn rests_for_any(&self, now: Time, upstream: UpstreamHash) -> bool {
+    pub fn rests_for_any_node(&self, now: Time, upstream: UpstreamHash) -> bool {
         self.rests_of_any.until(now, upstream).is_some()
     }
 
--- a/crates/dispatch/src/dispatcher/slots.rs
+++ b/crates/dispatch/src/dispatcher/slots.rs
@@ -202,7 +202,7 @@
     }
 
     /// As the relay: chooses an upstream for another node's request and counts it.
-    pub fn give_slot(
+    pub fn allocate_slot(
         &mut self,
         now: Time,
         directory: &Directory,
@@ -230,7 +230,7 @@
     }
 
     /// Takes the relay's answer.
-    pub fn slot_given(&mut self, now: Time, reply: SlotReply) {
+    pub fn handle_slot_reply(&mut self, now: Time, reply: SlotReply) {
         self.slots.unanswered = 0;
         let Some(request) = self.requests.get_mut(&reply.ticket) else {
             return;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -17,22 +17,23 @@
 mod rests;
 mod speed;
 
-pub use budget::{BudgetConfig, RetryBudget};
+pub use budget::{RetryBudget, RetryBudgetConfig};
 pub use dispatcher::{
-    ColdStartBound, DispatchConfig, Dispatcher, DoubtedUpstream, SlotCounts, SlotReply, SlotRequest,
+    ColdStartBound, DispatchConfig, Dispatcher, ProbeTarget, SlotCounts, SlotReply, SlotRequest,
 };
 pub use fingerprint::{Fingerprint, Fingerprints, RequestContent};
 pub use occupancy::{Occupancy, SumSource};
 pub use quarantine::{
-    Quarantine, QuarantineNotice, RunHash, Suspicion, SuspicionRecord, TrialOutcome, TrialReply,
-    TrialReport, TrialRequest, UPSTREAMS_ENDED,
+    AttemptHash, Quarantine, QuarantineEvent, Suspicion, SuspicionRecord, TrialOutcome, TrialReply,
+    TrialReport, TrialRequest, UPSTREAMS_BEFORE_QUARANTINE,
 };
-pub use rate_limit::{LimitNotice, LimitWord, PermitCounts, PermitReply, PermitRequest};
+pub use rate_limit::{PermitCounts, PermitReply, PermitRequest, RateLimitEvent, RateLimitUpdate};
 pub use report::{
-    Answers, Contained, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
+    AnswerStats, InFlight, IncludedReport, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash,
+    UpstreamHash,
 };
 pub use request::{
-    Admission, AssignmentNumber, AttemptOutcome, Conclusion, Decision, Ending, Forward, LimitFacts,
-    RefusalReason, RequestHead, Ticket, UnknownCause, Untouched,
+    AdmissionError, AssignmentNumber, AttemptOutcome, ConcludedRequest, Conclusion, Decision,
+    Forward, NotExecuted, RateLimitState, RefusalReason, RequestHead, Ticket, UnknownCause,
 };
-pub use speed::{MeanWork, SpeedRecord, SpeedTable, UpstreamSpeed};
+pub use speed::{MeanResponseTime, SpeedRecord, SpeedTable, UpstreamSpeed};
--- a/crates/dispatch/src/occupancy.rs
+++ b/crates/dispatch/src/occupancy.rs
@@ -6,7 +6,9 @@
 //! the sum over all zones. Such a sum has the node's own earlier report in it,
 //! which is taken out again by its number.
 
-use crate::report::{Contained, InFlight, LoadReport, LoadSum, NodeHash, UpstreamHash, divide};
+use crate::report::{
+    InFlight, IncludedReport, LoadReport, LoadSum, NodeHash, UpstreamHash, divide,
+};
 use beamtray_types::Time;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -110,7 +112,7 @@
     }
 
     /// Takes another node's report.
-    pub fn report(&mut self, now: Time, report: &LoadReport) {
+    pub fn apply_load_report(&mut self, now: Time, report: &LoadReport) {
         let peer = self.peers.entry(report.node).or_insert(Peer {
             run: report.run,
             sequence: 0,
@@ -149,7 +151,7 @@
     /// Takes a relay's sum. `own` is this node's name, whose report is taken
     /// out of it. Two relays of a zone may both tell for a while; the one heard
     /// last counts.
-    pub fn take_sum(&mut self, now: Time, own: NodeHash, source: SumSource, sum: &LoadSum) {
+    pub fn apply_load_sum(&mut self, now: Time, own: NodeHash, source: SumSource, sum: &LoadSum) {
         self.drop_parts(|(from, _), part| from == source && part.parts != sum.parts);
         let in_flight = self.without_own(own, sum);
         let part = SumPart {
@@ -206,11 +208,11 @@
                 add(&mut counts, &part.in_flight);
             }
         }
-        let peers = self.peers.iter().map(|(node, peer)| Contained {
+        let peers = self.peers.iter().map(|(node, peer)| IncludedReport {
             node: *node,
             sequence: peer.sequence,
         });
-        let contains: Vec<Contained> = peers.filter(|_| all_zones).collect();
+        let contains: Vec<IncludedReport> = peers.filter(|_| all_zones).collect();
         divide(sequence, counts.into_iter().collect(), &contains)
     }
 
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -25,8 +25,8 @@
 pub(crate) use standing::Standing;
 use std::collections::HashMap;
 use std::time::Duration;
+pub use suspect::{AttemptHash, Suspicion, UPSTREAMS_BEFORE_QUARANTINE};
 use suspect::{Learned, Suspect};
-pub use suspect::{RunHash, Suspicion, UPSTREAMS_ENDED};
 use trials::OwnTrials;
 pub(crate) use trials::TrialStep;
 
@@ -56,7 +56,7 @@
 
 /// What became known of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuarantineNotice {
+pub enum QuarantineEvent {
     /// An upstream ended under the request.
     Suspected {
         /// The request.
@@ -69,7 +69,7 @@
         is_trial: bool,
     },
     /// The request is kept off.
-    KeptOff {
+    Quarantined {
         /// The request.
         fingerprint: Fingerprint,
         /// Its runs that ended with their upstreams so far.
@@ -78,7 +78,7 @@
         lasts: Duration,
     },
     /// A trial of it ended at this node.
-    Tried {
+    TrialEnded {
         /// The request.
         fingerprint: Fingerprint,
         /// How.
@@ -95,7 +95,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunOfRequest {
     pub upstream: UpstreamHash,
-    pub run: RunHash,
+    pub run: AttemptHash,
     pub fingerprints: Fingerprints,
     /// The fingerprint of whose permit it was sent.
     pub permit: Option<Fingerprint>,
@@ -120,7 +120,7 @@
 /// A suspicion told something new.
 struct News {
     /// What a line is written of, if of anything.
-    notice: Option<QuarantineNotice>,
+    notice: Option<QuarantineEvent>,
 }
 
 /// What one node knows of requests that end upstreams.
@@ -134,7 +134,7 @@
     untold: Vec<Suspicion>,
     /// All that was news here, whoever found it.
     news: Vec<Suspicion>,
-    notices: Vec<QuarantineNotice>,
+    notices: Vec<QuarantineEvent>,
     expire_at: Time,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// An upstream has ended. Requests whose connections to it broke off are suspected.
-    pub fn upstream_ended(&mut self, now: Time, upstream: UpstreamHash) {
+    pub fn upstream_terminated(&mut self, now: Time, upstream: UpstreamHash) {
         for run in self.take_unproved(upstream) {
             for fingerprint in run.fingerprints.both() {
                 let suspicion = Suspicion {
@@ -168,12 +168,12 @@
                 };
                 self.find(now, suspicion);
             }
-            self.end_trial(run.permit, TrialOutcome::Ended);
+            self.end_trial(run.permit, TrialOutcome::UpstreamTerminated);
         }
     }
 
     /// An upstream lives: connections to it broke off for another reason.
-    pub fn upstream_lives(&mut self, upstream: UpstreamHash) {
+    pub fn upstream_alive(&mut self, upstream: UpstreamHash) {
         for run in self.take_unproved(upstream) {
             self.end_trial(run.permit, TrialOutcome::Unknown);
         }
@@ -193,7 +193,7 @@
     }
 
     fn clear(&mut self, now: Time, fingerprint: Fingerprint) {
-        for suspicion in self.known_of(fingerprint) {
+        for suspicion in self.suspicions_of(fingerprint) {
             let cleared = Suspicion {
                 is_cleared: true,
                 ..suspicion
@@ -214,12 +214,12 @@
     /// Joins what another node, or the store, tells. Whoever found it wrote the line about
     /// it: with one at each node that hears of it, the ends of one zone's upstreams filled
     /// the log of every node.
-    pub fn learn(&mut self, now: Time, suspicion: Suspicion) {
+    pub fn merge(&mut self, now: Time, suspicion: Suspicion) {
         let Some(news) = self.join(now, suspicion) else {
             return;
         };
         let is_kept_off =
-            |notice: &QuarantineNotice| matches!(notice, QuarantineNotice::KeptOff { .. });
+            |notice: &QuarantineEvent| matches!(notice, QuarantineEvent::Quarantined { .. });
         self.notices.extend(news.notice.filter(is_kept_off));
     }
 
@@ -235,7 +235,7 @@
             Learned::Nothing => return None,
             Learned::Ended => Some(suspect.notice(&suspicion)),
             Learned::Cleared { is_wholly } => {
-                is_wholly.then_some(QuarantineNotice::Cleared { fingerprint })
+                is_wholly.then_some(QuarantineEvent::Cleared { fingerprint })
             }
         };
         self.news.push(suspicion);
@@ -266,7 +266,7 @@
     }
 
     /// All that is known of a fingerprint.
-    pub fn known_of(&self, fingerprint: Fingerprint) -> Vec<Suspicion> {
+    pub fn suspicions_of(&self, fingerprint: Fingerprint) -> Vec<Suspicion> {
         let suspect = self.suspects.get(&fingerprint).into_iter();
         suspect
             .flat_map(|suspect| suspect.suspicions(fingerprint))
@@ -274,17 +274,17 @@
     }
 
     /// What this node found since the last call.
-    pub fn take_untold(&mut self) -> Vec<Suspicion> {
+    pub fn take_local_suspicions(&mut self) -> Vec<Suspicion> {
         std::mem::take(&mut self.untold)
     }
 
     /// What was news here since the last call, whoever found it.
-    pub fn take_news(&mut self) -> Vec<Suspicion> {
+    pub fn take_new_suspicions(&mut self) -> Vec<Suspicion> {
         std::mem::take(&mut self.news)
     }
 
     /// What became known since the last call.
-    pub fn take_notices(&mut self) -> Vec<QuarantineNotice> {
+    pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.notices)
     }
 
@@ -303,9 +303,9 @@
     }
 
     /// Joins the store's record.
-    pub fn adopt(&mut self, now: Time, record: &SuspicionRecord) {
+    pub fn merge_record(&mut self, now: Time, record: &SuspicionRecord) {
         for suspicion in &record.suspicions {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
     }
 
@@ -320,7 +320,7 @@
         worth.truncate(MOST_RECORDED);
         let suspicions = worth
             .into_iter()
-            .flat_map(|(_, fingerprint)| self.known_of(fingerprint));
+            .flat_map(|(_, fingerprint)| self.suspicions_of(fingerprint));
         let mut suspicions: Vec<Suspicion> = suspicions.collect();
         suspicions.sort();
         SuspicionRecord { suspicions }
--- a/crates/dispatch/src/quarantine/lender.rs
+++ b/crates/dispatch/src/quarantine/lender.rs
@@ -43,7 +43,7 @@
     /// Tells its questions apart.
     pub number: u32,
     /// Milliseconds from now within which the trial has its end.
-    pub lasts_ms: u32,
+    pub timeout_ms: u32,
     /// What the node knows of the request.
     pub known: Vec<Suspicion>,
 }
@@ -69,7 +69,7 @@
     /// It certainly did not run.
     Unused,
     /// The upstream ended under it.
-    Ended,
+    UpstreamTerminated,
     /// None of these is known.
     Unknown,
 }
@@ -141,7 +141,7 @@
         if trials.permit.is_some_and(is_others) || now < trials.pause_until {
             return false;
         }
-        let lasts = Duration::from_millis(u64::from(request.lasts_ms));
+        let lasts = Duration::from_millis(u64::from(request.timeout_ms));
         trials.permit = Some(Permit {
             node: request.node,
             number: request.number,
@@ -166,7 +166,7 @@
         match report.outcome {
             TrialOutcome::Unused => {}
             TrialOutcome::Unknown => trials.end_unknown(now),
-            TrialOutcome::Ended => {
+            TrialOutcome::UpstreamTerminated => {
                 trials.unknown = 0;
                 trials.answered = 0;
             }
--- a/crates/dispatch/src/quarantine/standing.rs
+++ b/crates/dispatch/src/quarantine/standing.rs
@@ -3,7 +3,7 @@
 
 use super::lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
 use super::trials::{TrialStep, USE_WITHIN};
-use super::{Quarantine, QuarantineNotice};
+use super::{Quarantine, QuarantineEvent};
 use crate::fingerprint::{Fingerprint, Fingerprints};
 use crate::report::NodeHash;
 use beamtray_types::Time;
@@ -52,16 +52,16 @@
             fingerprint,
             node,
             number,
-            lasts_ms: (lasts + USE_WITHIN).as_millis() as u32,
-            known: self.known_of(fingerprint),
+            timeout_ms: (lasts + USE_WITHIN).as_millis() as u32,
+            known: self.suspicions_of(fingerprint),
         }
     }
 
     /// As the lender: answers a question.
-    pub fn lend(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
+    pub fn lend_permit(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
         let fingerprint = request.fingerprint;
         for suspicion in &request.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
         let suspect = self.suspects.get(&fingerprint);
         let is_on_trial =
@@ -70,14 +70,14 @@
             fingerprint,
             number: request.number,
             is_lent: is_on_trial && self.lender.lend(now, request),
-            known: self.known_of(fingerprint),
+            known: self.suspicions_of(fingerprint),
         }
     }
 
     /// Takes the lender's answer.
-    pub fn trial_answered(&mut self, now: Time, reply: &TrialReply) {
+    pub fn handle_trial_reply(&mut self, now: Time, reply: &TrialReply) {
         for suspicion in &reply.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
         let TrialReply {
             fingerprint,
@@ -103,7 +103,7 @@
     /// Reports to the lender since the last call, of this node.
     pub fn take_trial_reports(&mut self, node: &str) -> Vec<TrialReport> {
         let ended = self.trials.take_ended();
-        let notices = ended.iter().map(|ended| QuarantineNotice::Tried {
+        let notices = ended.iter().map(|ended| QuarantineEvent::TrialEnded {
             fingerprint: ended.fingerprint,
             outcome: ended.outcome,
         });
@@ -115,15 +115,15 @@
                 node: NodeHash::of(node),
                 number: ended.number,
                 outcome: ended.outcome,
-                known: self.known_of(ended.fingerprint),
+                known: self.suspicions_of(ended.fingerprint),
             })
             .collect()
     }
 
     /// As the lender: takes the outcome of a trial.
-    pub fn take_trial_report(&mut self, now: Time, report: &TrialReport) {
+    pub fn handle_trial_report(&mut self, now: Time, report: &TrialReport) {
         for suspicion in &report.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
         if self.lender.take(now, report) {
             self.clear(now, report.fingerprint);
--- a/crates/dispatch/src/quarantine/suspect.rs
+++ b/crates/dispatch/src/quarantine/suspect.rs
@@ -1,6 +1,6 @@
 //! What is known of one request: which of its runs ended with their upstreams.
 
-use super::QuarantineNotice;
+use super::QuarantineEvent;
 use crate::fingerprint::Fingerprint;
 use crate::report::UpstreamHash;
 use crate::request::Ticket;
@@ -13,7 +13,7 @@
 /// Upstreams that end under a request before it is kept off. Two of them end together by
 /// chance where a zone or a rack is lost while a client repeats; a third one that got the
 /// request later hardly does.
-pub const UPSTREAMS_ENDED: usize = 3;
+pub const UPSTREAMS_BEFORE_QUARANTINE: usize = 3;
 /// Runs of a request that end with their upstreams before it is kept off, where the last of
 /// them was a trial. A trial is the only run of its content anywhere and lasts as long as
 /// one request: that its upstream ends meanwhile for another reason is far less likely than
@@ -41,9 +41,9 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
-pub struct RunHash(pub u32);
+pub struct AttemptHash(pub u32);
 
-impl RunHash {
+impl AttemptHash {
     /// The short name of an attempt of a request of a node's process.
     pub fn of(node: &str, process: u64, ticket: Ticket, attempt: u32) -> Self {
         let mut hasher = Xxh3::new();
@@ -63,7 +63,7 @@
     /// The upstream.
     pub upstream: UpstreamHash,
     /// The run.
-    pub run: RunHash,
+    pub run: AttemptHash,
     /// Whether it was the only run of that request anywhere, by a permit.
     pub is_trial: bool,
     /// Whether the request was answered since, so that it was not the cause.
@@ -75,7 +75,7 @@
 struct End {
     upstream: UpstreamHash,
     is_trial: bool,
-    run: RunHash,
+    run: AttemptHash,
 }
 
 /// Whether a suspicion told something new.
@@ -168,10 +168,10 @@
     pub fn hold_off(&self) -> Duration {
         let (upstreams, trials) = (self.upstreams(), self.trials());
         let is_proved = self.runs() >= RUNS_ENDED && trials > 0;
-        if !is_proved && upstreams < UPSTREAMS_ENDED {
+        if !is_proved && upstreams < UPSTREAMS_BEFORE_QUARANTINE {
             return Duration::ZERO;
         }
-        let further = upstreams.saturating_sub(UPSTREAMS_ENDED);
+        let further = upstreams.saturating_sub(UPSTREAMS_BEFORE_QUARANTINE);
         let further = further.max(trials.saturating_sub(1));
         HOLD_OFFS[further.min(HOLD_OFFS.len() - 1)]
     }
@@ -183,18 +183,18 @@
     }
 
     /// What is told of a further end.
-    pub fn notice(&self, suspicion: &Suspicion) -> QuarantineNotice {
+    pub fn notice(&self, suspicion: &Suspicion) -> QuarantineEvent {
         let (ended, lasts) = (self.runs(), self.hold_off());
         let fingerprint = suspicion.fingerprint;
         if lasts.is_zero() {
-            QuarantineNotice::Suspected {
+            QuarantineEvent::Suspected {
                 fingerprint,
                 upstream: suspicion.upstream,
                 ended,
                 is_trial: suspicion.is_trial,
             }
         } else {
-            QuarantineNotice::KeptOff {
+            QuarantineEvent::Quarantined {
                 fingerprint,
                 ended,
                 lasts,
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -18,7 +18,7 @@
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
 use known::KnownLimits;
-pub use known::{LimitNotice, LimitWord};
+pub use known::{RateLimitEvent, RateLimitUpdate};
 use lender::{Buckets, Share, Tenure, WINDOW};
 use permits::Permits;
 pub(crate) use permits::{ANSWER_WAIT, PermitStep};
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PermitRequest {
     /// The upstream's rate, as the asking node knows it.
-    pub limit: LimitWord,
+    pub limit: RateLimitUpdate,
     /// Who is asked.
     pub lender: NodeHash,
     /// Tells the node's questions apart.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PermitReply {
     /// The upstream's rate, as the lender knows it.
-    pub limit: LimitWord,
+    pub limit: RateLimitUpdate,
     /// The question.
     pub number: u32,
     /// Permits that are lent. Each is for one request, right away.
@@ -332,7 +332,7 @@
     }
 
     /// Takes another node's word; whether it was news.
-    pub fn told(&mut self, now: Time, word: &LimitWord) -> bool {
+    pub fn told(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
         let is_news = self.known.told(now, word);
         self.follow(now, word.upstream);
         is_news
--- a/crates/dispatch/src/rate_limit/known.rs
+++ b/crates/dispatch/src/rate_limit/known.rs
@@ -21,7 +21,7 @@
 
 /// What one node tells another of an upstream's rate.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct LimitWord {
+pub struct RateLimitUpdate {
     /// The upstream.
     pub upstream: UpstreamHash,
     /// Requests a second that it takes from all nodes; none if it has ceased to name one.
@@ -32,7 +32,7 @@
 
 /// What became known of an upstream's rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LimitNotice {
+pub enum RateLimitEvent {
     /// It names a rate, or another one than before.
     Limited {
         /// The upstream.
@@ -40,14 +40,14 @@
         /// The rate.
         rate: RequestRate,
         /// Whether that comes from an answer to this node.
-        is_own: bool,
+        is_local: bool,
     },
     /// It names none any more.
     Ended {
         /// The upstream.
         upstream: UpstreamHash,
         /// Whether that comes from an answer to this node.
-        is_own: bool,
+        is_local: bool,
     },
     /// It names something that is no rate.
     Unreadable {
@@ -56,13 +56,13 @@
     },
 }
 
-impl LimitNotice {
+impl RateLimitEvent {
     /// Whose rate it is.
     pub fn upstream(&self) -> UpstreamHash {
         match *self {
-            LimitNotice::Limited { upstream, .. }
-            | LimitNotice::Ended { upstream, .. }
-            | LimitNotice::Unreadable { upstream } => upstream,
+            RateLimitEvent::Limited { upstream, .. }
+            | RateLimitEvent::Ended { upstream, .. }
+            | RateLimitEvent::Unreadable { upstream } => upstream,
         }
     }
 }
@@ -82,7 +82,7 @@
     known: HashMap<UpstreamHash, Known>,
     untold: HashSet<UpstreamHash>,
     nodes: usize,
-    notices: Vec<LimitNotice>,
+    notices: Vec<RateLimitEvent>,
 }
 
 impl KnownLimits {
@@ -119,7 +119,7 @@
             RateWord::Unlimited => None,
             RateWord::Limited(rate) => Some(rate),
             RateWord::Unreadable => {
-                self.notices.push(LimitNotice::Unreadable { upstream });
+                self.notices.push(RateLimitEvent::Unreadable { upstream });
                 return;
             }
         };
@@ -141,7 +141,7 @@
     }
 
     /// Takes another node's word; whether it was news.
-    pub fn told(&mut self, now: Time, word: &LimitWord) -> bool {
+    pub fn told(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
         let learned = now - Duration::from_millis(word.age_ms.into());
         let is_news = match self.known.get_mut(&word.upstream) {
             Some(known) if known.rate == word.rate => {
@@ -163,7 +163,7 @@
         learned: Time,
         upstream: UpstreamHash,
         rate: Option<RequestRate>,
-        is_own: bool,
+        is_local: bool,
     ) {
         let known = Known {
             rate,
@@ -171,24 +171,24 @@
             told: None,
         };
         self.known.insert(upstream, known);
-        if is_own {
+        if is_local {
             self.untold.insert(upstream);
         }
         self.notices.push(match rate {
-            Some(rate) => LimitNotice::Limited {
+            Some(rate) => RateLimitEvent::Limited {
                 upstream,
                 rate,
-                is_own,
+                is_local,
             },
-            None => LimitNotice::Ended { upstream, is_own },
+            None => RateLimitEvent::Ended { upstream, is_local },
         });
     }
 
     /// What this node knows of an upstream, for another node.
-    pub fn word(&self, now: Time, upstream: UpstreamHash) -> Option<LimitWord> {
+    pub fn word(&self, now: Time, upstream: UpstreamHash) -> Option<RateLimitUpdate> {
         let known = self.known.get(&upstream)?;
         let age = now.since(known.learned).as_millis();
-        Some(LimitWord {
+        Some(RateLimitUpdate {
             upstream,
             rate: known.rate,
             age_ms: age.try_into().unwrap_or(u32::MAX),
@@ -196,7 +196,7 @@
     }
 
     /// All rates that are named, for another node.
-    pub fn words(&self, now: Time) -> Vec<LimitWord> {
+    pub fn words(&self, now: Time) -> Vec<RateLimitUpdate> {
         let limited = self.known.iter().filter(|(_, known)| known.rate.is_some());
         limited
             .filter_map(|(upstream, _)| self.word(now, *upstream))
@@ -204,7 +204,7 @@
     }
 
     /// What other nodes were not told of.
-    pub fn take_untold(&mut self, now: Time) -> Vec<LimitWord> {
+    pub fn take_untold(&mut self, now: Time) -> Vec<RateLimitUpdate> {
         let untold: Vec<UpstreamHash> = self.untold.drain().collect();
         for upstream in &untold {
             if let Some(known) = self.known.get_mut(upstream) {
@@ -218,7 +218,7 @@
     }
 
     /// What became known since the last call.
-    pub fn take_notices(&mut self) -> Vec<LimitNotice> {
+    pub fn take_notices(&mut self) -> Vec<RateLimitEvent> {
         std::mem::take(&mut self.notices)
     }
 
--- a/crates/dispatch/src/report.rs
+++ b/crates/dispatch/src/report.rs
@@ -48,7 +48,7 @@
 
 /// Answers of one upstream since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Answers {
+pub struct AnswerStats {
     /// The upstream.
     pub upstream: UpstreamHash,
     /// How many.
@@ -82,12 +82,12 @@
     /// All requests of the node under way.
     pub in_flight: Vec<InFlight>,
     /// Answers since the last report.
-    pub answers: Vec<Answers>,
+    pub answers: Vec<AnswerStats>,
 }
 
 /// The report of one node that a sum contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Contained {
+pub struct IncludedReport {
     /// The node.
     pub node: NodeHash,
     /// Which of its reports.
@@ -108,7 +108,7 @@
     /// Requests under way at the upstreams of this part.
     pub in_flight: Vec<InFlight>,
     /// Reports that are in the sum.
-    pub contains: Vec<Contained>,
+    pub contains: Vec<IncludedReport>,
 }
 
 /// Upstreams in one part of a sum.
@@ -118,7 +118,7 @@
 pub(crate) fn divide(
     sequence: u32,
     counts: Vec<(UpstreamHash, u32)>,
-    contains: &[Contained],
+    contains: &[IncludedReport],
 ) -> Vec<LoadSum> {
     let parts = counts.len().div_ceil(PART_UPSTREAMS).clamp(1, 255) as u8;
     let mut sums: Vec<LoadSum> = (0..parts)
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -29,7 +29,7 @@
     /// Its path.
     pub path: String,
     /// How long the client waits; none when it does not say.
-    pub patience: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// Key, when it carries one.
     pub key: Option<ShardKey>,
     /// What it says, in short.
@@ -38,7 +38,7 @@
 
 /// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionError {
     /// No configuration is known yet.
     NoConfiguration,
     /// No route fits.
@@ -72,7 +72,7 @@
 
 /// Proof that an attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Untouched {
+pub enum NotExecuted {
     /// No connection came up.
     Unconnected,
     /// The connection was refused by the other side.
@@ -105,7 +105,7 @@
         success: bool,
     },
     /// The attempt certainly did not run.
-    Untouched(Untouched),
+    NotExecuted(NotExecuted),
     /// Nobody knows whether it ran.
     Unknown(UnknownCause),
 }
@@ -160,7 +160,7 @@
 
 /// The rate that a request was refused for, as it stood then.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitFacts {
+pub struct RateLimitState {
     /// The upstream.
     pub upstream: UpstreamHash,
     /// What it takes from all nodes; none if it has just ceased to name a rate.
@@ -173,7 +173,7 @@
 
 /// How a request ends that no upstream answered, and what that was decided by.
 #[derive(Clone, Debug)]
-pub struct Ending {
+pub struct ConcludedRequest {
     /// The final answer.
     pub conclusion: Conclusion,
     /// The route's name.
@@ -185,7 +185,7 @@
     /// The assignment that was in force for the key.
     pub assignment: Option<AssignmentNumber>,
     /// The rate that it was refused for.
-    pub limited_by: Option<LimitFacts>,
+    pub limited_by: Option<RateLimitState>,
     /// How often it arrived at an upstream.
     pub arrivals: u32,
     /// Time since it came.
@@ -200,9 +200,9 @@
     /// Send it.
     Forward(Ticket, Forward),
     /// Give it its final answer.
-    Conclude(Ticket, Ending),
+    Conclude(Ticket, ConcludedRequest),
     /// Ask the relay where to send it.
-    Ask(SlotRequest),
+    AskSlot(SlotRequest),
     /// Ask the lender for a permit to send it, since it is under suspicion.
     AskTrial(TrialRequest),
     /// Ask a lender for permits to send to an upstream that names a rate.
--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -46,7 +46,7 @@
 
 /// What was learned of one route or service.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct MeanWork {
+pub struct MeanResponseTime {
     /// The name.
     pub name: String,
     /// Mean time of its answers, in seconds.
@@ -59,9 +59,9 @@
     /// Upstreams.
     pub upstreams: Vec<UpstreamSpeed>,
     /// Routes.
-    pub routes: Vec<MeanWork>,
+    pub routes: Vec<MeanResponseTime>,
     /// Services.
-    pub services: Vec<MeanWork>,
+    pub services: Vec<MeanResponseTime>,
 }
 
 /// Learned speeds.
@@ -153,7 +153,7 @@
     /// What is known, to be kept.
     pub fn record(&self) -> SpeedRecord {
         let means = |means: &mut dyn Iterator<Item = (String, f64)>| {
-            let rows = means.map(|(name, seconds)| MeanWork {
+            let rows = means.map(|(name, seconds)| MeanResponseTime {
                 name,
                 seconds: seconds as f32,
             });
--- a/crates/dispatch/tests/absences.rs
+++ b/crates/dispatch/tests/absences.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use beamtray_catalog::{Directory, UpstreamId};
-use beamtray_dispatch::{AttemptOutcome, Conclusion, Dispatcher, RefusalReason, Ticket, Untouched};
+use beamtray_dispatch::{
+    AttemptOutcome, Conclusion, Dispatcher, NotExecuted, RefusalReason, Ticket,
+};
 use beamtray_sharding::{FencingToken, SliceState};
 use common::*;
 use std::time::Duration;
@@ -119,8 +121,8 @@
     assign(&mut dispatcher, 1, held());
     ask(&mut dispatcher, 0, 1);
     forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
-    let denied = AttemptOutcome::Untouched(Untouched::Misdirected);
-    assert!(dispatcher.ended(at(5), Ticket(1), denied).is_none());
+    let denied = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
+    assert!(dispatcher.attempt_ended(at(5), Ticket(1), denied).is_none());
     assign_at(&mut dispatcher, 10, 2, leaving());
     assert_eq!(refused(&mut dispatcher, &directory, 10), None);
 }
--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -1,11 +1,11 @@
 //! The bound on repeats over all nodes, where processes are replaced.
 
-use beamtray_dispatch::{BudgetConfig, RetryBudget};
+use beamtray_dispatch::{RetryBudget, RetryBudgetConfig};
 use beamtray_types::Time;
 use std::time::Duration;
 
 const NODES: usize = 4;
-const CONFIG: BudgetConfig = BudgetConfig {
+const CONFIG: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     allowance: 47.0,
     window: Duration::from_secs(10),
--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -10,7 +10,7 @@
 mod common;
 
 use beamtray_catalog::{ColdStart, Directory, UpstreamRecord};
-use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, Ticket, Untouched};
+use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, NotExecuted, Ticket};
 use beamtray_sharding::{FencingToken, SliceState};
 use beamtray_types::Time;
 use common::*;
@@ -105,7 +105,7 @@
         let ended = self.under_way.extract_if(.., |(due, ..)| *due <= millis);
         for (_, node, ticket) in ended {
             let outcome = AttemptOutcome::Answered { success: true };
-            self.nodes[node].ended(now, ticket, outcome);
+            self.nodes[node].attempt_ended(now, ticket, outcome);
         }
         for (number, node) in self.nodes.iter_mut().enumerate() {
             node.expire(now);
@@ -261,9 +261,9 @@
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     for millis in COLD_FROM..COLD_UNTIL {
         load.step(millis);
-        let untouched = AttemptOutcome::Untouched(Untouched::Unsent);
+        let untouched = AttemptOutcome::NotExecuted(NotExecuted::Unsent);
         for (_, node, ticket) in std::mem::take(&mut load.under_way) {
-            load.nodes[node].ended(at(millis), ticket, untouched);
+            load.nodes[node].attempt_ended(at(millis), ticket, untouched);
         }
     }
     assert!(load.most_in_a_second() <= ALLOWED);
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -7,8 +7,8 @@
     ServiceConfig, UpstreamId, UpstreamRecord, UpstreamState, WeightedBackend,
 };
 use beamtray_dispatch::{
-    BudgetConfig, ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints,
-    Forward, RequestHead,
+    ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints, Forward,
+    RequestHead, RetryBudgetConfig,
 };
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
@@ -128,23 +128,23 @@
         node: node.to_owned(),
         run: 9,
         zone: "here".into(),
-        budget: BudgetConfig {
+        budget: RetryBudgetConfig {
             ratio: 0.2,
             allowance: 10.0,
             window: Duration::from_secs(10),
         },
         queue_limit: 100,
-        most_queued: 6,
+        max_queued: 6,
         zone_cost: Duration::from_millis(80),
-        leaver_grace: Duration::from_millis(1_333),
+        drain_grace: Duration::from_millis(1_333),
         evacuation_grace: Duration::from_millis(2_000),
         cold_start: ColdStartBound {
             overage: 1.5,
             slack: 8.0,
         },
-        keeps_named_rates: true,
-        keeps_rests: true,
-        proves_before_repeat: true,
+        honors_rate_limits: true,
+        honors_rests: true,
+        requires_proof_before_retry: true,
     }
 }
 
@@ -159,7 +159,7 @@
         id: "id".to_owned(),
         host: "host:80".to_owned(),
         path: path.to_owned(),
-        patience: Some(PATIENCE),
+        client_timeout: Some(PATIENCE),
         key: key.map(ShardKey),
         fingerprints: Fingerprints::default(),
     }
@@ -198,7 +198,7 @@
         doubted: Vec::new(),
         slices: slices.collect(),
     };
-    dispatcher.assign(
+    dispatcher.apply_assignment(
         at(millis),
         "keyed".into(),
         Rc::new(Assignment::from(record)),
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{UpstreamId, UpstreamState};
 use beamtray_dispatch::{
-    Admission, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, Occupancy, SumSource,
-    Ticket, UnknownCause, Untouched, UpstreamHash,
+    AdmissionError, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, NotExecuted,
+    Occupancy, SumSource, Ticket, UnknownCause, UpstreamHash,
 };
 use beamtray_sharding::{FencingToken, SliceState};
 use common::*;
@@ -28,12 +28,12 @@
 fn what_no_configuration_allows_is_not_admitted() {
     let mut unconfigured = unconfigured();
     let denied = unconfigured.admit(at(1), Ticket(1), &head("/read/1", None));
-    assert_eq!(denied, Err(Admission::NoConfiguration));
+    assert_eq!(denied, Err(AdmissionError::NoConfiguration));
     let mut dispatcher = dispatcher();
     let denied = dispatcher.admit(at(1), Ticket(1), &head("/elsewhere/", None));
-    assert_eq!(denied, Err(Admission::NoRoute));
+    assert_eq!(denied, Err(AdmissionError::NoRoute));
     let denied = dispatcher.admit(at(1), Ticket(1), &head("/keyed/1", None));
-    assert_eq!(denied, Err(Admission::NoKey));
+    assert_eq!(denied, Err(AdmissionError::NoKey));
 }
 
 #[test]
@@ -54,14 +54,14 @@
 #[test]
 fn requests_of_other_nodes_count() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
-    dispatcher.report(at(1), &others("near", 3, 1));
+    dispatcher.apply_load_report(at(1), &others("near", 3, 1));
     dispatcher
         .admit(at(2), Ticket(1), &head("/read/1", None))
         .expect("admitted");
     let forward = forwarded(dispatcher.poll(at(2), &directory)).expect("sent");
     assert_eq!(forward.upstream.name.0, "far");
     // An older report that comes late changes nothing.
-    dispatcher.report(at(3), &others("near", 0, 1));
+    dispatcher.apply_load_report(at(3), &others("near", 0, 1));
     assert_eq!(
         dispatcher
             .occupancy()
@@ -85,12 +85,12 @@
         .admit(at(1), Ticket(1), &head("/order/1", None))
         .expect("admitted");
     forwarded(dispatcher.poll(at(1), &directory)).expect("sent");
-    let full = AttemptOutcome::Untouched(Untouched::Full);
-    assert!(dispatcher.ended(at(10), Ticket(1), full).is_none());
+    let full = AttemptOutcome::NotExecuted(NotExecuted::Full);
+    assert!(dispatcher.attempt_ended(at(10), Ticket(1), full).is_none());
     let again = forwarded(dispatcher.poll(at(60), &directory)).expect("sent again");
     assert_eq!(again.attempt, 2);
     let broken = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-    let end = dispatcher.ended(at(70), Ticket(1), broken);
+    let end = dispatcher.attempt_ended(at(70), Ticket(1), broken);
     let end = end.map(|ending| ending.conclusion);
     assert_eq!(end, Some(Conclusion::Unknown(UnknownCause::BrokenOff)));
 }
@@ -103,10 +103,14 @@
         .expect("admitted");
     forwarded(dispatcher.poll(at(1), &directory)).expect("sent");
     let broken = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-    assert!(dispatcher.ended(at(10), Ticket(1), broken).is_none());
+    assert!(
+        dispatcher
+            .attempt_ended(at(10), Ticket(1), broken)
+            .is_none()
+    );
     forwarded(dispatcher.poll(at(11), &directory)).expect("sent again");
-    let full = AttemptOutcome::Untouched(Untouched::Full);
-    let end = dispatcher.ended(at(20), Ticket(1), full);
+    let full = AttemptOutcome::NotExecuted(NotExecuted::Full);
+    let end = dispatcher.attempt_ended(at(20), Ticket(1), full);
     let end = end.map(|ending| ending.conclusion);
     assert_eq!(end, Some(Conclusion::Unknown(UnknownCause::BrokenOff)));
 }
@@ -122,10 +126,13 @@
             .expect("admitted");
         forwarded(dispatcher.poll(now, &directory)).expect("sent");
         let broken = AttemptOutcome::Unknown(UnknownCause::WrongAnswer);
-        if dispatcher.ended(now, Ticket(ticket), broken).is_none() {
+        if dispatcher
+            .attempt_ended(now, Ticket(ticket), broken)
+            .is_none()
+        {
             repeats += 1;
             forwarded(dispatcher.poll(now, &directory)).expect("sent again");
-            dispatcher.ended(
+            dispatcher.attempt_ended(
                 now,
                 Ticket(ticket),
                 AttemptOutcome::Answered { success: true },
@@ -158,7 +165,7 @@
     let mut leaver = record("holder", "keyed", "here", 8_003);
     leaver.state = UpstreamState::Draining;
     directory.register(at(1_000), leaver);
-    dispatcher.follow(at(1_000), &directory);
+    dispatcher.apply_directory(at(1_000), &directory);
     let mut send = |ticket, millis| {
         dispatcher
             .admit(at(millis), Ticket(ticket), &head("/keyed/1", Some(5)))
@@ -199,7 +206,7 @@
             .expect("admitted");
         let forward = forwarded(dispatcher.poll(now, &directory)).expect("sent");
         other += u32::from(forward.upstream.name.0 == "other");
-        dispatcher.ended(
+        dispatcher.attempt_ended(
             now,
             Ticket(ticket),
             AttemptOutcome::Answered { success: true },
@@ -216,8 +223,12 @@
         .expect("admitted");
     let first = forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
     assert_eq!(first.upstream.name.0, "near");
-    let unconnected = AttemptOutcome::Untouched(Untouched::Unconnected);
-    assert!(dispatcher.ended(at(10), Ticket(1), unconnected).is_none());
+    let unconnected = AttemptOutcome::NotExecuted(NotExecuted::Unconnected);
+    assert!(
+        dispatcher
+            .attempt_ended(at(10), Ticket(1), unconnected)
+            .is_none()
+    );
     let second = forwarded(dispatcher.poll(at(10), &directory)).expect("sent again");
     assert_eq!(second.upstream.name.0, "far");
     // It never arrived, so this is still the first arrival.
@@ -235,8 +246,8 @@
         .admit(at(0), Ticket(1), &head("/keyed/1", Some(5)))
         .expect("admitted");
     forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
-    let denied = AttemptOutcome::Untouched(Untouched::Misdirected);
-    assert!(dispatcher.ended(at(5), Ticket(1), denied).is_none());
+    let denied = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
+    assert!(dispatcher.attempt_ended(at(5), Ticket(1), denied).is_none());
     assert!(forwarded(dispatcher.poll(at(60), &directory)).is_none());
     let newer = SliceState::Held {
         holder: UpstreamId::from("heir".to_owned()),
@@ -267,9 +278,9 @@
     };
     node.reported(3, report.in_flight.clone());
     relay.begin(upstream);
-    relay.report(at(0), &report);
+    relay.apply_load_report(at(0), &report);
     for sum in relay.sum(1, true) {
-        node.take_sum(at(10), NodeHash(5), SumSource::OwnRelay, &sum);
+        node.apply_load_sum(at(10), NodeHash(5), SumSource::OwnRelay, &sum);
     }
     assert_eq!(node.total(upstream), 3);
     node.end(upstream);
@@ -289,14 +300,14 @@
     let parts = relay.sum(1, false);
     assert!(parts.len() > 1);
     for sum in &parts {
-        other.take_sum(at(0), NodeHash(9), zone, sum);
+        other.apply_load_sum(at(0), NodeHash(9), zone, sum);
     }
     assert!((0..400).all(|upstream| other.total(UpstreamHash(upstream)) == 1));
     for upstream in 1..400 {
         relay.end(UpstreamHash(upstream));
     }
     for sum in &relay.sum(2, false) {
-        other.take_sum(at(50), NodeHash(9), zone, sum);
+        other.apply_load_sum(at(50), NodeHash(9), zone, sum);
     }
     assert_eq!(other.total(UpstreamHash(0)), 1);
     assert!((1..400).all(|upstream| other.total(UpstreamHash(upstream)) == 0));
--- a/crates/dispatch/tests/faults.rs
+++ b/crates/dispatch/tests/faults.rs
@@ -12,7 +12,7 @@
     let forward = forwarded(node.poll(at(time), &directory())).expect("it is sent");
     let fails = near_fails && forward.upstream.name.0 == "near";
     let outcome = AttemptOutcome::Answered { success: !fails };
-    node.ended(at(time + 10), Ticket(ticket), outcome);
+    node.attempt_ended(at(time + 10), Ticket(ticket), outcome);
     forward.upstream.name.0
 }
 
@@ -45,6 +45,6 @@
         in_flight: Vec::new(),
         answers,
     };
-    relay.report(at(50), &report);
+    relay.apply_load_report(at(50), &report);
     assert_eq!(send(&mut relay, 1, 60, true), "far");
 }
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -10,8 +10,8 @@
 
 use beamtray_catalog::{RateWord, RequestRate};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Decision, Dispatcher, LimitWord, NodeHash, PermitReply,
-    PermitRequest, RefusalReason, Ticket, UpstreamHash,
+    AttemptOutcome, Conclusion, Decision, Dispatcher, NodeHash, PermitReply, PermitRequest,
+    RateLimitUpdate, RefusalReason, Ticket, UpstreamHash,
 };
 use common::*;
 use quickcheck::{QuickCheck, TestResult};
@@ -38,7 +38,7 @@
 
 /// What one node has said to another.
 enum Message {
-    Limit(LimitWord),
+    Limit(RateLimitUpdate),
     Ask(PermitRequest),
     Reply(PermitReply),
 }
@@ -136,7 +136,7 @@
             }
             match sent.message {
                 Message::Limit(word) => {
-                    self.nodes[to].limit_told(at(millis), &word);
+                    self.nodes[to].apply_rate_limit_update(at(millis), &word);
                     self.has_word[to] |= word.rate.is_some();
                 }
                 Message::Ask(request) => {
@@ -144,7 +144,7 @@
                     let reply = self.nodes[to].lend_permits(at(millis), &request);
                     self.send(millis, to, from, Message::Reply(reply));
                 }
-                Message::Reply(reply) => self.nodes[to].permits_lent(at(millis), &reply),
+                Message::Reply(reply) => self.nodes[to].handle_permit_reply(at(millis), &reply),
             }
         }
     }
@@ -167,10 +167,10 @@
             if !self.is_there[node] {
                 continue;
             }
-            self.nodes[node].rate_named(now, ticket, self.word);
+            self.nodes[node].observe_rate(now, ticket, self.word);
             self.has_word[node] |= matches!(self.word, RateWord::Limited(_));
             let outcome = AttemptOutcome::Answered { success: true };
-            self.nodes[node].ended(now, ticket, outcome);
+            self.nodes[node].attempt_ended(now, ticket, outcome);
         }
         for node in 0..self.nodes.len() {
             if self.is_there[node] {
@@ -206,7 +206,7 @@
                 _ => {}
             }
         }
-        let words = self.nodes[node].take_untold_limits(now);
+        let words = self.nodes[node].take_rate_limit_updates(now);
         for word in words {
             for to in (0..self.nodes.len()).filter(|to| *to != node) {
                 self.send(millis, node, to, Message::Limit(word));
@@ -235,7 +235,7 @@
 /// The keys' only holder names that rate while so many nodes get requests for it.
 fn holder_in_need(nodes: usize, rate: f64, arrives: &dyn Fn(u64, usize) -> bool) -> World {
     let mut world = World::new(1, nodes);
-    for millis in 0..NAMED_MS + lasts_ms(rate) {
+    for millis in 0..NAMED_MS + observed_ms(rate) {
         if millis == NAMED_MS {
             world.word = limited(rate);
         }
@@ -251,7 +251,7 @@
 }
 
 /// How long a rate is named: long enough for many requests.
-fn lasts_ms(rate: f64) -> u64 {
+fn observed_ms(rate: f64) -> u64 {
     if rate < 2.0 { 120_000 } else { 20_000 }
 }
 
@@ -259,7 +259,7 @@
 fn used(world: &World, rate: f64) -> f64 {
     let first = NAMED_MS + 5_000;
     let sent = world.sent.iter().filter(|at| **at >= first).count();
-    let seconds = (lasts_ms(rate) - 5_000) as f64 / 1e3;
+    let seconds = (observed_ms(rate) - 5_000) as f64 / 1e3;
     sent as f64 / seconds / rate
 }
 
@@ -375,7 +375,7 @@
     assert!((1..=30).contains(&trials), "{trials} in two minutes");
     world.word = RateWord::Unlimited;
     world.sent.clear();
-    let begin = NAMED_MS + lasts_ms(0.0);
+    let begin = NAMED_MS + observed_ms(0.0);
     for millis in begin..begin + 25_000 {
         world.step(millis, "/keyed/1", Some(7), &every(100));
     }
@@ -415,13 +415,13 @@
     let mut world = World::new(3, 5);
     for millis in 0..NAMED_MS + 12_000 {
         if millis == NAMED_MS {
-            let word = LimitWord {
+            let word = RateLimitUpdate {
                 upstream: UpstreamHash::of(&record("near", "pool", "here", 8_000).id),
                 rate: RequestRate::new(4.0),
                 age_ms: 0,
             };
             for node in 0..5 {
-                world.nodes[node].limit_told(at(millis), &word);
+                world.nodes[node].apply_rate_limit_update(at(millis), &word);
             }
         }
         world.word = RateWord::Unlimited;
@@ -448,26 +448,26 @@
     send(&mut node, 2_000, 1);
     send(&mut node, 2_001, 2);
     send(&mut node, 2_002, 3);
-    node.rate_named(at(2_100), Ticket(1), limited(100.0));
+    node.observe_rate(at(2_100), Ticket(1), limited(100.0));
     // It was answered before.
-    node.rate_named(at(2_101), Ticket(2), RateWord::Unlimited);
-    assert_eq!(node.named_rate(holder), RequestRate::new(100.0));
+    node.observe_rate(at(2_101), Ticket(2), RateWord::Unlimited);
+    assert_eq!(node.advertised_rate(holder), RequestRate::new(100.0));
     send(&mut node, 2_200, 4);
-    node.rate_named(at(2_300), Ticket(4), RateWord::Unlimited);
-    assert_eq!(node.named_rate(holder), None);
-    node.rate_named(at(2_301), Ticket(3), limited(100.0));
-    assert_eq!(node.named_rate(holder), None);
+    node.observe_rate(at(2_300), Ticket(4), RateWord::Unlimited);
+    assert_eq!(node.advertised_rate(holder), None);
+    node.observe_rate(at(2_301), Ticket(3), limited(100.0));
+    assert_eq!(node.advertised_rate(holder), None);
     // Nor does another node's word that is older.
-    let word = |rate, age_ms| LimitWord {
+    let word = |rate, age_ms| RateLimitUpdate {
         upstream: holder,
         rate,
         age_ms,
     };
-    assert!(!node.limit_told(at(2_400), &word(RequestRate::new(5.0), 200)));
-    assert!(node.limit_told(at(2_400), &word(RequestRate::new(5.0), 50)));
+    assert!(!node.apply_rate_limit_update(at(2_400), &word(RequestRate::new(5.0), 200)));
+    assert!(node.apply_rate_limit_update(at(2_400), &word(RequestRate::new(5.0), 50)));
     // What is no rate tells nothing.
-    node.rate_named(at(2_500), Ticket(3), RateWord::Unreadable);
-    assert_eq!(node.named_rate(holder), RequestRate::new(5.0));
+    node.observe_rate(at(2_500), Ticket(3), RateWord::Unreadable);
+    assert_eq!(node.advertised_rate(holder), RequestRate::new(5.0));
 }
 
 const HISTORIES: u64 = 100;
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{Directory, UpstreamId};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints, Quarantine,
-    RefusalReason, RequestContent, RunHash, Suspicion, Ticket, UnknownCause, UpstreamHash,
+    AttemptHash, AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints,
+    Quarantine, RefusalReason, RequestContent, Suspicion, Ticket, UnknownCause, UpstreamHash,
 };
 use beamtray_sharding::ShardKey;
 use common::*;
@@ -76,13 +76,13 @@
                 continue;
             };
             let quarantine = self.node.quarantine_mut();
-            let reply = quarantine.lend(at(millis), &request);
-            quarantine.trial_answered(at(millis), &reply);
+            let reply = quarantine.lend_permit(at(millis), &request);
+            quarantine.handle_trial_reply(at(millis), &reply);
             decisions.extend(self.node.poll(at(millis), &self.directory));
         }
         let quarantine = self.node.quarantine_mut();
         for report in quarantine.take_trial_reports("node") {
-            quarantine.take_trial_report(at(millis), &report);
+            quarantine.handle_trial_report(at(millis), &report);
         }
         decisions
     }
@@ -91,19 +91,20 @@
     fn send(&mut self, millis: u64, target: &str, outcome: AttemptOutcome) {
         let decisions = self.come(millis, target);
         assert!(forwarded(decisions).is_some(), "{target} is sent");
-        self.node.ended(at(millis + 20), Ticket(millis), outcome);
+        self.node
+            .attempt_ended(at(millis + 20), Ticket(millis), outcome);
     }
 
     /// The upstream ends under the request.
     fn end_under(&mut self, millis: u64, target: &str) {
         self.send(millis, target, BROKEN_OFF);
-        let doubted = self.node.take_doubted();
+        let doubted = self.node.take_probe_targets();
         assert_eq!(doubted.len(), 1);
         let hash = UpstreamHash::of(&doubted[0].upstream);
         let quarantine = self.node.quarantine_mut();
-        quarantine.take_untold();
-        quarantine.upstream_ended(at(millis + 21), hash);
-        assert_eq!(quarantine.take_untold().len(), 2);
+        quarantine.take_local_suspicions();
+        quarantine.upstream_terminated(at(millis + 21), hash);
+        assert_eq!(quarantine.take_local_suspicions().len(), 2);
     }
 
     /// Two ends are known from other nodes.
@@ -111,7 +112,7 @@
         for upstream in [901, 902] {
             for fingerprint in fingerprints(target).both() {
                 let told = suspicion(fingerprint.0, upstream);
-                self.node.quarantine_mut().learn(at(1), told);
+                self.node.quarantine_mut().merge(at(1), told);
             }
         }
     }
@@ -162,7 +163,9 @@
     }
     assert!(deployment.decide(1_002).is_empty());
     let success = AttemptOutcome::Answered { success: true };
-    deployment.node.ended(at(1_050), Ticket(1_000), success);
+    deployment
+        .node
+        .attempt_ended(at(1_050), Ticket(1_000), success);
     let sent = deployment.decide(1_051);
     assert_eq!(sent.len(), 2);
     assert!(matches!(sent[1], Decision::Forward(..)));
@@ -189,7 +192,7 @@
         .expect("it is admitted");
     for upstream in 1..=3 {
         let told = suspicion(fingerprints("bad").from_caller.0, upstream);
-        node.quarantine_mut().learn(at(51), told);
+        node.quarantine_mut().merge(at(51), told);
     }
     let (reason, _) = refusal(node.poll(at(52), &directory())).expect("it is refused");
     assert_eq!(reason, RefusalReason::Quarantined);
@@ -215,11 +218,11 @@
             let suspicion = Suspicion {
                 fingerprint,
                 upstream: UpstreamHash(upstream),
-                run: RunHash(1),
+                run: AttemptHash(1),
                 is_trial: false,
                 is_cleared: false,
             };
-            quarantine.learn(at(1), suspicion);
+            quarantine.merge(at(1), suspicion);
         }
     }
     assert!(quarantine.remaining(at(2), of(ELSEWHERE)).is_some());
@@ -227,11 +230,11 @@
         let cleared = Suspicion {
             fingerprint: of(ELSEWHERE).content,
             upstream: UpstreamHash(upstream),
-            run: RunHash(1),
+            run: AttemptHash(1),
             is_trial: false,
             is_cleared: true,
         };
-        quarantine.learn(at(3), cleared);
+        quarantine.merge(at(3), cleared);
     }
     assert!(quarantine.remaining(at(4), of(ELSEWHERE)).is_none());
     assert!(quarantine.remaining(at(4), of(HERE)).is_some());
@@ -242,16 +245,22 @@
     let mut deployment = Deployment::new();
     for millis in [100, 200, 300, 400] {
         deployment.send(millis, "unlucky", BROKEN_OFF);
-        for doubted in deployment.node.take_doubted() {
+        for doubted in deployment.node.take_probe_targets() {
             let hash = UpstreamHash::of(&doubted.upstream);
-            deployment.node.quarantine_mut().upstream_lives(hash);
+            deployment.node.quarantine_mut().upstream_alive(hash);
             deployment
                 .node
                 .quarantine_mut()
-                .upstream_ended(at(millis + 30), hash);
+                .upstream_terminated(at(millis + 30), hash);
         }
     }
-    assert!(deployment.node.quarantine_mut().take_untold().is_empty());
+    assert!(
+        deployment
+            .node
+            .quarantine_mut()
+            .take_local_suspicions()
+            .is_empty()
+    );
 }
 
 /// The end of its connection got lost on the way.
@@ -261,13 +270,13 @@
     deployment.told_of_two("bad");
     let silent = AttemptOutcome::Unknown(UnknownCause::TimedOut);
     deployment.send(100, "bad", silent);
-    let doubted = deployment.node.take_doubted();
+    let doubted = deployment.node.take_probe_targets();
     assert_eq!(doubted.len(), 1);
     let hash = UpstreamHash::of(&doubted[0].upstream);
     deployment
         .node
         .quarantine_mut()
-        .upstream_ended(at(900), hash);
+        .upstream_terminated(at(900), hash);
     assert!(refusal(deployment.come(1_000, "bad")).is_some());
 }
 
@@ -286,8 +295,8 @@
             let silent = AttemptOutcome::Unknown(UnknownCause::TimedOut);
             deployment
                 .node
-                .ended(at(millis + 20), Ticket(millis), silent);
-            tried += deployment.node.take_doubted().len();
+                .attempt_ended(at(millis + 20), Ticket(millis), silent);
+            tried += deployment.node.take_probe_targets().len();
         }
     }
     assert!((1..=2).contains(&tried), "{tried} times");
@@ -309,7 +318,7 @@
     Suspicion {
         fingerprint: Fingerprint(fingerprint),
         upstream: UpstreamHash(upstream),
-        run: RunHash(1),
+        run: AttemptHash(1),
         is_trial: false,
         is_cleared: false,
     }
@@ -319,10 +328,10 @@
 fn memory_is_bounded_and_keeps_the_most_suspected() {
     let mut quarantine = Quarantine::default();
     for upstream in 1..=3 {
-        quarantine.learn(at(1), suspicion(7, upstream));
+        quarantine.merge(at(1), suspicion(7, upstream));
     }
     for fingerprint in 100..10_100 {
-        quarantine.learn(at(2), suspicion(fingerprint, 9));
+        quarantine.merge(at(2), suspicion(fingerprint, 9));
     }
     let (suspected, kept_off) = quarantine.counts(at(3));
     assert!(suspected <= 4_096, "{suspected} are remembered");
@@ -379,7 +388,7 @@
             .map(|(fingerprint, upstream, run, is_cleared)| Suspicion {
                 fingerprint: Fingerprint(u64::from(fingerprint % 3)),
                 upstream: UpstreamHash(u32::from(upstream % 6)),
-                run: RunHash(u32::from(run % 5)),
+                run: AttemptHash(u32::from(run % 5)),
                 is_trial: run % 5 == 4,
                 is_cleared: *is_cleared,
             })
@@ -387,10 +396,10 @@
         let mut one = Quarantine::default();
         let mut other = Quarantine::default();
         for suspicion in &suspicions {
-            one.learn(at(1), *suspicion);
+            one.merge(at(1), *suspicion);
         }
         for suspicion in suspicions.iter().rev().chain(&suspicions) {
-            other.learn(at(1), *suspicion);
+            other.merge(at(1), *suspicion);
         }
         one.record() == other.record()
     }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{Birth, Directory, DirectoryPolicy, UpstreamId, UpstreamRecord};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Dispatcher, Fingerprint, Quarantine, RunHash, SpeedRecord,
-    Suspicion, Ticket, UnknownCause, Untouched, UpstreamHash, UpstreamSpeed,
+    AttemptHash, AttemptOutcome, Conclusion, Dispatcher, Fingerprint, NotExecuted, Quarantine,
+    SpeedRecord, Suspicion, Ticket, UnknownCause, UpstreamHash, UpstreamSpeed,
 };
 use common::*;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 fn send(node: &mut Dispatcher, directory: &Directory, millis: u64) -> Option<UpstreamId> {
-    node.follow(at(millis), directory);
+    node.apply_directory(at(millis), directory);
     let admitted = node.admit(at(millis), Ticket(millis), &head("/order/1", None));
     admitted.expect("it is admitted");
     forwarded(node.poll(at(millis), directory)).map(|forward| forward.upstream)
@@ -45,8 +45,8 @@
     let mut node = dispatcher();
     for millis in [100, 101, 102] {
         if send(&mut node, &directory, millis).is_some() {
-            let refused = AttemptOutcome::Untouched(Untouched::ConnectionRefused);
-            node.ended(at(millis), Ticket(millis), refused);
+            let refused = AttemptOutcome::NotExecuted(NotExecuted::ConnectionRefused);
+            node.attempt_ended(at(millis), Ticket(millis), refused);
         }
     }
     assert_eq!(send(&mut node, &directory, 103), None, "it is paused");
@@ -59,17 +59,17 @@
     let mut directory = directory();
     let mut node = dispatcher();
     let (first, second) = (UpstreamHash::of(&born(1)), UpstreamHash::of(&born(2)));
-    node.adopt_speeds(&SpeedRecord {
+    node.restore_speeds(&SpeedRecord {
         upstreams: vec![UpstreamSpeed {
             upstream: first,
             slowness: 3.0,
         }],
         ..SpeedRecord::default()
     });
-    node.follow(at(10), &directory);
+    node.apply_directory(at(10), &directory);
     assert_eq!(node.speeds().slowness(first), 3.0);
     directory.register(at(9_000), registration(2));
-    node.follow(at(9_001), &directory);
+    node.apply_directory(at(9_001), &directory);
     assert_eq!(node.speeds().slowness(first), 1.0);
     assert_eq!(node.speeds().slowness(second), 1.0);
     let restarted = directory.get(&born(2)).expect("it is registered");
@@ -84,9 +84,9 @@
     let mut node = dispatcher();
     assert_eq!(send(&mut node, &directory, 100), Some(born(1)));
     directory.register(at(110), registration(2));
-    node.follow(at(110), &directory);
+    node.apply_directory(at(110), &directory);
     let broken = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-    let ending = node.ended(at(120), Ticket(100), broken);
+    let ending = node.attempt_ended(at(120), Ticket(100), broken);
     let unknown = Conclusion::Unknown(UnknownCause::BrokenOff);
     assert_eq!(ending.map(|ending| ending.conclusion), Some(unknown));
     assert!(forwarded(node.poll(at(121), &directory)).is_none());
@@ -98,16 +98,16 @@
     let mut quarantine = Quarantine::default();
     let fingerprint = Fingerprint(7);
     for birth in 1..=3 {
-        quarantine.learn(
+        quarantine.merge(
             at(birth),
             Suspicion {
                 fingerprint,
                 upstream: UpstreamHash::of(&born(birth)),
-                run: RunHash(birth as u32),
+                run: AttemptHash(birth as u32),
                 is_trial: false,
                 is_cleared: false,
             },
         );
     }
-    assert_eq!(quarantine.known_of(fingerprint).len(), 3);
+    assert_eq!(quarantine.suspicions_of(fingerprint).len(), 3);
 }
--- a/crates/dispatch/tests/rests.rs
+++ b/crates/dispatch/tests/rests.rs
@@ -3,13 +3,15 @@
 mod common;
 
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{AttemptOutcome, Conclusion, Dispatcher, RefusalReason, Ticket, Untouched};
+use beamtray_dispatch::{
+    AttemptOutcome, Conclusion, Dispatcher, NotExecuted, RefusalReason, Ticket,
+};
 use beamtray_types::Time;
 use common::*;
 use std::time::Duration;
 
 const REST: Duration = Duration::from_millis(3_000);
-const FULL: AttemptOutcome = AttemptOutcome::Untouched(Untouched::Full);
+const FULL: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
 fn upstream(name: &str) -> UpstreamId {
     UpstreamId::from(name.to_owned())
@@ -29,13 +31,13 @@
 #[test]
 fn of_several_rests_the_one_that_ends_last_counts() {
     let mut dispatcher = dispatcher();
-    dispatcher.asked_to_rest(at(0), &upstream("near"), REST);
-    dispatcher.asked_to_rest(at(10), &upstream("near"), Duration::from_millis(100));
+    dispatcher.begin_rest(at(0), &upstream("near"), REST);
+    dispatcher.begin_rest(at(10), &upstream("near"), Duration::from_millis(100));
     for (number, millis) in [(1, 200), (2, 1_500), (3, 2_900)] {
         let to = sent_to(&mut dispatcher, at(millis), number, "/read/1");
         assert_eq!(to.as_deref(), Some("far"), "at {millis} ms");
         let answered = AttemptOutcome::Answered { success: true };
-        dispatcher.ended(at(millis + 50), Ticket(number), answered);
+        dispatcher.attempt_ended(at(millis + 50), Ticket(number), answered);
     }
     let to = sent_to(&mut dispatcher, at(3_001), 9, "/read/1");
     assert_eq!(to.as_deref(), Some("near"));
@@ -49,8 +51,8 @@
     assign(&mut dispatcher, 1, held());
     let to = sent_to(&mut dispatcher, at(0), 1, "/keyed/1");
     assert_eq!(to.as_deref(), Some("holder"));
-    dispatcher.asked_to_rest(at(4), &upstream("holder"), REST);
-    assert!(dispatcher.ended(at(4), Ticket(1), FULL).is_none());
+    dispatcher.begin_rest(at(4), &upstream("holder"), REST);
+    assert!(dispatcher.attempt_ended(at(4), Ticket(1), FULL).is_none());
     for (number, millis) in [(1, 4), (2, 1_000)] {
         if number != 1 {
             let to = sent_to(&mut dispatcher, at(millis), number, "/keyed/1");
@@ -76,8 +78,8 @@
 #[test]
 fn where_all_rest_requests_are_refused_until_the_first_is_over() {
     let mut dispatcher = dispatcher();
-    dispatcher.asked_to_rest(at(0), &upstream("near"), REST);
-    dispatcher.asked_to_rest(at(0), &upstream("far"), REST / 2);
+    dispatcher.begin_rest(at(0), &upstream("near"), REST);
+    dispatcher.begin_rest(at(0), &upstream("far"), REST / 2);
     dispatcher
         .admit(at(10), Ticket(1), &head("/order/1", None))
         .expect("admitted");
@@ -97,15 +99,15 @@
 #[test]
 fn a_rest_outlasts_the_entry_and_not_the_incarnation() {
     let mut dispatcher = dispatcher();
-    dispatcher.asked_to_rest(at(0), &upstream("near"), REST);
+    dispatcher.begin_rest(at(0), &upstream("near"), REST);
     let empty = beamtray_catalog::Directory::new(beamtray_catalog::DirectoryPolicy {
         distrust: Duration::ZERO,
         patience: Duration::ZERO,
     });
-    dispatcher.follow(at(10), &empty);
+    dispatcher.apply_directory(at(10), &empty);
     dispatcher.expire(at(10));
     let mut again = directory();
-    dispatcher.follow(at(20), &again);
+    dispatcher.apply_directory(at(20), &again);
     assert_eq!(dispatcher.resting_count(at(20)), 1);
     let mut restarted = record("near", "pool", "here", 8_000);
     restarted.id.born = Some(beamtray_catalog::Birth(5));
--- a/crates/dispatch/tests/slots.rs
+++ b/crates/dispatch/tests/slots.rs
@@ -25,7 +25,7 @@
 
 fn asked(decisions: Vec<Decision>) -> Option<SlotRequest> {
     decisions.into_iter().find_map(|decision| match decision {
-        Decision::Ask(request) => Some(request),
+        Decision::AskSlot(request) => Some(request),
         _ => None,
     })
 }
@@ -40,7 +40,7 @@
 #[test]
 fn a_request_goes_where_the_relay_says() {
     let (mut node, request) = asking();
-    node.slot_given(at(2), reply(request.ticket, Some("far")));
+    node.handle_slot_reply(at(2), reply(request.ticket, Some("far")));
     let forward = forwarded(node.poll(at(2), &directory())).expect("it is sent");
     assert_eq!(forward.upstream.name.0, "far");
 }
@@ -73,7 +73,7 @@
 fn a_late_answer_changes_nothing() {
     let (mut node, request) = asking();
     let forward = forwarded(node.poll(at(40), &directory())).expect("it is sent");
-    node.slot_given(at(41), reply(request.ticket, Some("far")));
+    node.handle_slot_reply(at(41), reply(request.ticket, Some("far")));
     assert!(node.poll(at(41), &directory()).is_empty());
     assert_eq!(forward.upstream.name.0, "near");
 }
@@ -83,13 +83,13 @@
 fn slots_given_out_at_once_go_to_different_upstreams() {
     let mut relay = dispatcher();
     let (_, request) = asking();
-    relay.report(at(0), &request.report);
+    relay.apply_load_report(at(0), &request.report);
     let mut given = Vec::new();
     for node in 0..8 {
         let mut request = request.clone();
         request.report.node.0 += node;
-        relay.report(at(1), &request.report);
-        given.extend(relay.give_slot(at(1), &directory(), &request).upstream);
+        relay.apply_load_report(at(1), &request.report);
+        given.extend(relay.allocate_slot(at(1), &directory(), &request).upstream);
     }
     let near = given.iter().filter(|one| **one == hash("near")).count();
     assert_eq!(given.len(), 8);
@@ -104,23 +104,23 @@
 fn a_report_takes_the_place_of_the_slots_given_before() {
     let mut relay = dispatcher();
     let (_, mut request) = asking();
-    relay.report(at(0), &request.report);
-    relay.give_slot(at(1), &directory(), &request);
+    relay.apply_load_report(at(0), &request.report);
+    relay.allocate_slot(at(1), &directory(), &request);
     assert_eq!(relay.occupancy().total(hash("near")), 1);
     request.report.sequence += 1;
-    relay.report(at(5), &request.report);
+    relay.apply_load_report(at(5), &request.report);
     assert_eq!(relay.occupancy().total(hash("near")), 1, "too soon to tell");
     request.report.sequence += 1;
-    relay.report(at(30), &request.report);
+    relay.apply_load_report(at(30), &request.report);
     assert_eq!(relay.occupancy().total(hash("near")), 0);
 }
 
 #[test]
 fn an_upstream_that_a_node_could_not_reach_is_not_given_to_it_again() {
     let (mut node, request) = asking();
-    node.slot_given(at(2), reply(request.ticket, Some("near")));
+    node.handle_slot_reply(at(2), reply(request.ticket, Some("near")));
     assert!(forwarded(node.poll(at(2), &directory())).is_some());
-    node.ended(
+    node.attempt_ended(
         at(300),
         Ticket(1),
         AttemptOutcome::Unknown(UnknownCause::TimedOut),
@@ -130,17 +130,17 @@
     let request = asked(node.poll(at(301), &directory())).expect("the relay is asked");
     assert_eq!(request.unreachable, [hash("near")]);
     let mut relay = dispatcher();
-    relay.report(at(301), &request.report);
-    let reply = relay.give_slot(at(301), &directory(), &request);
+    relay.apply_load_report(at(301), &request.report);
+    let reply = relay.allocate_slot(at(301), &directory(), &request);
     assert_eq!(reply.upstream, Some(hash("far")));
 }
 
 #[test]
 fn a_request_without_a_slot_is_asked_for_again_and_refused_in_time() {
     let (mut node, request) = asking();
-    node.slot_given(at(2), reply(request.ticket, None));
+    node.handle_slot_reply(at(2), reply(request.ticket, None));
     assert!(node.poll(at(10), &directory()).is_empty());
     let again = asked(node.poll(at(32), &directory())).expect("the relay is asked again");
-    node.slot_given(at(34), reply(again.ticket, None));
+    node.handle_slot_reply(at(34), reply(again.ticket, None));
     assert!(concluded(node.poll(at(90), &directory())).is_some());
 }
--- a/crates/dispatch/tests/speeds.rs
+++ b/crates/dispatch/tests/speeds.rs
@@ -27,7 +27,7 @@
             .expect("it is admitted");
         assert!(forwarded(node.poll(at(sent), &directory)).is_some());
         let success = AttemptOutcome::Answered { success: true };
-        node.ended(at(sent + WORK_MS), ticket, success);
+        node.attempt_ended(at(sent + WORK_MS), ticket, success);
     }
     // Four under way at its two slots, which take twice as long now.
     let slow = 2 * WORK_MS;
@@ -40,7 +40,7 @@
             .collect();
         for ticket in done {
             let success = AttemptOutcome::Answered { success: true };
-            node.ended(at(now), ticket, success);
+            node.attempt_ended(at(now), ticket, success);
         }
         node.admit(at(now), Ticket(number), &head("/keyed/1", Some(5)))
             .expect("it is admitted");
--- a/crates/dispatch/tests/trials.rs
+++ b/crates/dispatch/tests/trials.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use beamtray_dispatch::{
-    Fingerprint, NodeHash, Quarantine, RunHash, Suspicion, TrialOutcome, TrialReport, TrialRequest,
-    UpstreamHash,
+    AttemptHash, Fingerprint, NodeHash, Quarantine, Suspicion, TrialOutcome, TrialReport,
+    TrialRequest, UpstreamHash,
 };
 use common::*;
 
@@ -19,7 +19,7 @@
     fn after(runs: u32) -> Self {
         let mut lender = Quarantine::default();
         for run in 0..runs {
-            lender.learn(at(1), ended(1, run, false));
+            lender.merge(at(1), ended(1, run, false));
         }
         Self { lender, numbers: 0 }
     }
@@ -31,15 +31,15 @@
             fingerprint: BAD,
             node: NodeHash::of(node),
             number: self.numbers,
-            lasts_ms: 1_000,
+            timeout_ms: 1_000,
             known: vec![ended(1, 0, false)],
         };
-        let reply = self.lender.lend(at(millis), &request);
+        let reply = self.lender.lend_permit(at(millis), &request);
         reply.is_lent.then_some(self.numbers)
     }
 
     fn report(&mut self, millis: u64, node: &str, number: u32, outcome: TrialOutcome) {
-        let is_ended = outcome == TrialOutcome::Ended;
+        let is_ended = outcome == TrialOutcome::UpstreamTerminated;
         let end = is_ended.then(|| ended(100 + number, 0, true));
         let report = TrialReport {
             fingerprint: BAD,
@@ -48,7 +48,7 @@
             outcome,
             known: end.into_iter().collect(),
         };
-        self.lender.take_trial_report(at(millis), &report);
+        self.lender.handle_trial_report(at(millis), &report);
     }
 }
 
@@ -57,7 +57,7 @@
 /// A run of the request ended with that upstream.
 fn ended(upstream: u32, run: u32, is_trial: bool) -> Suspicion {
     Suspicion {
-        run: RunHash(run),
+        run: AttemptHash(run),
         is_trial,
         fingerprint: BAD,
         upstream: UpstreamHash(upstream),
@@ -79,14 +79,14 @@
 fn after_three_runs_a_trial_that_ends_its_upstream_is_the_last_for_a_while() {
     let mut lending = Lending::after(3);
     let number = lending.ask(100, "a").expect("three may be bystanders");
-    lending.report(150, "a", number, TrialOutcome::Ended);
+    lending.report(150, "a", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lending.ask(151, "b"), None);
     assert_eq!(lending.ask(119_000, "b"), None);
     let number = lending.ask(121_000, "b").expect("it is tried again");
-    lending.report(121_050, "b", number, TrialOutcome::Ended);
+    lending.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lending.ask(1_900_000, "a"), None);
     let number = lending.ask(1_930_000, "a").expect("and once more");
-    lending.report(1_930_050, "a", number, TrialOutcome::Ended);
+    lending.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lending.ask(80_000_000, "a"), None, "not within a day");
 }
 
--- a/crates/dispatch/tests/unconfirmed.rs
+++ b/crates/dispatch/tests/unconfirmed.rs
@@ -93,7 +93,7 @@
     let sent = sent_to(dispatcher.poll(at(MISSING_SINCE), &common::directory()));
     assert_eq!(sent, ["near"]);
     let answered = AttemptOutcome::Answered { success: true };
-    dispatcher.ended(at(MISSING_SINCE + 30), Ticket(1), answered);
+    dispatcher.attempt_ended(at(MISSING_SINCE + 30), Ticket(1), answered);
     for ticket in 2..4 {
         admit(&mut dispatcher, ticket);
     }
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -346,13 +346,13 @@
             let is_cold = now < registration.warm_at;
             let cold_rate = cold_start.filter(|_| is_cold).map(|cold| cold.rate);
             // Keys go on to holders with room, sooner than requests wait for permits.
-            let named_rate = dispatcher.named_rate(hash).map(RequestRate::a_second);
+            let named_rate = dispatcher.advertised_rate(hash).map(RequestRate::a_second);
             let rates = cold_rate.into_iter().chain(named_rate);
             Candidate {
                 id: record.id.clone(),
                 standing: standing(directory, registration, cold_rate.is_some()),
                 capacity: rates.fold(capacity, f64::min),
-                heard: dispatcher.heard(hash),
+                heard: dispatcher.last_answer_at(hash),
             }
         })
         .collect();
@@ -371,7 +371,8 @@
         .filter(|one| one.standing == Standing::Ready)
         .collect();
     let count = ready.len();
-    let rests = |one: &&mut Candidate| dispatcher.rests_for_any(now, UpstreamHash::of(&one.id));
+    let rests =
+        |one: &&mut Candidate| dispatcher.rests_for_any_node(now, UpstreamHash::of(&one.id));
     let resting: Vec<&mut Candidate> = ready.into_iter().filter(rests).collect();
     if resting.len() * 2 > count {
         return;
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -5,9 +5,10 @@
 use crate::core::views::{Snapshot, ViewHeads, ViewName, ViewNotice, ViewRequest};
 use beamtray_catalog::{ClientLimits, RateWord, UpstreamId};
 use beamtray_dispatch::{
-    Admission, Answers, AttemptOutcome, DoubtedUpstream, Ending, Forward, KeyReport, LimitNotice,
-    LimitWord, LoadReport, LoadSum, PermitReply, PermitRequest, QuarantineNotice, RequestHead,
-    SlotReply, SlotRequest, Suspicion, Ticket, TrialReply, TrialReport, TrialRequest, UpstreamHash,
+    AdmissionError, AnswerStats, AttemptOutcome, ConcludedRequest, Forward, KeyReport, LoadReport,
+    LoadSum, PermitReply, PermitRequest, ProbeTarget, QuarantineEvent, RateLimitEvent,
+    RateLimitUpdate, RequestHead, SlotReply, SlotRequest, Suspicion, Ticket, TrialReply,
+    TrialReport, TrialRequest, UpstreamHash,
 };
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_sharding::{DoubtNotice, FenceNotice, GrantOrder, GrantReply, OwnedAgain, ShardKey};
@@ -127,7 +128,7 @@
     /// Requests under way everywhere, from a relay to the nodes of its zone.
     AllLoad(LoadSum),
     /// Answers of upstreams, passed on by a relay.
-    Answers(Vec<Answers>),
+    Answers(Vec<AnswerStats>),
     /// An upstream is gone: another one answered at its address.
     Gone(UpstreamId),
     /// To the granter: an upstream asked the node for rest.
@@ -155,7 +156,7 @@
     /// How such a trial ended.
     TrialReport(TrialReport),
     /// Rates that upstreams name, or have ceased to.
-    Limits(Vec<LimitWord>),
+    Limits(Vec<RateLimitUpdate>),
     /// Asks for permits to send requests to an upstream that names a rate.
     PermitRequest(PermitRequest),
     /// The lender's answer.
@@ -280,11 +281,11 @@
 /// What is to be done.
 pub enum Output {
     /// A request that can't be admitted.
-    Deny(Ticket, Admission),
+    Deny(Ticket, AdmissionError),
     /// Make an attempt.
     Forward(Ticket, Forward),
     /// Give the final answer.
-    Conclude(Ticket, Ending),
+    Conclude(Ticket, ConcludedRequest),
     /// Call the store.
     Store(StoreTask, StoreCall),
     /// Order something of an upstream; `epoch` is the term.
@@ -294,11 +295,11 @@
     /// Ask another node for its copies, and wait so long.
     Ask(SocketAddr, ViewRequest, Duration),
     /// Try to connect to an upstream, to see whether it still listens.
-    Probe(DoubtedUpstream),
+    Probe(ProbeTarget),
     /// What is known of requests that end upstreams changed.
-    Quarantine(QuarantineNotice),
+    Quarantine(QuarantineEvent),
     /// What is known of the rate that an upstream takes changed; its id, if it is registered.
-    RateLimit(Option<UpstreamId>, LimitNotice),
+    RateLimit(Option<UpstreamId>, RateLimitEvent),
     /// The store has begun another era.
     StoreEra {
         /// The era before; none if none was known.
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -22,7 +22,7 @@
 use beamtray_catalog::{DirectoryPolicy, UpstreamId};
 use beamtray_dialect::Dialect;
 use beamtray_dispatch::{
-    AttemptOutcome, Decision, DispatchConfig, Dispatcher, NodeHash, SumSource, Untouched,
+    AttemptOutcome, Decision, DispatchConfig, Dispatcher, NodeHash, NotExecuted, SumSource,
 };
 use beamtray_metastore::StoreEra;
 use beamtray_sharding::{GrantReply, StandbyId};
@@ -109,7 +109,7 @@
 /// A dispatcher that takes the allowance for shared before it knows any node.
 fn new_dispatcher(config: &CoreConfig) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(config.dispatch.clone());
-    dispatcher.set_nodes(UNKNOWN_NODES);
+    dispatcher.set_node_count(UNKNOWN_NODES);
     dispatcher
 }
 
@@ -168,12 +168,12 @@
                 rate,
             } => {
                 if let Some(word) = rate {
-                    self.dispatcher.rate_named(now, ticket, word);
+                    self.dispatcher.observe_rate(now, ticket, word);
                 }
-                if outcome == AttemptOutcome::Untouched(Untouched::Misdirected) {
+                if outcome == AttemptOutcome::NotExecuted(NotExecuted::Misdirected) {
                     self.fetch_from_granter(now);
                 }
-                if let Some(ending) = self.dispatcher.ended(now, ticket, outcome) {
+                if let Some(ending) = self.dispatcher.attempt_ended(now, ticket, outcome) {
                     self.outputs.push(Output::Conclude(ticket, ending));
                 }
             }
@@ -234,7 +234,8 @@
         match datagram {
             Datagram::Load(report) => self.take_load(now, report),
             Datagram::ZoneLoad(zone, sum) => {
-                self.dispatcher.take_sum(now, SumSource::Zone(*zone), sum);
+                self.dispatcher
+                    .apply_load_sum(now, SumSource::Zone(*zone), sum);
                 self.take_zone_word(now, from, datagram);
             }
             Datagram::AllLoad(sum) => self.take_all_load(now, from, sum),
@@ -248,13 +249,13 @@
             Datagram::Rest(notice) => self.take_rest_notice(now, notice),
             Datagram::Leaving(upstreams) => self.take_leaving(now, upstreams),
             Datagram::SlotRequest(request) => self.give_slot(now, from, request),
-            Datagram::SlotReply(reply) => self.dispatcher.slot_given(now, *reply),
+            Datagram::SlotReply(reply) => self.dispatcher.handle_slot_reply(now, *reply),
             Datagram::TrialRequest(request) => self.lend_trial(now, from, request),
             Datagram::TrialReply(reply) => self.trial_answered(now, reply),
             Datagram::TrialReport(report) => self.trial_reported(now, report),
             Datagram::Limits(words) => self.take_limits(now, words),
             Datagram::PermitRequest(request) => self.lend_permits(now, from, request),
-            Datagram::PermitReply(reply) => self.dispatcher.permits_lent(now, reply),
+            Datagram::PermitReply(reply) => self.dispatcher.handle_permit_reply(now, reply),
             Datagram::Suspicions(suspicions) => self.take_suspicions(now, suspicions),
             Datagram::Keys(report) => self.control.report(report),
             Datagram::StandbyWord(word) => self.standby.hear(now, word),
@@ -283,10 +284,10 @@
     /// Passes changed views on to where they are used.
     fn viewed(&mut self, now: Time) {
         if let Some(speeds) = self.views.speeds.take() {
-            self.dispatcher.adopt_speeds(&speeds);
+            self.dispatcher.restore_speeds(&speeds);
         }
         if let Some(record) = self.views.suspicions.take() {
-            self.dispatcher.quarantine_mut().adopt(now, &record);
+            self.dispatcher.quarantine_mut().merge_record(now, &record);
         }
         if self.views.take_nodes_changed() {
             self.choose_relays(now);
@@ -294,7 +295,8 @@
         }
         for service in self.views.take_assigned() {
             if let Some(assignment) = self.views.assignments.get(&service) {
-                self.dispatcher.assign(now, service, assignment.clone());
+                self.dispatcher
+                    .apply_assignment(now, service, assignment.clone());
             }
         }
         let notices = self.views.take_notices();
@@ -310,7 +312,7 @@
             self.outputs.push(Output::Limits(configuration.limits));
         }
         self.report_as_standby(now, true);
-        self.dispatcher.follow(now, &self.views.directory);
+        self.dispatcher.apply_directory(now, &self.views.directory);
         self.outputs.extend(notices.into_iter().map(Output::Notice));
     }
 
@@ -319,7 +321,7 @@
         let own = &self.config.control.record;
         let started = self.membership.registered(own, &self.views.nodes);
         self.tell_started(now, started);
-        self.dispatcher.set_nodes(self.node_count());
+        self.dispatcher.set_node_count(self.node_count());
         let members = self.views.nodes.keys().map(|name| NodeHash::of(name));
         self.dispatcher.set_members(now, members.collect());
     }
@@ -430,7 +432,7 @@
                 Decision::Conclude(ticket, ending) => {
                     self.outputs.push(Output::Conclude(ticket, ending));
                 }
-                Decision::Ask(request) => {
+                Decision::AskSlot(request) => {
                     let datagram = Datagram::SlotRequest(request);
                     let relay = relay.into_iter().collect();
                     self.outputs.push(Output::Send(datagram, relay));
@@ -475,7 +477,7 @@
     /// processor time, of which they have a tenth of a core.
     pub fn tick_pause(&self, now: Time) -> Duration {
         let timing = self.config.timing;
-        let (waiting, _) = self.dispatcher.counts();
+        let (waiting, _) = self.dispatcher.request_counts();
         let is_awaited = self.are_few()
             || waiting > 0
             || self.control.epoch().is_some()
--- a/crates/router/src/core/node/load.rs
+++ b/crates/router/src/core/node/load.rs
@@ -9,7 +9,7 @@
 use super::talk::bounded;
 use crate::core::membership::Audience;
 use crate::core::message::{Datagram, Output};
-use beamtray_dispatch::{Answers, LoadReport, LoadSum, SumSource, UpstreamHash};
+use beamtray_dispatch::{AnswerStats, LoadReport, LoadSum, SumSource, UpstreamHash};
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -219,7 +219,7 @@
 
     /// Takes a report of another node.
     pub(super) fn take_load(&mut self, now: Time, report: &LoadReport) {
-        self.dispatcher.report(now, report);
+        self.dispatcher.apply_load_report(now, report);
         if self.is_relay() || self.are_few() {
             self.note_answers(&report.answers);
         }
@@ -232,11 +232,12 @@
         let near = self.membership.count(Audience::Near);
         self.reports.sum_pause = sum_pause(near, sum.parts.into());
         if !self.is_relay() {
-            self.dispatcher.take_sum(now, SumSource::OwnRelay, sum);
+            self.dispatcher
+                .apply_load_sum(now, SumSource::OwnRelay, sum);
         }
     }
 
-    fn note_answers(&mut self, answers: &[Answers]) {
+    fn note_answers(&mut self, answers: &[AnswerStats]) {
         for answers in answers {
             let untold = self.reports.untold.entry(answers.upstream).or_default();
             untold.samples += u32::from(answers.samples);
@@ -262,8 +263,8 @@
     pub(super) fn tell_answers(&mut self, now: Time, audience: &[SocketAddr]) {
         self.reports.answers_at = now + self.config.timing.answers;
         let untold = self.reports.untold.drain();
-        let answers: Vec<Answers> = untold
-            .map(|(upstream, untold)| Answers {
+        let answers: Vec<AnswerStats> = untold
+            .map(|(upstream, untold)| AnswerStats {
                 upstream,
                 samples: untold.samples.min(u32::from(u8::MAX)) as u8,
                 sum: untold.sum,
@@ -278,8 +279,8 @@
 
     /// Takes answers that a relay passed on, and passes those of other zones on
     /// to the nodes of this one.
-    pub(super) fn take_answers(&mut self, now: Time, from: SocketAddr, answers: &[Answers]) {
-        self.dispatcher.take_others_answers(now, answers);
+    pub(super) fn take_answers(&mut self, now: Time, from: SocketAddr, answers: &[AnswerStats]) {
+        self.dispatcher.apply_answers(now, answers);
         if self.are_few() {
             self.pass_on_near(from, &Datagram::Answers(answers.to_vec()));
             return;
--- a/crates/router/src/core/node/quarantine.rs
+++ b/crates/router/src/core/node/quarantine.rs
@@ -106,7 +106,7 @@
             Liveness::Listens if upstream.born.is_some() => {}
             Liveness::Listens => {
                 let hash = UpstreamHash::of(upstream);
-                self.dispatcher.quarantine_mut().upstream_lives(hash);
+                self.dispatcher.quarantine_mut().upstream_alive(hash);
             }
             // Another proof may come, or the doubt passes.
             Liveness::Silent => {}
@@ -116,7 +116,9 @@
     /// Suspects the requests whose connections to an upstream broke off, since it ended.
     pub(super) fn upstream_ended(&mut self, now: Time, upstream: &UpstreamId) {
         let hash = UpstreamHash::of(upstream);
-        self.dispatcher.quarantine_mut().upstream_ended(now, hash);
+        self.dispatcher
+            .quarantine_mut()
+            .upstream_terminated(now, hash);
     }
 
     /// Takes restarts of upstreams under their names as proof that the incarnations before
@@ -131,21 +133,24 @@
 
     /// Asks for proof where connections broke off, and passes on what became known.
     pub(super) fn follow_quarantine(&mut self, now: Time) {
-        for doubted in self.dispatcher.take_doubted() {
+        for doubted in self.dispatcher.take_probe_targets() {
             self.outputs.push(Output::Probe(doubted));
         }
         self.pass_on_news(now);
-        let found = self.dispatcher.quarantine_mut().take_untold();
+        let found = self.dispatcher.quarantine_mut().take_local_suspicions();
         if !found.is_empty() {
             self.suspicion_news.hurry(now);
         }
         for suspicion in found {
-            let known = self.dispatcher.quarantine().known_of(suspicion.fingerprint);
+            let known = self
+                .dispatcher
+                .quarantine()
+                .suspicions_of(suspicion.fingerprint);
             let is_urgent = known.len() >= URGENT_FROM;
             let audience = NewsAudience::Collectors;
             self.suspicion_news.add(suspicion, audience, is_urgent);
         }
-        let notices = self.dispatcher.quarantine_mut().take_notices();
+        let notices = self.dispatcher.quarantine_mut().take_events();
         let notices = notices.into_iter().map(Output::Quarantine);
         self.outputs.extend(notices);
     }
@@ -153,12 +158,15 @@
     /// A relay tells its zone of all that is news to it, of the first end as well: a node
     /// that has not heard of that would send such a request without a permit.
     fn pass_on_news(&mut self, now: Time) {
-        let news = self.dispatcher.quarantine_mut().take_news();
+        let news = self.dispatcher.quarantine_mut().take_new_suspicions();
         if news.is_empty() || self.are_few() || !self.is_relay() {
             return;
         }
         for suspicion in news {
-            let known = self.dispatcher.quarantine().known_of(suspicion.fingerprint);
+            let known = self
+                .dispatcher
+                .quarantine()
+                .suspicions_of(suspicion.fingerprint);
             let is_urgent = known.len() >= URGENT_FROM;
             let audience = NewsAudience::Zone;
             self.suspicion_news.add(suspicion, audience, is_urgent);
@@ -170,7 +178,7 @@
     pub(super) fn take_suspicions(&mut self, now: Time, suspicions: &[Suspicion]) {
         let quarantine = self.dispatcher.quarantine_mut();
         for suspicion in suspicions {
-            quarantine.learn(now, *suspicion);
+            quarantine.merge(now, *suspicion);
         }
     }
 
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -8,7 +8,7 @@
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{LimitWord, PermitRequest, UpstreamHash};
+use beamtray_dispatch::{PermitRequest, RateLimitUpdate, UpstreamHash};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 impl NodeCore {
     /// Passes on what became known of rates.
     pub(super) fn follow_rate_limits(&mut self, now: Time) {
-        for notice in self.dispatcher.take_limit_notices() {
+        for notice in self.dispatcher.take_rate_limit_events() {
             let id = self.registered_as(notice.upstream());
             self.outputs.push(Output::RateLimit(id, notice));
         }
         if now < self.limits_told_at {
             return;
         }
-        let words = self.dispatcher.take_untold_limits(now);
+        let words = self.dispatcher.take_rate_limit_updates(now);
         if words.is_empty() {
             return;
         }
@@ -42,7 +42,7 @@
         ids.find(|id| UpstreamHash::of(id) == upstream).cloned()
     }
 
-    fn tell_limits(&mut self, words: &[LimitWord], audience: &[SocketAddr]) {
+    fn tell_limits(&mut self, words: &[RateLimitUpdate], audience: &[SocketAddr]) {
         if audience.is_empty() {
             return;
         }
@@ -59,17 +59,17 @@
             let is_relay = self.is_relay();
             started.retain(|address| is_relay && self.membership.is_near(address));
         }
-        let words = self.dispatcher.limit_words(now);
+        let words = self.dispatcher.rate_limit_updates(now);
         self.tell_limits(&words, &started);
         self.tell_started_of_leaving(&started);
     }
 
     /// Takes other nodes' words; as a relay of many, passes on what was news.
-    pub(super) fn take_limits(&mut self, now: Time, words: &[LimitWord]) {
+    pub(super) fn take_limits(&mut self, now: Time, words: &[RateLimitUpdate]) {
         let mut news = Vec::new();
         for word in words {
-            if self.dispatcher.limit_told(now, word) {
-                news.extend(self.dispatcher.limit_word(now, word.upstream));
+            if self.dispatcher.apply_rate_limit_update(now, word) {
+                news.extend(self.dispatcher.rate_limit_update(now, word.upstream));
             }
         }
         let audience = self.passed_on_to();
--- a/crates/router/src/core/node/rests.rs
+++ b/crates/router/src/core/node/rests.rs
@@ -13,7 +13,7 @@
 impl NodeCore {
     /// Takes an upstream's wish for rest, and tells the granter.
     pub(super) fn asked_to_rest(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
-        self.dispatcher.asked_to_rest(now, upstream, rest);
+        self.dispatcher.begin_rest(now, upstream, rest);
         if rest < LEAST_REST_TOLD {
             return;
         }
@@ -34,6 +34,6 @@
     pub(super) fn take_rest_notice(&mut self, now: Time, notice: &RestNotice) {
         let rest = Duration::from_millis(notice.rest_ms.into());
         self.dispatcher
-            .asked_any_to_rest(now, notice.upstream, rest);
+            .note_rest_elsewhere(now, notice.upstream, rest);
     }
 }
--- a/crates/router/src/core/node/slots.rs
+++ b/crates/router/src/core/node/slots.rs
@@ -22,7 +22,7 @@
     pub(super) fn give_slot(&mut self, now: Time, from: SocketAddr, request: &SlotRequest) {
         self.take_load(now, &request.report);
         let directory = &self.views.directory;
-        let reply = self.dispatcher.give_slot(now, directory, request);
+        let reply = self.dispatcher.allocate_slot(now, directory, request);
         let datagram = Datagram::SlotReply(reply);
         self.outputs.push(Output::Send(datagram, vec![from]));
     }
--- a/crates/router/src/core/node/trials.rs
+++ b/crates/router/src/core/node/trials.rs
@@ -18,7 +18,7 @@
         match self.lender_besides(request.fingerprint) {
             Some(lender) => self.send_to(Datagram::TrialRequest(request), lender),
             None => {
-                let reply = self.dispatcher.quarantine_mut().lend(now, &request);
+                let reply = self.dispatcher.quarantine_mut().lend_permit(now, &request);
                 self.trial_answered(now, &reply);
                 if reply.is_lent {
                     self.dispatch(now);
@@ -29,19 +29,21 @@
 
     /// As the lender: answers a question.
     pub(super) fn lend_trial(&mut self, now: Time, from: SocketAddr, request: &TrialRequest) {
-        let reply = self.dispatcher.quarantine_mut().lend(now, request);
+        let reply = self.dispatcher.quarantine_mut().lend_permit(now, request);
         self.send_to(Datagram::TrialReply(reply), from);
     }
 
     /// Takes the lender's answer.
     pub(super) fn trial_answered(&mut self, now: Time, reply: &TrialReply) {
-        self.dispatcher.quarantine_mut().trial_answered(now, reply);
+        self.dispatcher
+            .quarantine_mut()
+            .handle_trial_reply(now, reply);
     }
 
     /// As the lender: takes the outcome of a trial.
     pub(super) fn trial_reported(&mut self, now: Time, report: &TrialReport) {
         let quarantine = self.dispatcher.quarantine_mut();
-        quarantine.take_trial_report(now, report);
+        quarantine.handle_trial_report(now, report);
     }
 
     /// Tells the lenders how trials ended.
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -3,7 +3,7 @@
 use super::NodeSettings;
 use crate::core::{ControlConfig, CoreConfig, GRANT_TIMEOUT, NodeRecord, Timing};
 use beamtray_catalog::DirectoryPolicy;
-use beamtray_dispatch::{BudgetConfig, ColdStartBound, DispatchConfig};
+use beamtray_dispatch::{ColdStartBound, DispatchConfig, RetryBudgetConfig};
 use beamtray_metastore::LeaseTiming;
 use beamtray_sharding::{BalanceLimits, GranterGuards, GranterTiming};
 use std::time::Duration;
@@ -87,23 +87,23 @@
             node: self.node.clone(),
             run,
             zone: self.zone.as_str().into(),
-            budget: BudgetConfig {
+            budget: RetryBudgetConfig {
                 ratio: self.bounds.retry_ratio,
                 allowance: self.bounds.retry_allowance,
                 window: Duration::from_secs_f64(self.bounds.retry_window_s),
             },
             queue_limit: 2_000,
-            most_queued: 6,
+            max_queued: 6,
             zone_cost: Duration::from_millis(80),
-            leaver_grace: drain / 2,
+            drain_grace: drain / 2,
             cold_start: ColdStartBound {
                 overage: self.bounds.cold_overage,
                 slack: self.bounds.cold_slack,
             },
             evacuation_grace: Duration::from_millis(self.bounds.evacuate_ms) / 2,
-            keeps_named_rates: true,
-            keeps_rests: true,
-            proves_before_repeat: true,
+            honors_rate_limits: true,
+            honors_rests: true,
+            requires_proof_before_retry: true,
         }
     }
 
--- a/crates/router/src/shell/answer.rs
+++ b/crates/router/src/shell/answer.rs
@@ -1,7 +1,7 @@
 //! Answers of the router's own, and which headers go through.
 
 use crate::shell::handle::AnswerBody;
-use beamtray_dispatch::{Admission, Conclusion, UnknownCause};
+use beamtray_dispatch::{AdmissionError, Conclusion, UnknownCause};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{
@@ -62,11 +62,11 @@
 }
 
 /// The answer to a request that is not admitted.
-pub(crate) fn denial(admission: Admission) -> Response<AnswerBody> {
+pub(crate) fn denial(admission: AdmissionError) -> Response<AnswerBody> {
     match admission {
-        Admission::NoConfiguration | Admission::Overloaded => refusal(START_RETRY_AFTER),
-        Admission::NoRoute => own(StatusCode::NOT_FOUND),
-        Admission::NoKey => own(StatusCode::BAD_REQUEST),
+        AdmissionError::NoConfiguration | AdmissionError::Overloaded => refusal(START_RETRY_AFTER),
+        AdmissionError::NoRoute => own(StatusCode::NOT_FOUND),
+        AdmissionError::NoKey => own(StatusCode::BAD_REQUEST),
     }
 }
 
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -5,7 +5,7 @@
 use crate::shell::connections::{Answer, CallFailure, CallProgress};
 use crate::shell::handle::{AnswerBody, Shared, Step};
 use beamtray_catalog::{LeaveWord, RateWord, RestWord};
-use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, Ticket, UnknownCause, Untouched};
+use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, NotExecuted, Ticket, UnknownCause};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -82,7 +82,7 @@
             }
             Result::failed(AttemptOutcome::Unknown(UnknownCause::TimedOut))
         }
-        None => Result::failed(AttemptOutcome::Untouched(Untouched::Unconnected)),
+        None => Result::failed(AttemptOutcome::NotExecuted(NotExecuted::Unconnected)),
     };
     let took = shared.now().since(sent);
     shared
@@ -124,7 +124,7 @@
     progress: &CallProgress,
 ) -> Result {
     let Some(outgoing) = outgoing(shared, forward, request) else {
-        return Result::failed(AttemptOutcome::Untouched(Untouched::Unsent));
+        return Result::failed(AttemptOutcome::NotExecuted(NotExecuted::Unsent));
     };
     let call = shared.connections.call(forward.address, outgoing, progress);
     match call.await {
@@ -135,9 +135,9 @@
                 shared.connections.forget(forward.address);
                 AttemptOutcome::Unknown(UnknownCause::BrokenOff)
             }
-            CallFailure::Unconnected => AttemptOutcome::Untouched(Untouched::Unconnected),
-            CallFailure::Refused => AttemptOutcome::Untouched(Untouched::ConnectionRefused),
-            CallFailure::Unsent => AttemptOutcome::Untouched(Untouched::Unsent),
+            CallFailure::Unconnected => AttemptOutcome::NotExecuted(NotExecuted::Unconnected),
+            CallFailure::Refused => AttemptOutcome::NotExecuted(NotExecuted::ConnectionRefused),
+            CallFailure::Unsent => AttemptOutcome::NotExecuted(NotExecuted::Unsent),
         }),
     }
 }
@@ -178,12 +178,12 @@
         let answering = text(names.answering_upstream);
         let replaced = answering.is_some_and(|name| name != forward.upstream.name.0);
         let proof = match status {
-            StatusCode::MISDIRECTED_REQUEST => Untouched::Misdirected,
-            _ => Untouched::Full,
+            StatusCode::MISDIRECTED_REQUEST => NotExecuted::Misdirected,
+            _ => NotExecuted::Full,
         };
         shared.connections.keep(answer);
         return Result {
-            outcome: AttemptOutcome::Untouched(proof),
+            outcome: AttemptOutcome::NotExecuted(proof),
             response: None,
             replaced,
             // Another upstream speaks of itself.
--- a/crates/router/src/shell/clients.rs
+++ b/crates/router/src/shell/clients.rs
@@ -135,7 +135,7 @@
         Some(text) => Some(ShardKey(text.parse().map_err(|_| StatusCode::BAD_REQUEST)?)),
         None => None,
     };
-    let patience = text(names.deadline_ms)
+    let client_timeout = text(names.deadline_ms)
         .and_then(|text| text.parse::<f64>().ok())
         .filter(|millis| *millis >= 0.0)
         .map(|millis| Duration::from_secs_f64(millis.min(1e9) / 1_000.0));
@@ -143,7 +143,7 @@
         id: text(names.request_id).unwrap_or_default().to_owned(),
         host: host.unwrap_or_default().to_owned(),
         path: uri.path().to_owned(),
-        patience,
+        client_timeout,
         key,
         // Known once the body is.
         fingerprints: Fingerprints::default(),
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -8,7 +8,7 @@
 use beamtray_catalog::ClientLimits;
 use beamtray_clock::BootClock;
 use beamtray_dialect::Dialect;
-use beamtray_dispatch::{Admission, Ending, Forward, Ticket};
+use beamtray_dispatch::{AdmissionError, ConcludedRequest, Forward, Ticket};
 use beamtray_metastore::StoreEra;
 use beamtray_types::Time;
 use bytes::Bytes;
@@ -29,11 +29,11 @@
 /// What the task of one client request is told.
 pub(crate) enum Step {
     /// It can't be admitted.
-    Deny(Admission),
+    Deny(AdmissionError),
     /// Make an attempt.
     Forward(Forward),
     /// Give the final answer.
-    Conclude(Box<Ending>),
+    Conclude(Box<ConcludedRequest>),
     /// An upstream's answer.
     Answer(Box<Response<AnswerBody>>),
 }
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -317,7 +317,7 @@
     /// Takes the gauges from the core.
     pub fn observe(&self, now: Time, core: &NodeCore) {
         let (views, control, dispatcher) = core.inspect();
-        let (waiting, under_way) = dispatcher.counts();
+        let (waiting, under_way) = dispatcher.request_counts();
         self.waiting.set(waiting as i64);
         self.under_way.set(under_way as i64);
         self.slots_in_use.clear();
@@ -347,7 +347,7 @@
             self.suspects.get_or_create(&label).set(count as i64);
         }
         self.limited_upstreams
-            .set(dispatcher.limited_count() as i64);
+            .set(dispatcher.rate_limited_count() as i64);
         self.resting_upstreams
             .set(dispatcher.resting_count(now) as i64);
         let permits = dispatcher.permit_counts();
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -14,8 +14,8 @@
 use crate::shell::rate::{LineKind, LineRate};
 use beamtray_catalog::{DirectoryChange, UpstreamId};
 use beamtray_dispatch::{
-    Admission, AssignmentNumber, AttemptOutcome, Conclusion, Ending, Fingerprints, Forward,
-    RefusalReason, UnknownCause,
+    AdmissionError, AssignmentNumber, AttemptOutcome, ConcludedRequest, Conclusion, Fingerprints,
+    Forward, RefusalReason, UnknownCause,
 };
 use beamtray_metastore::{StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantReply, OrderKind, ShardKey};
@@ -347,7 +347,7 @@
     }
 
     /// A request is not admitted.
-    pub fn denied(&self, id: &str, admission: Admission) {
+    pub fn denied(&self, id: &str, admission: AdmissionError) {
         let labels = RequestLabels {
             route: String::new(),
             outcome: format!("denied {admission:?}"),
@@ -359,7 +359,7 @@
     }
 
     /// A request got its final answer without one of an upstream.
-    pub fn concluded(&self, id: &str, fingerprints: Fingerprints, ending: &Ending) {
+    pub fn concluded(&self, id: &str, fingerprints: Fingerprints, ending: &ConcludedRequest) {
         let (outcome, reason, retry_after) = match ending.conclusion {
             Conclusion::Refused {
                 reason,
@@ -395,7 +395,7 @@
             left_out);
     }
 
-    fn refused(&self, ending: &Ending, reason: RefusalReason) {
+    fn refused(&self, ending: &ConcludedRequest, reason: RefusalReason) {
         let labels = RefusalLabels {
             route: ending.route.clone(),
             reason: format!("{reason:?}"),
--- a/crates/router/src/shell/observer/names.rs
+++ b/crates/router/src/shell/observer/names.rs
@@ -1,7 +1,7 @@
 //! Names of outcomes, in lines and labels.
 
 use crate::core::StoreTask;
-use beamtray_dispatch::{AttemptOutcome, UnknownCause, Untouched};
+use beamtray_dispatch::{AttemptOutcome, NotExecuted, UnknownCause};
 use beamtray_metastore::StoreOutcome;
 use beamtray_sharding::{GrantReply, LossCause};
 
@@ -56,12 +56,12 @@
     match outcome {
         AttemptOutcome::Answered { success: true } => "answered",
         AttemptOutcome::Answered { success: false } => "answered_failure",
-        AttemptOutcome::Untouched(proof) => match proof {
-            Untouched::Unconnected => "unconnected",
-            Untouched::ConnectionRefused => "connection_refused",
-            Untouched::Unsent => "unsent",
-            Untouched::Full => "full",
-            Untouched::Misdirected => "misdirected",
+        AttemptOutcome::NotExecuted(proof) => match proof {
+            NotExecuted::Unconnected => "unconnected",
+            NotExecuted::ConnectionRefused => "connection_refused",
+            NotExecuted::Unsent => "unsent",
+            NotExecuted::Full => "full",
+            NotExecuted::Misdirected => "misdirected",
         },
         AttemptOutcome::Unknown(cause) => match cause {
             UnknownCause::BrokenOff => "broken_off",
--- a/crates/router/src/shell/observer/quarantine.rs
+++ b/crates/router/src/shell/observer/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::shell::metrics::TrialLabel;
 use crate::shell::rate::LineKind;
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{QuarantineNotice, TrialOutcome, UpstreamHash};
+use beamtray_dispatch::{QuarantineEvent, TrialOutcome, UpstreamHash};
 use slog::{info, warn};
 use std::time::Duration;
 
@@ -25,8 +25,8 @@
     }
 
     /// What is known of requests that end upstreams changed.
-    pub fn quarantine(&self, notice: QuarantineNotice) {
-        if let QuarantineNotice::Tried { outcome, .. } = notice {
+    pub fn quarantine(&self, notice: QuarantineEvent) {
+        if let QuarantineEvent::TrialEnded { outcome, .. } = notice {
             let label = TrialLabel {
                 outcome: trial_outcome(outcome),
             };
@@ -34,7 +34,7 @@
         }
         // A request that is kept off is the one to look for.
         let kind = match notice {
-            QuarantineNotice::KeptOff { .. } => LineKind::Failure,
+            QuarantineEvent::Quarantined { .. } => LineKind::Failure,
             _ => LineKind::Suspicion,
         };
         let Some(left_out) = self.admit(kind) else {
@@ -42,7 +42,7 @@
         };
         let log = &self.log;
         match notice {
-            QuarantineNotice::Suspected {
+            QuarantineEvent::Suspected {
                 fingerprint,
                 upstream,
                 ended,
@@ -51,7 +51,7 @@
                 info!(log, "request_suspected"; "fingerprint" => %fingerprint,
                     "short" => upstream.0, "ended" => ended, "is_trial" => is_trial, left_out);
             }
-            QuarantineNotice::KeptOff {
+            QuarantineEvent::Quarantined {
                 fingerprint,
                 ended,
                 lasts,
@@ -59,14 +59,14 @@
                 warn!(log, "request_kept_off"; "fingerprint" => %fingerprint,
                     "ended" => ended, "for_s" => lasts.as_secs(), left_out);
             }
-            QuarantineNotice::Tried {
+            QuarantineEvent::TrialEnded {
                 fingerprint,
                 outcome,
             } => {
                 info!(log, "request_tried"; "fingerprint" => %fingerprint,
                     "outcome" => trial_outcome(outcome), left_out);
             }
-            QuarantineNotice::Cleared { fingerprint } => {
+            QuarantineEvent::Cleared { fingerprint } => {
                 info!(log, "request_cleared"; "fingerprint" => %fingerprint, left_out);
             }
         }
@@ -77,7 +77,7 @@
     match outcome {
         TrialOutcome::Answered => "answered",
         TrialOutcome::Unused => "unused",
-        TrialOutcome::Ended => "ended",
+        TrialOutcome::UpstreamTerminated => "ended",
         TrialOutcome::Unknown => "unknown",
     }
 }
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -3,11 +3,11 @@
 use super::Observer;
 use crate::shell::rate::LineKind;
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{LimitFacts, LimitNotice};
+use beamtray_dispatch::{RateLimitEvent, RateLimitState};
 use slog::{Record, info, warn};
 
 /// The rate that a request was refused for.
-pub(super) struct LimitFields(pub Option<LimitFacts>);
+pub(super) struct LimitFields(pub Option<RateLimitState>);
 
 impl slog::KV for LimitFields {
     fn serialize(&self, _: &Record, serializer: &mut dyn slog::Serializer) -> slog::Result {
@@ -25,7 +25,7 @@
 impl Observer {
     /// What is known of an upstream's rate changed. `short` is the upstream's name in what
     /// nodes tell each other, and in the lines of requests that were refused for its rate.
-    pub fn rate_limit(&self, upstream: Option<&UpstreamId>, notice: LimitNotice) {
+    pub fn rate_limit(&self, upstream: Option<&UpstreamId>, notice: RateLimitEvent) {
         let Some(left_out) = self.admit(LineKind::Limit) else {
             return;
         };
@@ -33,21 +33,21 @@
         let short = notice.upstream().0;
         let name = upstream.map_or("-", |upstream| upstream.name.0.as_str());
         match notice {
-            LimitNotice::Limited { rate, is_own, .. } => {
+            RateLimitEvent::Limited { rate, is_local, .. } => {
                 info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.a_second(),
-                    "heard_from" => heard_from(is_own), left_out);
+                    "heard_from" => heard_from(is_local), left_out);
             }
-            LimitNotice::Ended { is_own, .. } => {
+            RateLimitEvent::Ended { is_local, .. } => {
                 info!(log, "rate_limit_ended"; "upstream" => name, "short" => short,
-                    "heard_from" => heard_from(is_own), left_out);
+                    "heard_from" => heard_from(is_local), left_out);
             }
-            LimitNotice::Unreadable { .. } => {
+            RateLimitEvent::Unreadable { .. } => {
                 warn!(log, "rate_unreadable"; "upstream" => name, "short" => short, left_out);
             }
         }
     }
 }
 
-fn heard_from(is_own: bool) -> &'static str {
-    if is_own { "answer" } else { "node" }
+fn heard_from(is_local: bool) -> &'static str {
+    if is_local { "answer" } else { "node" }
 }
--- a/crates/router/src/shell/probe.rs
+++ b/crates/router/src/shell/probe.rs
@@ -3,7 +3,7 @@
 use crate::core::{Input, Liveness};
 use crate::shell::connections::CONNECT_TIMEOUT;
 use crate::shell::handle::Shared;
-use beamtray_dispatch::DoubtedUpstream;
+use beamtray_dispatch::ProbeTarget;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 
 /// Tries to connect to an upstream and tells the core what that showed. Nothing is sent: a
 /// request would take one of its slots.
-pub(crate) fn listens(shared: &Rc<Shared>, doubted: DoubtedUpstream) {
+pub(crate) fn listens(shared: &Rc<Shared>, doubted: ProbeTarget) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
         let mut liveness = Liveness::Silent;
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -3,7 +3,7 @@
 use beamtray_catalog::{Birth, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
 use beamtray_dispatch::{
-    AttemptOutcome, Fingerprint, Fingerprints, QuarantineNotice, RequestHead, Ticket, UnknownCause,
+    AttemptOutcome, Fingerprint, Fingerprints, QuarantineEvent, RequestHead, Ticket, UnknownCause,
     UpstreamHash,
 };
 use beamtray_metastore::{Item, Revision};
@@ -91,7 +91,7 @@
             id: "id".to_owned(),
             host: route.host.clone(),
             path: format!("{}1", route.path_prefix),
-            patience: Some(Duration::from_secs(1)),
+            client_timeout: Some(Duration::from_secs(1)),
             key: None,
             fingerprints: Fingerprints {
                 content: SUSPECT,
@@ -124,7 +124,7 @@
 /// Upstreams under whose ends the request is suspected by these outputs.
 fn suspected(outputs: &[Output]) -> Vec<UpstreamHash> {
     let suspected = outputs.iter().filter_map(|output| match output {
-        Output::Quarantine(QuarantineNotice::Suspected {
+        Output::Quarantine(QuarantineEvent::Suspected {
             fingerprint,
             upstream,
             ..
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -47,7 +47,7 @@
     assert!(STANDBY_SPAN >= lease + Duration::from_secs(9));
     assert!(grants.hold > lease && grants.renewal * 3 < grants.hold);
     // A leaver is let alone before the drain time is over.
-    assert!(core.dispatch.leaver_grace < Duration::from_millis(2_000));
+    assert!(core.dispatch.drain_grace < Duration::from_millis(2_000));
     // Doubt about a missing registration ends before a node that was cut off
     // counts as connected.
     let noticed = Duration::from_millis(900);
@@ -108,7 +108,7 @@
     let settings = NodeSettings::parse("file", VALID).expect("valid");
     let core = settings.core_config(1);
     let drain = Duration::from_millis(settings.bounds.drain_ms);
-    assert!(core.dispatch.leaver_grace <= drain / 2);
+    assert!(core.dispatch.drain_grace <= drain / 2);
 }
 
 /// A relay sends its zone copies of a hundred kilobytes and more: with a narrow link it
--- a/crates/routersim/src/world/clients.rs
+++ b/crates/routersim/src/world/clients.rs
@@ -37,7 +37,7 @@
         host: HOST.to_owned(),
         fingerprints: Fingerprints::of(&content, caller),
         path,
-        patience: Some(PATIENCE),
+        client_timeout: Some(PATIENCE),
         key,
     }
 }
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -5,7 +5,7 @@
 use crate::check::Sender;
 use crate::check::{COLD_OVERAGE, COLD_SLACK, DRAIN_TIME, EVACUATION_TIME};
 use crate::guard::Guard;
-use beamtray_dispatch::{Admission, Conclusion, RefusalReason};
+use beamtray_dispatch::{AdmissionError, Conclusion, RefusalReason};
 use beamtray_router::core::{
     CoreConfig, Datagram, GRANT_TIMEOUT, Input, NodeCore, OrderTask, Output,
 };
@@ -112,10 +112,10 @@
 /// The core's configuration, with a protection switched off or none.
 pub(crate) fn core_config(node: usize, run: Run, off: Option<Guard>) -> CoreConfig {
     let mut config = settings(node).core_config(run);
-    config.dispatch.keeps_named_rates = off != Some(Guard::NamedRates);
-    config.dispatch.keeps_rests = off != Some(Guard::Rests);
+    config.dispatch.honors_rate_limits = off != Some(Guard::NamedRates);
+    config.dispatch.honors_rests = off != Some(Guard::Rests);
     config.hears_leaving = off != Some(Guard::LeavingWords);
-    config.dispatch.proves_before_repeat = off != Some(Guard::ProofBeforeRepeat);
+    config.dispatch.requires_proof_before_retry = off != Some(Guard::ProofBeforeRepeat);
     config.tells_suspicions = off != Some(Guard::SuspicionsTold);
     config.control.keeps_suspicions = off != Some(Guard::SuspicionsKept);
     config.control.grants.guards = GranterGuards {
@@ -263,7 +263,7 @@
             Output::Deny(ticket, admission) => {
                 let refused = matches!(
                     admission,
-                    Admission::NoConfiguration | Admission::Overloaded
+                    AdmissionError::NoConfiguration | AdmissionError::Overloaded
                 );
                 self.concluded(node, run, ticket, refused);
             }
--- a/crates/routersim/src/world/poison.rs
+++ b/crates/routersim/src/world/poison.rs
@@ -5,7 +5,7 @@
 use super::upstreams::{CONNECT_TIMEOUT, index_of};
 use super::{Asked, CONTACT, ORDER, READ, World};
 use crate::fault::Trouble;
-use beamtray_dispatch::{DoubtedUpstream, Ticket};
+use beamtray_dispatch::{ProbeTarget, Ticket};
 use beamtray_router::core::{Input, Liveness};
 use beamtray_sharding::ShardKey;
 use rand::RngExt;
@@ -89,7 +89,7 @@
     }
 
     /// A node tries to connect to an upstream.
-    pub(super) fn probe(&mut self, node: usize, run: Run, doubted: DoubtedUpstream) {
+    pub(super) fn probe(&mut self, node: usize, run: Run, doubted: ProbeTarget) {
         let Some(index) = index_of(doubted.address) else {
             return;
         };
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -7,7 +7,7 @@
 use crate::check::Sender;
 use crate::fault::CutFrom;
 use beamtray_catalog::{Birth, RateWord, RequestRate, UpstreamId, UpstreamState as Announced};
-use beamtray_dispatch::{AttemptOutcome, Forward, Ticket, UnknownCause, Untouched};
+use beamtray_dispatch::{AttemptOutcome, Forward, NotExecuted, Ticket, UnknownCause};
 use beamtray_emulator::{
     Arrival, FullPolicy, Run as WorkRun, RunId, UpstreamConfig, UpstreamEmulator, WorkRequest,
 };
@@ -31,7 +31,7 @@
 pub(super) const MISSED: u32 = 3;
 
 /// How an attempt ends that an upstream turns away.
-const TURNED_AWAY: AttemptOutcome = AttemptOutcome::Untouched(Untouched::Full);
+const TURNED_AWAY: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
 /// An attempt that an upstream has taken.
 #[derive(Clone, Debug)]
@@ -374,14 +374,14 @@
         };
         if self.upstreams[index].is_none() {
             let (after, proof) = if self.upstream_state[index].dark {
-                (CONNECT_TIMEOUT, Untouched::Unconnected)
+                (CONNECT_TIMEOUT, NotExecuted::Unconnected)
             } else {
-                (Duration::from_millis(1), Untouched::ConnectionRefused)
+                (Duration::from_millis(1), NotExecuted::ConnectionRefused)
             };
-            return self.end_attempt(after, &taken, AttemptOutcome::Untouched(proof));
+            return self.end_attempt(after, &taken, AttemptOutcome::NotExecuted(proof));
         }
         if !self.reaches(node, index) {
-            let outcome = AttemptOutcome::Untouched(Untouched::Unconnected);
+            let outcome = AttemptOutcome::NotExecuted(NotExecuted::Unconnected);
             return self.end_attempt(CONNECT_TIMEOUT, &taken, outcome);
         }
         if self.now < self.upstream_state[index].cold_until {
@@ -453,7 +453,7 @@
                 self.answer_attempt(soon, index, &taken, TURNED_AWAY);
             }
             Arrival::Misdirected => {
-                let outcome = AttemptOutcome::Untouched(Untouched::Misdirected);
+                let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.answer_attempt(soon, index, &taken, outcome);
             }
             Arrival::Hangs => {}
@@ -509,7 +509,7 @@
         }
         for request in refused {
             if let Some(taken) = self.untake(index, &request.id) {
-                let outcome = AttemptOutcome::Untouched(Untouched::Misdirected);
+                let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.end_reached(index, &taken, outcome);
             }
         }
