--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! The requests of one node and what is decided about them.
 
-mod absences;
 mod choice;
 mod cold_starts;
 mod decide;
-mod faults;
+mod failures;
 mod limits;
 mod outcome;
 mod pools;
 mod reports;
 mod resting;
 mod slots;
+mod unheld_keys;
 
 use crate::budget::{RetryBudget, RetryBudgetConfig};
 use crate::fingerprint::{Fingerprint, Fingerprints};
@@ -21,14 +21,13 @@
 use crate::request::{AdmissionError, AssignmentNumber, RequestHead, Ticket, UnknownCause};
 use crate::rests::Rests;
 use crate::speed::SpeedTable;
-use absences::Absences;
 use beamtray_catalog::{ColdStart, UpstreamState, WeightedBackend};
 use beamtray_catalog::{Configuration, Directory, Route, RouteTable, UpstreamId};
 use beamtray_sharding::{Assignment, ShardKey};
 use beamtray_types::{ServiceName, Time, Zone};
 pub use cold_starts::ColdStartBound;
 use cold_starts::ColdStarts;
-use faults::Faults;
+use failures::FailurePenalties;
 use pools::Pools;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -38,6 +37,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use unheld_keys::UnheldKeys;
 
 /// Fixed values of a dispatcher.
 #[derive(Clone, Debug)]
@@ -76,12 +76,12 @@
 }
 
 /// Part of a route's target latency that a request may wait here.
-const WAIT_SHARE: u32 = 5;
+const WAIT_DIVISOR: u32 = 5;
 /// A client that waits less than this part of the longest wait seen on its
 /// route has been here before.
-const RETURNED_SHARE: f64 = 0.93;
+const CLIENT_RETRY_RATIO: f64 = 0.93;
 /// Time kept back from a deadline for the answer's way.
-const ANSWER_MARGIN: Duration = Duration::from_millis(15);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 #[derive(Clone, Debug)]
 struct Attempt {
     upstream: UpstreamId,
@@ -92,7 +92,7 @@
     rounds: f64,
     /// Whether the upstream was warm then.
     is_warm: bool,
-    run: AttemptHash,
+    id: AttemptHash,
     /// The fingerprint of whose permit it was sent, if it needed one.
     permit: Option<Fingerprint>,
 }
@@ -115,18 +115,18 @@
     attempt: Option<Attempt>,
     unknown: Option<UnknownCause>,
     /// Whether its client seems to have been refused before.
-    returned: bool,
+    is_client_retry: bool,
     /// The holder that denied the key, and the assignment that named it.
     denied: Option<Denial>,
     /// Whose rate it last waited for.
-    limited_by: Option<LimitWait>,
+    limited_by: Option<PermitWait>,
     /// When the upstreams that could take it have rested, the first of them.
     rests_until: Option<Time>,
 }
 
 /// A request waits for a permit to be sent to an upstream that names a rate.
 #[derive(Clone, Copy, Debug)]
-struct LimitWait {
+struct PermitWait {
     upstream: UpstreamHash,
     /// When there may be one; none while a lender's answer is waited for.
     until: Option<Time>,
@@ -148,7 +148,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Shares {
+struct BackendCredits {
     version: u64,
     credit: Vec<i64>,
 }
@@ -172,36 +172,36 @@
     cold_rates: HashMap<ServiceName, ColdStart>,
     cold_starts: ColdStarts,
     assignments: BTreeMap<ServiceName, Rc<Assignment>>,
-    absences: Absences,
+    unheld_keys: UnheldKeys,
     requests: HashMap<Ticket, Request>,
     waiting: Vec<Ticket>,
-    shares: HashMap<String, Shares>,
+    backend_credits: HashMap<String, BackendCredits>,
     /// Longest time that clients of each route begin with.
-    patience: HashMap<String, Duration>,
+    max_client_timeouts: HashMap<String, Duration>,
     version: u64,
     budgets: HashMap<ServiceName, RetryBudget>,
     health: HashMap<UpstreamHash, Health>,
     pools: Pools,
     /// State of the directory that was followed last.
-    followed: Option<u64>,
+    directory_changes: Option<u64>,
     draining_since: HashMap<UpstreamId, Time>,
     occupancy: Occupancy,
     slots: SlotTracker,
-    faults: Faults,
+    failures: FailurePenalties,
     speeds: SpeedTable,
     quarantine: Quarantine,
     /// Upstreams to which connections broke off, and where they listen.
-    doubted: Vec<ProbeTarget>,
+    probe_targets: Vec<ProbeTarget>,
     /// When each upstream was last doubted.
-    doubted_at: HashMap<UpstreamHash, Time>,
+    probed_at: HashMap<UpstreamHash, Time>,
     /// When each upstream last answered a request of any node.
-    heard: HashMap<UpstreamHash, Time>,
+    last_answers: HashMap<UpstreamHash, Time>,
     limits: RateLimits,
     rests: Rests,
     /// Upstreams that asked some node for rest: their keys are better held by others.
-    rests_of_any: Rests,
+    rests_at_any_node: Rests,
     key_loads: HashMap<ServiceName, HashMap<ShardKey, u16>>,
-    nodes: usize,
+    node_count: usize,
     sequence: u32,
     /// Attempts that were begun.
     attempts: u32,
@@ -222,30 +222,30 @@
             cold_rates: HashMap::new(),
             cold_starts,
             assignments: BTreeMap::new(),
-            absences: Absences::default(),
+            unheld_keys: UnheldKeys::default(),
             requests: HashMap::new(),
             waiting: Vec::new(),
-            shares: HashMap::new(),
-            patience: HashMap::new(),
+            backend_credits: HashMap::new(),
+            max_client_timeouts: HashMap::new(),
             version: 0,
             budgets: HashMap::new(),
             health: HashMap::new(),
             pools: Pools::default(),
-            followed: None,
+            directory_changes: None,
             draining_since: HashMap::new(),
             occupancy: Occupancy::default(),
             slots: SlotTracker::default(),
-            faults: Faults::default(),
+            failures: FailurePenalties::default(),
             speeds: SpeedTable::default(),
-            quarantine: Quarantine::numbered_from(random.clone().random()),
-            doubted: Vec::new(),
-            doubted_at: HashMap::new(),
-            heard: HashMap::new(),
+            quarantine: Quarantine::with_first_number(random.clone().random()),
+            probe_targets: Vec::new(),
+            probed_at: HashMap::new(),
+            last_answers: HashMap::new(),
             limits: RateLimits::new(own, random.clone().random()),
             rests: Rests::default(),
-            rests_of_any: Rests::default(),
+            rests_at_any_node: Rests::default(),
             key_loads: HashMap::new(),
-            nodes: 1,
+            node_count: 1,
             sequence: 0,
             attempts: 0,
             random,
@@ -283,7 +283,7 @@
         service: ServiceName,
         assignment: Rc<Assignment>,
     ) {
-        self.absences.follow(now, &service, &assignment);
+        self.unheld_keys.update(now, &service, &assignment);
         self.assignments.insert(service, assignment);
     }
 
@@ -295,15 +295,15 @@
 
     /// States how many nodes share the retry allowance.
     pub fn set_node_count(&mut self, nodes: usize) {
-        self.nodes = nodes.max(1);
+        self.node_count = nodes.max(1);
     }
 
     /// Follows the directory: forgets who is gone, notes who begins to leave.
     pub fn apply_directory(&mut self, now: Time, directory: &Directory) {
-        if self.followed == Some(directory.changes()) {
+        if self.directory_changes == Some(directory.changes()) {
             return;
         }
-        self.followed = Some(directory.changes());
+        self.directory_changes = Some(directory.changes());
         self.draining_since
             .retain(|id, _| directory.get(id).is_some());
         let known: std::collections::HashSet<UpstreamHash> = directory
@@ -312,8 +312,8 @@
             .collect();
         self.health.retain(|hash, _| known.contains(hash));
         self.speeds.retain(|hash| known.contains(&hash));
-        self.heard.retain(|hash, _| known.contains(hash));
-        self.doubted_at.retain(|hash, _| known.contains(hash));
+        self.last_answers.retain(|hash, _| known.contains(hash));
+        self.probed_at.retain(|hash, _| known.contains(hash));
         self.limits.retain(|hash| known.contains(&hash));
         for registration in directory.iter() {
             let record = &registration.record;
@@ -347,18 +347,18 @@
             return Err(AdmissionError::Overloaded);
         }
         let budget = self.budgets.entry(service.clone()).or_default();
-        budget.request(&self.config.budget, now);
+        budget.record_request(&self.config.budget, now);
         let key = head.key.filter(|_| divided);
         if let Some(key) = key {
             let loads = self.key_loads.entry(service.clone()).or_default();
             let count = loads.entry(key).or_default();
             *count = count.saturating_add(1);
         }
-        let patience = head.client_timeout.unwrap_or(route.timeout);
-        let returned = self.has_returned(&route, patience);
-        let time = patience.min(route.timeout);
-        let deadline = now + time.saturating_sub(ANSWER_MARGIN);
-        let wait = (route.target_latency / WAIT_SHARE).min(time / 3);
+        let client_timeout = head.client_timeout.unwrap_or(route.timeout);
+        let is_client_retry = self.detect_client_retry(&route, client_timeout);
+        let time = client_timeout.min(route.timeout);
+        let deadline = now + time.saturating_sub(RESPONSE_MARGIN);
+        let wait = (route.target_latency / WAIT_DIVISOR).min(time / 3);
         self.requests.insert(
             ticket,
             Request {
@@ -374,7 +374,7 @@
                 slot: SlotState::default(),
                 attempt: None,
                 unknown: None,
-                returned,
+                is_client_retry,
                 denied: None,
                 limited_by: None,
                 rests_until: None,
@@ -387,10 +387,13 @@
 
     /// Whether a client seems to have been here before: it has less time left
     /// than clients of that route begin with.
-    fn has_returned(&mut self, route: &Route, patience: Duration) -> bool {
-        let longest = self.patience.entry(route.name.clone()).or_default();
-        *longest = (*longest).max(patience);
-        patience.as_secs_f64() < longest.as_secs_f64() * RETURNED_SHARE
+    fn detect_client_retry(&mut self, route: &Route, client_timeout: Duration) -> bool {
+        let longest = self
+            .max_client_timeouts
+            .entry(route.name.clone())
+            .or_default();
+        *longest = (*longest).max(client_timeout);
+        client_timeout.as_secs_f64() < longest.as_secs_f64() * CLIENT_RETRY_RATIO
     }
 
     /// The service that gets the next request of a route: each in proportion
@@ -400,9 +403,9 @@
             return backend.service.clone();
         }
         let version = self.version;
-        let shares = self.shares.entry(route.name.clone()).or_default();
-        if shares.version != version || shares.credit.len() != route.backends.len() {
-            *shares = Shares {
+        let credits = self.backend_credits.entry(route.name.clone()).or_default();
+        if credits.version != version || credits.credit.len() != route.backends.len() {
+            *credits = BackendCredits {
                 version,
                 credit: vec![0; route.backends.len()],
             };
@@ -410,12 +413,12 @@
         let total: i64 = route.backends.iter().map(|b| i64::from(b.weight)).sum();
         let mut best = 0;
         for (index, WeightedBackend { weight, .. }) in route.backends.iter().enumerate() {
-            shares.credit[index] += i64::from(*weight);
-            if shares.credit[index] > shares.credit[best] {
+            credits.credit[index] += i64::from(*weight);
+            if credits.credit[index] > credits.credit[best] {
                 best = index;
             }
         }
-        shares.credit[best] -= total;
+        credits.credit[best] -= total;
         route.backends[best].service.clone()
     }
 }
--- a/crates/dispatch/src/dispatcher/choice.rs
+++ b/crates/dispatch/src/dispatcher/choice.rs
@@ -19,15 +19,15 @@
 use rand::RngExt;
 
 /// Part of the time left that likely work may take.
-pub(super) const TARGET_SHARE: f64 = 0.85;
+pub(super) const TIME_LEFT_FRACTION: f64 = 0.85;
 /// Part of a route's target latency that its work takes while nothing is
 /// learned.
-const UNKNOWN_WORK_SHARE: f64 = 0.33;
+const DEFAULT_WORK_FRACTION: f64 = 0.33;
 /// How much slower an upstream is that has just started.
-const WARMING_SLOWNESS: f64 = 2.0;
+const WARM_UP_SLOWNESS: f64 = 2.0;
 
 /// How much slower an upstream counts that another node could not reach of late.
-const SUSPECT_SLOWNESS: f64 = 4.0;
+const UNREACHABLE_SLOWNESS: f64 = 4.0;
 
 /// Rounds of an upstream's slots up to the end of a request that finds so many there.
 pub(super) fn rounds(occupied: u32, slots: u32) -> f64 {
@@ -39,7 +39,7 @@
     /// It is sent there.
     Send(Registration),
     /// The relay is asked.
-    Ask,
+    AskRelay,
     /// The relay's answer is waited for.
     Wait,
     /// A lender is asked for permits.
@@ -51,11 +51,11 @@
     /// Seconds that such a request takes on average.
     pub work: f64,
     /// Seconds within which it is to be answered.
-    pub left: f64,
+    pub time_left: f64,
     /// Upstreams that it is not to be sent to.
     pub tried: &'a [UpstreamHash],
     /// Whether another node would send it: the permits here are not for that.
-    pub is_others: bool,
+    pub is_for_peer: bool,
 }
 
 impl Dispatcher {
@@ -68,7 +68,7 @@
         if let Some(key) = request.key {
             let holder = self.choose_holder(now, directory, request, key)?.clone();
             let hash = UpstreamHash::of(&holder.record.id);
-            return self.with_permit(now, request, hash, &holder);
+            return self.send_with_permit(now, request, hash, &holder);
         }
         self.check_rests(now, request)?;
         if let Some(cold) = self.choose_cold(now, request) {
@@ -78,7 +78,7 @@
             return Ok(choice);
         }
         match self.slot_step(now, request) {
-            SlotStep::Ask => Ok(Choice::Ask),
+            SlotStep::Ask => Ok(Choice::AskRelay),
             SlotStep::Wait => Ok(Choice::Wait),
             SlotStep::Use(upstream) => self.use_slot(now, request, upstream),
             SlotStep::Choose => self.choose_any(now, request),
@@ -97,10 +97,10 @@
         let named = pool.iter().find(|member| member.hash == upstream);
         let is_usable = !self.is_paused(now, upstream) && !request.tried.contains(&upstream);
         let is_warm = |member: &&PoolMember| self.cold_rate(now, &member.registration).is_none();
-        let is_there = |member: &&PoolMember| !self.is_in_doubt(member);
+        let is_confirmed = |member: &&PoolMember| !self.is_unconfirmed(member);
         let is_permitted = |member: &&PoolMember| self.limits.has_permit(now, member.hash);
         let named = named.filter(|_| is_usable).filter(is_permitted);
-        match named.filter(is_warm).filter(is_there) {
+        match named.filter(is_warm).filter(is_confirmed) {
             Some(member) => Ok(Choice::Send(member.registration.clone())),
             None => self.choose_any(now, request),
         }
@@ -128,15 +128,17 @@
                 continue;
             };
             let is_free = self.occupancy.total(member.hash) < registration.record.slots;
-            let expected = self.expected(now, query.work, registration, member.hash);
-            let is_in_time = expected <= query.left * TARGET_SHARE;
+            let expected = self.expected_time(now, query.work, registration, member.hash);
+            let is_in_time = expected <= query.time_left * TIME_LEFT_FRACTION;
             let is_usable =
                 self.is_usable(now, &query, member) && !self.is_limited(now, &query, member);
             let until = registration.warm_at;
             if is_free
                 && is_in_time
                 && is_usable
-                && self.cold_starts.takes(now, member.hash, &cold_rate, until)
+                && self
+                    .cold_starts
+                    .may_send(now, member.hash, &cold_rate, until)
             {
                 return Some(registration.clone());
             }
@@ -180,14 +182,14 @@
         if let Some(cold_rate) = self.cold_rate(now, registration)
             && !self
                 .cold_starts
-                .takes(now, hash, &cold_rate, registration.warm_at)
+                .may_send(now, hash, &cold_rate, registration.warm_at)
         {
             return Err(RefusalReason::Busy);
         }
         let query = self.query(now, request);
-        let time = self.expected(now, query.work, registration, hash);
+        let time = self.expected_time(now, query.work, registration, hash);
         let occupied = self.occupancy.total(hash);
-        if occupied >= self.room(&query, registration, time) {
+        if occupied >= self.max_occupancy(&query, registration, time) {
             return Err(RefusalReason::Busy);
         }
         Ok(registration)
@@ -216,13 +218,13 @@
     pub(super) fn is_usable(&self, now: Time, query: &Query<'_>, member: &PoolMember) -> bool {
         !self.is_paused(now, member.hash)
             && !query.tried.contains(&member.hash)
-            && !self.is_in_doubt(member)
+            && !self.is_unconfirmed(member)
     }
 
     /// Whether an upstream names a rate and no permit is here for it.
     fn is_limited(&self, now: Time, query: &Query<'_>, member: &PoolMember) -> bool {
         let is_named = self.limits.rate(member.hash).is_some();
-        is_named && (query.is_others || !self.limits.has_permit(now, member.hash))
+        is_named && (query.is_for_peer || !self.limits.has_permit(now, member.hash))
     }
 
     /// The upstream with room that is likely to answer first; one that may have ended only if
@@ -234,21 +236,22 @@
         pool: &'a [PoolMember],
     ) -> Option<&'a PoolMember> {
         let start: u64 = self.random.random();
-        let is_there = |member: &PoolMember| !self.is_in_doubt(member);
-        let may_be_tried =
-            |member: &PoolMember| self.is_in_doubt(member) && self.occupancy.own(member.hash) == 0;
-        self.least_cost_of(now, query, pool, start, is_there)
-            .or_else(|| self.least_cost_of(now, query, pool, start, may_be_tried))
+        let is_confirmed = |member: &PoolMember| !self.is_unconfirmed(member);
+        let may_be_tried = |member: &PoolMember| {
+            self.is_unconfirmed(member) && self.occupancy.own(member.hash) == 0
+        };
+        self.least_cost_among(now, query, pool, start, is_confirmed)
+            .or_else(|| self.least_cost_among(now, query, pool, start, may_be_tried))
     }
 
     /// Whether nothing has shown that an upstream is there since its registration went
     /// missing.
-    fn is_in_doubt(&self, member: &PoolMember) -> bool {
+    fn is_unconfirmed(&self, member: &PoolMember) -> bool {
         let missing_since = member.registration.unconfirmed_since;
-        missing_since.is_some_and(|since| self.heard.get(&member.hash) < Some(&since))
+        missing_since.is_some_and(|since| self.last_answers.get(&member.hash) < Some(&since))
     }
 
-    fn least_cost_of<'a>(
+    fn least_cost_among<'a>(
         &self,
         now: Time,
         query: &Query<'_>,
@@ -286,15 +289,15 @@
             return None;
         }
         let occupied = self.occupancy.total(member.hash);
-        let mut time = self.expected(now, query.work, &member.registration, member.hash);
-        if occupied >= self.room(query, &member.registration, time) {
+        let mut time = self.expected_time(now, query.work, &member.registration, member.hash);
+        if occupied >= self.max_occupancy(query, &member.registration, time) {
             return None;
         }
-        if self.slots.is_suspect(now, member.hash) {
-            time *= SUSPECT_SLOWNESS;
+        if self.slots.is_reported_unreachable(now, member.hash) {
+            time *= UNREACHABLE_SLOWNESS;
         }
         let mut cost = time * rounds(occupied, record.slots);
-        cost += self.faults.cost(now, member.hash, query.work);
+        cost += self.failures.penalty(now, member.hash, query.work);
         if record.zone != self.config.zone {
             cost += self.config.zone_cost.as_secs_f64();
         }
@@ -303,26 +306,26 @@
 
     /// What is looked for on behalf of a request.
     pub(super) fn query<'a>(&self, now: Time, request: &'a Request) -> Query<'a> {
-        let unknown = request.route.target_latency.as_secs_f64() * UNKNOWN_WORK_SHARE;
+        let unknown = request.route.target_latency.as_secs_f64() * DEFAULT_WORK_FRACTION;
         let learned = self.speeds.route_mean(&request.route.name);
         let target = request.arrived + request.route.target_latency;
         // One that has come back is to be answered at all.
-        let end = if request.returned {
+        let end = if request.is_client_retry {
             target.max(request.deadline)
         } else {
             target
         };
         Query {
             work: learned.unwrap_or(unknown),
-            left: end.min(request.deadline).since(now).as_secs_f64(),
+            time_left: end.min(request.deadline).since(now).as_secs_f64(),
             tried: &request.tried,
-            is_others: false,
+            is_for_peer: false,
         }
     }
 
     /// Seconds that a request which takes `mean` on average is likely to be at an
     /// upstream.
-    pub(super) fn expected(
+    pub(super) fn expected_time(
         &self,
         now: Time,
         mean: f64,
@@ -330,7 +333,7 @@
         hash: UpstreamHash,
     ) -> f64 {
         let warming = if now < registration.warm_at {
-            WARMING_SLOWNESS
+            WARM_UP_SLOWNESS
         } else {
             1.0
         };
@@ -339,9 +342,9 @@
 
     /// Requests that an upstream may have before this one is sent there: as
     /// many as let it still be answered in time.
-    fn room(&self, query: &Query<'_>, registration: &Registration, expected: f64) -> u32 {
+    fn max_occupancy(&self, query: &Query<'_>, registration: &Registration, expected: f64) -> u32 {
         let slots = registration.record.slots.max(1);
-        let left = query.left * TARGET_SHARE;
+        let left = query.time_left * TIME_LEFT_FRACTION;
         let rounds = ((left - expected) / expected.max(1e-3)).max(0.0);
         let queued = (rounds * f64::from(slots)) as u32;
         slots + queued.min(self.config.max_queued)
--- a/crates/dispatch/src/dispatcher/cold_starts.rs
+++ b/crates/dispatch/src/dispatcher/cold_starts.rs
@@ -3,17 +3,17 @@
 //! An upstream that has just started takes few requests a second, and falls over when it
 //! gets many more: with its requests, and with those that come back for them. Each node by
 //! itself can't know what the others send, and some may be cut off. So each cold upstream
-//! has [`MOST_SENDERS`] nodes that may send to it at all, picked by a hash of both, and each
+//! has [`MAX_SENDERS`] nodes that may send to it at all, picked by a hash of both, and each
 //! of them keeps a pause between two requests.
 //!
 //! Invariant: all nodes together, in touch or not, send a cold upstream no more requests in
 //! any second than [`ColdStartBound`] allows, as long as there are no more than
-//! [`VIEWS_AT_ONCE`] different views of which nodes there are. A node sends no more than its
+//! [`MAX_CONCURRENT_VIEWS`] different views of which nodes there are. A node sends no more than its
 //! share of that in a second ([`Share`]), and a view has no more senders than were counted
-//! on: who becomes one waits for [`SETTLED`], so whoever sends within a second was among the
+//! on: who becomes one waits for [`SETTLE_TIME`], so whoever sends within a second was among the
 //! senders at its begin. The counter-case is a third view at the same time.
 
-use crate::rendezvous::is_among_first;
+use crate::rendezvous::is_top_ranked;
 use crate::report::{NodeHash, UpstreamHash};
 use beamtray_catalog::ColdStart;
 use beamtray_types::Time;
@@ -22,13 +22,13 @@
 
 /// Nodes that send to one cold upstream: one that is lost leaves two, and each has requests
 /// often enough to use its share.
-const MOST_SENDERS: u32 = 3;
+const MAX_SENDERS: u32 = 3;
 /// Different views of which nodes there are, at the same time: of those that reach each
 /// other or the store, and of those that are cut off.
-const VIEWS_AT_ONCE: u32 = 2;
+const MAX_CONCURRENT_VIEWS: u32 = 2;
 /// How long a node has been among the senders before it sends: the time over which requests
 /// are counted.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// What a cold upstream may be sent in a second, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,7 +40,7 @@
 }
 
 impl ColdStartBound {
-    fn requests_a_second(&self, cold_start: &ColdStart) -> f64 {
+    fn requests_per_second(&self, cold_start: &ColdStart) -> f64 {
         cold_start.rate * self.overage + self.slack
     }
 }
@@ -56,23 +56,23 @@
 impl Share {
     /// The share of each sender; none if the bound leaves nothing to divide.
     fn of(bound: &ColdStartBound, cold_start: &ColdStart) -> Option<Self> {
-        let in_each_view = bound.requests_a_second(cold_start) / f64::from(VIEWS_AT_ONCE);
-        let senders = MOST_SENDERS.min(in_each_view as u32);
+        let per_view = bound.requests_per_second(cold_start) / f64::from(MAX_CONCURRENT_VIEWS);
+        let senders = MAX_SENDERS.min(per_view as u32);
         if senders == 0 || cold_start.rate <= 0.0 {
             return None;
         }
-        let most = (in_each_view / f64::from(senders)).floor();
-        let handled = cold_start.rate / f64::from(senders);
+        let max_rate = (per_view / f64::from(senders)).floor();
+        let service_rate = cold_start.rate / f64::from(senders);
         Some(Self {
             senders: senders as usize,
-            pause: Duration::from_secs_f64(1.0 / most.min(handled)),
+            pause: Duration::from_secs_f64(1.0 / max_rate.min(service_rate)),
         })
     }
 }
 
 /// How this node stands with one cold upstream.
 #[derive(Clone, Copy, Debug)]
-struct Access {
+struct SenderState {
     /// How many senders the upstream has.
     senders: usize,
     /// Since when it is among the senders.
@@ -89,7 +89,7 @@
     bound: ColdStartBound,
     nodes: Vec<NodeHash>,
     nodes_changed: Time,
-    accesses: HashMap<UpstreamHash, Access>,
+    sender_states: HashMap<UpstreamHash, SenderState>,
 }
 
 impl ColdStarts {
@@ -100,7 +100,7 @@
             bound,
             nodes: Vec::new(),
             nodes_changed: Time::ZERO,
-            accesses: HashMap::new(),
+            sender_states: HashMap::new(),
         }
     }
 
@@ -117,14 +117,14 @@
         self.nodes = nodes;
         self.nodes_changed = now;
         let (own, nodes) = (self.own, &self.nodes);
-        for (upstream, access) in &mut self.accesses {
-            let is_sender = is_among_first(own, nodes, *upstream, access.senders);
-            access.sender_since = is_sender.then(|| access.sender_since.unwrap_or(now));
+        for (upstream, sender) in &mut self.sender_states {
+            let is_sender = is_top_ranked(own, nodes, *upstream, sender.senders);
+            sender.sender_since = is_sender.then(|| sender.sender_since.unwrap_or(now));
         }
     }
 
     /// Whether this node may send a request to a cold upstream now.
-    pub fn takes(
+    pub fn may_send(
         &mut self,
         now: Time,
         upstream: UpstreamHash,
@@ -135,27 +135,30 @@
             return false;
         };
         let (own, nodes, since) = (self.own, &self.nodes, self.nodes_changed);
-        let access = self.accesses.entry(upstream).or_insert_with(|| Access {
-            senders: share.senders,
-            sender_since: is_among_first(own, nodes, upstream, share.senders).then_some(since),
-            sent_at: None,
-            until,
-        });
-        access.until = access.until.max(until);
-        let settled = access.sender_since.map(|since| since + SETTLED);
-        let next = access.sent_at.map(|sent| sent + share.pause);
+        let sender = self
+            .sender_states
+            .entry(upstream)
+            .or_insert_with(|| SenderState {
+                senders: share.senders,
+                sender_since: is_top_ranked(own, nodes, upstream, share.senders).then_some(since),
+                sent_at: None,
+                until,
+            });
+        sender.until = sender.until.max(until);
+        let settled = sender.sender_since.map(|since| since + SETTLE_TIME);
+        let next = sender.sent_at.map(|sent| sent + share.pause);
         settled.is_some_and(|settled| now >= settled) && next.is_none_or(|next| now >= next)
     }
 
     /// Notes that a request is sent to an upstream.
-    pub fn sent(&mut self, now: Time, upstream: UpstreamHash) {
-        if let Some(access) = self.accesses.get_mut(&upstream) {
-            access.sent_at = Some(now);
+    pub fn record_send(&mut self, now: Time, upstream: UpstreamHash) {
+        if let Some(sender) = self.sender_states.get_mut(&upstream) {
+            sender.sent_at = Some(now);
         }
     }
 
     /// Forgets upstreams that are warm.
     pub fn expire(&mut self, now: Time) {
-        self.accesses.retain(|_, access| now < access.until);
+        self.sender_states.retain(|_, sender| now < sender.until);
     }
 }
--- a/crates/dispatch/src/dispatcher/decide.rs
+++ b/crates/dispatch/src/dispatcher/decide.rs
@@ -4,7 +4,7 @@
 use super::slots::SlotState;
 use super::{Dispatcher, Request};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Standing, TrialRequest, TrialStep};
+use crate::quarantine::{RequestStatus, TrialRequest, TrialStep};
 use crate::report::NodeHash;
 use crate::request::{ConcludedRequest, Conclusion, Decision, RefusalReason, Ticket};
 use beamtray_catalog::{Directory, Registration};
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// Least time to come back in.
-pub(super) const LEAST_RETRY_AFTER: Duration = Duration::from_millis(120);
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(120);
 /// Least spread of the time to come back in.
-pub(super) const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(200);
+pub(super) const MIN_RETRY_AFTER_JITTER: Duration = Duration::from_millis(200);
 /// Spread as a part of the time to come back in: the longer keys are without a holder,
 /// the more clients come back for them.
-const RETRY_AFTER_SPREAD_SHARE: f64 = 0.5;
+const RETRY_AFTER_JITTER_RATIO: f64 = 0.5;
 
 impl Dispatcher {
     /// Decisions that are due.
@@ -26,7 +26,7 @@
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        self.pools.follow(directory);
+        self.pools.update(directory);
         let mut order = std::mem::take(&mut self.waiting);
         order.sort_by_key(|ticket| {
             let request = self.requests.get(ticket);
@@ -71,8 +71,8 @@
         }
         // Here, not at admission alone: a request may wait while others that say the same
         // end upstreams.
-        let standing = self.quarantine.standing(now, request.fingerprints);
-        if matches!(standing, Standing::KeptOff(_)) {
+        let status = self.quarantine.status(now, request.fingerprints);
+        if matches!(status, RequestStatus::Quarantined(_)) {
             let ending = self.conclude(now, request, RefusalReason::Quarantined);
             return Some(Decision::Conclude(ticket, ending));
         }
@@ -83,13 +83,15 @@
         };
         match wanted {
             Ok(Choice::Send(registration)) => {
-                let Standing::OnTrial(fingerprint) = standing else {
+                let RequestStatus::OnTrial(fingerprint) = status else {
                     let forward = self.forward(now, ticket, request, &registration, None);
                     return Some(Decision::Forward(ticket, forward));
                 };
-                self.try_alone(now, ticket, request, &registration, fingerprint)
+                self.decide_trial(now, ticket, request, &registration, fingerprint)
+            }
+            Ok(Choice::AskRelay) => {
+                Some(Decision::AskSlot(self.slot_request(now, ticket, request)))
             }
-            Ok(Choice::Ask) => Some(Decision::AskSlot(self.slot_request(now, ticket, request))),
             Ok(Choice::AskPermit(asked)) => Some(Decision::AskPermit(asked)),
             Ok(Choice::Wait) => None,
             Err(reason) if now >= request.wait_until || self.is_futile(now, request, reason) => {
@@ -105,7 +107,7 @@
     ///
     /// It waits for its trial, or for that of another that says the same, as long as others
     /// wait for a slot: mostly the outcome is there before.
-    fn try_alone(
+    fn decide_trial(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -160,7 +162,8 @@
             return false;
         };
         let is_unheld = reason == RefusalReason::KeyUnheld && request.denied.is_none();
-        is_unheld && now + self.absences.remaining(now, &request.service, key) > request.wait_until
+        is_unheld
+            && now + self.unheld_keys.remaining(now, &request.service, key) > request.wait_until
     }
 
     pub(super) fn conclude(
@@ -200,12 +203,12 @@
         }
         let expected = match request.key {
             Some(key) if reason == RefusalReason::KeyUnheld => {
-                self.absences.remaining(now, &request.service, key)
+                self.unheld_keys.remaining(now, &request.service, key)
             }
             _ => self.rest_left(now, request, reason),
         };
-        let spread = RETRY_AFTER_SPREAD + expected.mul_f64(RETRY_AFTER_SPREAD_SHARE);
-        let least = expected.max(LEAST_RETRY_AFTER);
+        let spread = MIN_RETRY_AFTER_JITTER + expected.mul_f64(RETRY_AFTER_JITTER_RATIO);
+        let least = expected.max(MIN_RETRY_AFTER);
         least + spread.mul_f64(self.random.random())
     }
 
--- a/crates/dispatch/src/dispatcher/faults.rs
+++ b/crates/dispatch/src/dispatcher/failures.rs
@@ -13,46 +13,47 @@
 const HALF_LIFE: Duration = Duration::from_secs(2);
 /// Most failures that count, so that an upstream is still tried where all others are
 /// full.
-const MOST_FAILURES: f64 = 6.0;
+const MAX_FAILURES: f64 = 6.0;
 /// Least seconds that a failure costs; else what such a request takes.
-const LEAST_COST: f64 = 0.1;
+const MIN_FAILURE_COST: f64 = 0.1;
 /// Weight below which failures are forgotten.
-const NEGLIGIBLE: f64 = 0.05;
+const MIN_WEIGHT: f64 = 0.05;
 
 #[derive(Clone, Copy, Debug)]
-struct Fault {
+struct FailureWeight {
     weight: f64,
     at: Time,
 }
 
-impl Fault {
+impl FailureWeight {
     fn weight(&self, now: Time) -> f64 {
-        let lives = now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.weight * 0.5_f64.powf(lives)
+        let half_lives = now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.weight * 0.5_f64.powf(half_lives)
     }
 }
 
 /// Failures of upstreams of late, as far as any node told.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Faults {
-    by_upstream: HashMap<UpstreamHash, Fault>,
+pub(super) struct FailurePenalties {
+    by_upstream: HashMap<UpstreamHash, FailureWeight>,
 }
 
-impl Faults {
+impl FailurePenalties {
     /// Notes failures of an upstream.
-    pub fn note(&mut self, now: Time, upstream: UpstreamHash, failures: u32) {
+    pub fn record(&mut self, now: Time, upstream: UpstreamHash, failures: u32) {
         self.by_upstream
-            .retain(|_, fault| fault.weight(now) >= NEGLIGIBLE);
+            .retain(|_, failure| failure.weight(now) >= MIN_WEIGHT);
         let known = self.by_upstream.get(&upstream);
         let weight = known.map_or(0.0, |known| known.weight(now)) + f64::from(failures);
-        self.by_upstream.insert(upstream, Fault { weight, at: now });
+        self.by_upstream
+            .insert(upstream, FailureWeight { weight, at: now });
     }
 
     /// Seconds that an upstream counts slower for its failures, for a request that takes
     /// `work` seconds.
-    pub fn cost(&self, now: Time, upstream: UpstreamHash, work: f64) -> f64 {
-        let fault = self.by_upstream.get(&upstream);
-        let weight = fault.map_or(0.0, |fault| fault.weight(now));
-        weight.min(MOST_FAILURES) * work.max(LEAST_COST)
+    pub fn penalty(&self, now: Time, upstream: UpstreamHash, work: f64) -> f64 {
+        let failure = self.by_upstream.get(&upstream);
+        let weight = failure.map_or(0.0, |failure| failure.weight(now));
+        weight.min(MAX_FAILURES) * work.max(MIN_FAILURE_COST)
     }
 }
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -6,13 +6,13 @@
 //! refused at once where no permit can come in time. The upstream does not count as slow or
 //! failing for any of it.
 
-use super::choice::{Choice, TARGET_SHARE};
-use super::decide::{LEAST_RETRY_AFTER, RETRY_AFTER_SPREAD};
+use super::choice::{Choice, TIME_LEFT_FRACTION};
+use super::decide::{MIN_RETRY_AFTER, MIN_RETRY_AFTER_JITTER};
 use super::pools::PoolMember;
 use super::slots::SlotState;
-use super::{Dispatcher, LimitWait, Request};
+use super::{Dispatcher, PermitWait, Request};
 use crate::rate_limit::{
-    ANSWER_WAIT, PermitCounts, PermitReply, PermitRequest, PermitStep, RateLimitEvent,
+    PermitCounts, PermitReply, PermitRequest, PermitStep, REPLY_TIMEOUT, RateLimitEvent,
     RateLimitUpdate,
 };
 use crate::report::UpstreamHash;
@@ -23,16 +23,16 @@
 use std::time::Duration;
 
 /// Over which clients that were refused come back at most: rates and loads change.
-const LONGEST_SPREAD: Duration = Duration::from_secs(3);
+const MAX_RETRY_AFTER_JITTER: Duration = Duration::from_secs(3);
 
 /// Part of a route's target latency that a request waits for permits at most.
-const LONGEST_WAIT_SHARE: f64 = 0.75;
+const MAX_PERMIT_WAIT_FRACTION: f64 = 0.75;
 
 /// What a request has to do for a permit.
-enum PermitWay {
+enum PermitAction {
     Send,
     Ask(PermitRequest),
-    Wait(LimitWait),
+    Wait(PermitWait),
 }
 
 impl Dispatcher {
@@ -45,12 +45,12 @@
         let Some(attempt) = request.and_then(|request| request.attempt.as_ref()) else {
             return;
         };
-        self.limits.named(now, attempt.hash, attempt.sent, word);
+        self.limits.observe(now, attempt.hash, attempt.sent, word);
     }
 
     /// Takes another node's word of a rate; whether it was news.
     pub fn apply_rate_limit_update(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
-        self.limits.told(now, word)
+        self.limits.apply_update(now, word)
     }
 
     /// What is known of an upstream's rate, for another node.
@@ -59,22 +59,22 @@
         now: Time,
         upstream: UpstreamHash,
     ) -> Option<RateLimitUpdate> {
-        self.limits.known().word(now, upstream)
+        self.limits.known().update(now, upstream)
     }
 
     /// All rates that are known to be named, for another node.
     pub fn rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
-        self.limits.known().words(now)
+        self.limits.known().updates(now)
     }
 
     /// What other nodes were not told of rates.
     pub fn take_rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
-        self.limits.known().take_untold(now)
+        self.limits.known().take_unsent_updates(now)
     }
 
     /// What became known of rates since the last call.
     pub fn take_rate_limit_events(&mut self) -> Vec<RateLimitEvent> {
-        self.limits.known().take_notices()
+        self.limits.known().take_events()
     }
 
     /// How many upstreams name a rate.
@@ -99,13 +99,13 @@
 
     /// Takes a lender's answer.
     pub fn handle_permit_reply(&mut self, now: Time, reply: &PermitReply) {
-        self.limits.answered(now, reply);
+        self.limits.handle_reply(now, reply);
     }
 
-    fn permit_way(&mut self, now: Time, upstream: UpstreamHash) -> PermitWay {
-        let wait = |until| PermitWay::Wait(LimitWait { upstream, until });
+    fn permit_action(&mut self, now: Time, upstream: UpstreamHash) -> PermitAction {
+        let wait = |until| PermitAction::Wait(PermitWait { upstream, until });
         match self.limits.step(now, upstream) {
-            PermitStep::Send => PermitWay::Send,
+            PermitStep::Send => PermitAction::Send,
             PermitStep::Asked => wait(None),
             PermitStep::Empty { until } => wait(Some(until)),
             PermitStep::Ask {
@@ -114,26 +114,26 @@
                 wanted,
             } => {
                 let request = self.limits.request(now, upstream, lender, number, wanted);
-                request.map_or(PermitWay::Send, PermitWay::Ask)
+                request.map_or(PermitAction::Send, PermitAction::Ask)
             }
         }
     }
 
     /// Sends a request to the upstream that it must go to, once there is a permit for it.
-    pub(super) fn with_permit(
+    pub(super) fn send_with_permit(
         &mut self,
         now: Time,
         request: &mut Request,
         hash: UpstreamHash,
         registration: &Registration,
     ) -> Result<Choice, RefusalReason> {
-        match self.permit_way(now, hash) {
-            PermitWay::Send => Ok(Choice::Send(registration.clone())),
-            PermitWay::Ask(asked) => {
+        match self.permit_action(now, hash) {
+            PermitAction::Send => Ok(Choice::Send(registration.clone())),
+            PermitAction::Ask(asked) => {
                 wait_for_lender(now, request);
                 Ok(Choice::AskPermit(asked))
             }
-            PermitWay::Wait(wait) => {
+            PermitAction::Wait(wait) => {
                 request.limited_by = Some(wait);
                 Err(RefusalReason::Limited)
             }
@@ -155,13 +155,13 @@
         let takes = |member: &&PoolMember| {
             let registration = &member.registration;
             let is_free = self.occupancy.total(member.hash) < registration.record.slots;
-            let expected = self.expected(now, query.work, registration, member.hash);
+            let expected = self.expected_time(now, query.work, registration, member.hash);
             self.limits.rate(member.hash).is_some()
                 && self.limits.has_permit(now, member.hash)
                 && self.cold_rate(now, registration).is_none()
                 && self.is_usable(now, &query, member)
                 && is_free
-                && expected <= query.left * TARGET_SHARE
+                && expected <= query.time_left * TIME_LEFT_FRACTION
         };
         if let Some(member) = pool.iter().find(takes) {
             return Some(Choice::Send(member.registration.clone()));
@@ -191,18 +191,18 @@
         let is_limited = |member: &&&PoolMember| self.limits.rate(member.hash).is_some();
         let limited: Vec<&PoolMember> = usable.iter().filter(is_limited).copied().collect();
         let is_only_limited = limited.len() == usable.len();
-        let mut soonest: Option<LimitWait> = None;
+        let mut soonest: Option<PermitWait> = None;
         for member in limited {
             if self.cold_rate(now, &member.registration).is_some() {
                 continue;
             }
-            match self.permit_way(now, member.hash) {
-                PermitWay::Send => return Ok(Choice::Send(member.registration.clone())),
-                PermitWay::Ask(asked) => {
+            match self.permit_action(now, member.hash) {
+                PermitAction::Send => return Ok(Choice::Send(member.registration.clone())),
+                PermitAction::Ask(asked) => {
                     wait_for_lender(now, request);
                     return Ok(Choice::AskPermit(asked));
                 }
-                PermitWay::Wait(wait) => {
+                PermitAction::Wait(wait) => {
                     if soonest.is_none_or(|soonest| wait.until < soonest.until) {
                         soonest = Some(wait);
                     }
@@ -220,10 +220,12 @@
     /// and for those who were refused before, but not all at one moment.
     pub(super) fn retry_after_limit(&mut self, now: Time, request: &Request) -> Duration {
         let Some(facts) = self.limit_facts(now, request, RefusalReason::Limited) else {
-            return LEAST_RETRY_AFTER;
+            return MIN_RETRY_AFTER;
         };
-        let least = facts.next_in.max(LEAST_RETRY_AFTER);
-        let spread = facts.room_in.clamp(RETRY_AFTER_SPREAD, LONGEST_SPREAD);
+        let least = facts.next_in.max(MIN_RETRY_AFTER);
+        let spread = facts
+            .room_in
+            .clamp(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER);
         least + spread.mul_f64(self.random.random())
     }
 
@@ -251,7 +253,11 @@
 /// Has a request wait for the lender that is asked for it, as long as it could then still be
 /// served in time: a permit that comes after its refusal is lost.
 fn wait_for_lender(now: Time, request: &mut Request) {
-    let latest = request.arrived + request.route.target_latency.mul_f64(LONGEST_WAIT_SHARE);
-    let answered = (now + ANSWER_WAIT).min(latest);
+    let latest = request.arrived
+        + request
+            .route
+            .target_latency
+            .mul_f64(MAX_PERMIT_WAIT_FRACTION);
+    let answered = (now + REPLY_TIMEOUT).min(latest);
     request.wait_until = request.wait_until.max(answered).min(request.deadline);
 }
--- a/crates/dispatch/src/dispatcher/outcome.rs
+++ b/crates/dispatch/src/dispatcher/outcome.rs
@@ -4,7 +4,7 @@
 use super::slots::SlotState;
 use super::{Attempt, Denial, Dispatcher, ProbeTarget, Request};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{AttemptHash, Quarantine, RunOfRequest, TrialOutcome};
+use crate::quarantine::{AttemptHash, Quarantine, SuspectAttempt, TrialOutcome};
 use crate::report::UpstreamHash;
 use crate::request::{
     AttemptOutcome, ConcludedRequest, Forward, NotExecuted, RefusalReason, Ticket, UnknownCause,
@@ -15,17 +15,17 @@
 
 /// Pause before a holder that denied a key is asked again under the same
 /// assignment.
-const DENIED_PAUSE: Duration = Duration::from_millis(120);
+const DENIAL_BACKOFF: Duration = Duration::from_millis(120);
 /// Pause before an upstream that said it is full is asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
+const FULL_BACKOFF: Duration = Duration::from_millis(30);
 /// First pause after a failure; doubles with each further one.
-const FAILURE_PAUSE: Duration = Duration::from_millis(150);
+const INITIAL_FAILURE_BACKOFF: Duration = Duration::from_millis(150);
 /// Between two doubts of an upstream that leaves requests unanswered. Each has a connection
 /// opened, which takes one of its slots for a moment, and where it is only full there are
 /// many such requests.
-const SILENCE_PAUSE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(3);
 
 impl Dispatcher {
     pub(super) fn forward(
@@ -38,13 +38,13 @@
     ) -> Forward {
         let record = &registration.record;
         let hash = UpstreamHash::of(&record.id);
-        self.cold_starts.sent(now, hash);
-        self.limits.sent(now, hash);
+        self.cold_starts.record_send(now, hash);
+        self.limits.record_send(now, hash);
         let occupied = self.occupancy.total(hash);
         self.occupancy.begin(hash);
         if request.arrivals > 0 {
             let budget = self.budgets.entry(request.service.clone()).or_default();
-            budget.repeat(&self.config.budget, now);
+            budget.record_retry(&self.config.budget, now);
         }
         request.arrivals += 1;
         if let Some(permit) = permit {
@@ -59,7 +59,7 @@
             sent: now,
             rounds: rounds(occupied, record.slots),
             is_warm: now >= registration.warm_at,
-            run: AttemptHash::of(node, process, ticket, self.attempts),
+            id: AttemptHash::of(node, process, ticket, self.attempts),
             permit,
         });
         Forward {
@@ -87,12 +87,12 @@
         let mut request = self.requests.remove(&ticket)?;
         let attempt = request.attempt.take()?;
         self.occupancy.end(attempt.hash);
-        self.judge(now, &request, &attempt, outcome);
-        self.suspect(now, &request, &attempt, outcome);
+        self.record_health(now, &request, &attempt, outcome);
+        self.update_quarantine(now, &request, &attempt, outcome);
         match outcome {
             AttemptOutcome::Answered { .. } => return None,
             AttemptOutcome::NotExecuted(proof) => {
-                self.untouched(now, &mut request, &attempt, proof)
+                self.handle_not_executed(now, &mut request, &attempt, proof)
             }
             AttemptOutcome::Unknown(cause) => {
                 request.unknown = Some(cause);
@@ -100,7 +100,7 @@
             }
         }
         request.slot = SlotState::default();
-        if !self.may_repeat(now, &request, outcome) {
+        if !self.may_retry(now, &request, outcome) {
             return Some(self.conclude(now, &request, RefusalReason::Refused));
         }
         self.requests.insert(ticket, request);
@@ -109,7 +109,7 @@
     }
 
     /// Learns from an attempt how its upstream does.
-    pub(super) fn judge(
+    pub(super) fn record_health(
         &mut self,
         now: Time,
         request: &Request,
@@ -119,18 +119,18 @@
         let health = self.health.entry(attempt.hash).or_default();
         match outcome {
             AttemptOutcome::Answered { success } => {
-                self.heard.insert(attempt.hash, now);
+                self.last_answers.insert(attempt.hash, now);
                 health.failures = 0;
                 if !success {
-                    self.faults.note(now, attempt.hash, 1);
-                    self.speeds.fail(attempt.hash);
+                    self.failures.record(now, attempt.hash, 1);
+                    self.speeds.record_failure(attempt.hash);
                 }
                 if success && attempt.is_warm {
                     self.learn_speed(now, request, attempt);
                 }
             }
             AttemptOutcome::NotExecuted(NotExecuted::Full) => {
-                health.paused_until = now + FULL_PAUSE;
+                health.paused_until = now + FULL_BACKOFF;
             }
             AttemptOutcome::NotExecuted(NotExecuted::Misdirected | NotExecuted::Unsent) => {}
             AttemptOutcome::Unknown(UnknownCause::WrongAnswer | UnknownCause::BrokenOff) => {}
@@ -138,9 +138,9 @@
                 NotExecuted::Unconnected | NotExecuted::ConnectionRefused,
             )
             | AttemptOutcome::Unknown(UnknownCause::TimedOut) => {
-                let pause = FAILURE_PAUSE * 2u32.saturating_pow(health.failures.min(6));
+                let pause = INITIAL_FAILURE_BACKOFF * 2u32.saturating_pow(health.failures.min(6));
                 health.failures += 1;
-                health.paused_until = now + pause.min(LONGEST_PAUSE);
+                health.paused_until = now + pause.min(MAX_FAILURE_BACKOFF);
             }
         }
     }
@@ -153,15 +153,17 @@
         let route = &request.route.name;
         if attempt.rounds > 1.0 {
             let seconds = seconds / attempt.rounds;
-            self.speeds.learn_queued(attempt.hash, route, seconds);
+            self.speeds
+                .record_queued_response(attempt.hash, route, seconds);
             return;
         }
-        self.speeds.learn(attempt.hash, route, seconds);
-        self.speeds.learn_service(&request.service, seconds);
+        self.speeds.record_response(attempt.hash, route, seconds);
+        self.speeds
+            .record_service_response(&request.service, seconds);
     }
 
     /// Learns from an attempt whether its request ends upstreams.
-    fn suspect(
+    fn update_quarantine(
         &mut self,
         now: Time,
         request: &Request,
@@ -172,7 +174,7 @@
         match outcome {
             AttemptOutcome::Answered { success } => {
                 if success {
-                    self.quarantine.succeeded(now, request.fingerprints);
+                    self.quarantine.request_succeeded(now, request.fingerprints);
                 }
                 self.quarantine.end_trial(permit, TrialOutcome::Answered);
             }
@@ -180,14 +182,14 @@
                 self.quarantine.end_trial(permit, TrialOutcome::Unused);
             }
             AttemptOutcome::Unknown(UnknownCause::BrokenOff) => {
-                self.doubt(now, request, attempt);
+                self.request_probe(now, request, attempt);
             }
             // The end of a connection may get lost on the way, and shows as silence then.
             AttemptOutcome::Unknown(UnknownCause::TimedOut) => {
-                let last = self.doubted_at.get(&attempt.hash);
-                let is_due = last.is_none_or(|last| now.since(*last) >= SILENCE_PAUSE);
+                let last = self.probed_at.get(&attempt.hash);
+                let is_due = last.is_none_or(|last| now.since(*last) >= PROBE_INTERVAL);
                 if is_due || permit.is_some() {
-                    self.doubt(now, request, attempt);
+                    self.request_probe(now, request, attempt);
                 }
             }
             AttemptOutcome::Unknown(UnknownCause::WrongAnswer) => {
@@ -197,28 +199,28 @@
     }
 
     /// Notes that the upstream of an attempt may have ended.
-    fn doubt(&mut self, now: Time, request: &Request, attempt: &Attempt) {
-        self.doubted_at.insert(attempt.hash, now);
-        let run = RunOfRequest {
+    fn request_probe(&mut self, now: Time, request: &Request, attempt: &Attempt) {
+        self.probed_at.insert(attempt.hash, now);
+        let suspect = SuspectAttempt {
             upstream: attempt.hash,
-            run: attempt.run,
+            id: attempt.id,
             fingerprints: request.fingerprints,
             permit: attempt.permit,
         };
-        self.quarantine.broke_off(now, run);
-        let doubted = ProbeTarget {
+        self.quarantine.connection_lost(now, suspect);
+        let target = ProbeTarget {
             upstream: attempt.upstream.clone(),
             address: attempt.address,
         };
-        if !self.doubted.contains(&doubted) {
-            self.doubted.push(doubted);
+        if !self.probe_targets.contains(&target) {
+            self.probe_targets.push(target);
         }
     }
 
     /// Upstreams to which connections broke off, or fell silent, since the last call.
     /// Whether they ended decides whether their requests are suspected.
     pub fn take_probe_targets(&mut self) -> Vec<ProbeTarget> {
-        std::mem::take(&mut self.doubted)
+        std::mem::take(&mut self.probe_targets)
     }
 
     /// Requests that end upstreams, as known here.
@@ -231,7 +233,7 @@
         &mut self.quarantine
     }
 
-    pub(super) fn untouched(
+    pub(super) fn handle_not_executed(
         &self,
         now: Time,
         request: &mut Request,
@@ -245,12 +247,12 @@
             }
             // What is to be done about a request whose upstream rests is known at once.
             NotExecuted::Full if self.is_resting(now, attempt.hash) => {}
-            NotExecuted::Full => request.not_before = now + FULL_PAUSE,
+            NotExecuted::Full => request.not_before = now + FULL_BACKOFF,
             NotExecuted::Misdirected if request.key.is_some() => {
                 request.denied = Some(Denial {
                     holder: attempt.upstream.clone(),
                     assignment: self.assignment(request),
-                    until: now + DENIED_PAUSE,
+                    until: now + DENIAL_BACKOFF,
                 });
             }
             NotExecuted::Misdirected => {}
@@ -264,15 +266,16 @@
         request.wait_until = request.wait_until.max(now + half).min(request.deadline);
     }
 
-    pub(super) fn may_repeat(
+    pub(super) fn may_retry(
         &mut self,
         now: Time,
         request: &Request,
         outcome: AttemptOutcome,
     ) -> bool {
-        let proved = matches!(outcome, AttemptOutcome::NotExecuted(_)) && request.unknown.is_none();
-        let must_prove = self.config.requires_proof_before_retry && !request.route.repeatable;
-        if !proved && must_prove {
+        let is_proven =
+            matches!(outcome, AttemptOutcome::NotExecuted(_)) && request.unknown.is_none();
+        let requires_proof = self.config.requires_proof_before_retry && !request.route.repeatable;
+        if !is_proven && requires_proof {
             return false;
         }
         if request.arrivals >= request.route.max_attempts || now >= request.deadline {
@@ -281,7 +284,7 @@
         if request.arrivals == 0 {
             return true;
         }
-        let nodes = self.nodes.max(self.occupancy.peer_count() + 1);
+        let nodes = self.node_count.max(self.occupancy.peer_count() + 1);
         let budget = self.budgets.entry(request.service.clone()).or_default();
         budget.allows(&self.config.budget, now, nodes)
     }
--- a/crates/dispatch/src/dispatcher/pools.rs
+++ b/crates/dispatch/src/dispatcher/pools.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pools {
     /// State of the directory that this was made from.
-    made_of: Option<u64>,
+    directory_changes: Option<u64>,
     members: HashMap<ServiceName, Rc<[PoolMember]>>,
     /// When the last upstream of each service is warm.
     warm_at: HashMap<ServiceName, Time>,
@@ -28,11 +28,11 @@
 
 impl Pools {
     /// Follows the directory.
-    pub fn follow(&mut self, directory: &Directory) {
-        if self.made_of == Some(directory.changes()) {
+    pub fn update(&mut self, directory: &Directory) {
+        if self.directory_changes == Some(directory.changes()) {
             return;
         }
-        self.made_of = Some(directory.changes());
+        self.directory_changes = Some(directory.changes());
         let mut members: HashMap<ServiceName, Vec<PoolMember>> = HashMap::new();
         self.warm_at.clear();
         let ready = |one: &&Registration| {
--- a/crates/dispatch/src/dispatcher/reports.rs
+++ b/crates/dispatch/src/dispatcher/reports.rs
@@ -18,14 +18,14 @@
 
     /// When an upstream last answered a request of any node, as far as known.
     pub fn last_answer_at(&self, upstream: UpstreamHash) -> Option<Time> {
-        self.heard.get(&upstream).copied()
+        self.last_answers.get(&upstream).copied()
     }
 
     /// Forgets peers that fell silent.
     pub fn expire(&mut self, now: Time) {
         self.quarantine.expire(now);
         self.rests.expire(now);
-        self.rests_of_any.expire(now);
+        self.rests_at_any_node.expire(now);
         self.occupancy.expire(now);
         self.cold_starts.expire(now);
     }
@@ -41,7 +41,8 @@
                 requests: requests.min(u16::from(u8::MAX)) as u8,
             })
             .collect();
-        self.occupancy.reported(self.sequence, in_flight.clone());
+        self.occupancy
+            .record_own_report(self.sequence, in_flight.clone());
         LoadReport {
             node: NodeHash::of(&self.config.node),
             run: self.config.run as u32,
@@ -67,26 +68,26 @@
     /// Takes answers that other nodes had.
     pub fn apply_answers(&mut self, now: Time, answers: &[AnswerStats]) {
         for answers in answers {
-            self.heard.insert(answers.upstream, now);
+            self.last_answers.insert(answers.upstream, now);
             if answers.failures > 0 {
                 let failures = u32::from(answers.failures);
-                self.faults.note(now, answers.upstream, failures);
+                self.failures.record(now, answers.upstream, failures);
             }
             let count = f64::from(answers.samples);
             self.speeds
-                .add(answers.upstream, count, f64::from(answers.sum));
+                .add_samples(answers.upstream, count, f64::from(answers.sum));
         }
     }
 
     /// Answers that other nodes were not told of.
     pub fn take_answers(&mut self) -> Vec<AnswerStats> {
-        let untold = self.speeds.take_untold().into_iter();
-        untold
-            .map(|(upstream, untold)| AnswerStats {
+        let unreported = self.speeds.take_unreported().into_iter();
+        unreported
+            .map(|(upstream, unreported)| AnswerStats {
                 upstream,
-                samples: untold.count.min(u32::from(u8::MAX)) as u8,
-                sum: untold.sum as f32,
-                failures: untold.failures.min(u32::from(u8::MAX)) as u8,
+                samples: unreported.count.min(u32::from(u8::MAX)) as u8,
+                sum: unreported.sum as f32,
+                failures: unreported.failures.min(u32::from(u8::MAX)) as u8,
             })
             .collect()
     }
@@ -110,7 +111,7 @@
 
     /// Takes speeds that an earlier process learned.
     pub fn restore_speeds(&mut self, record: &SpeedRecord) {
-        self.speeds.adopt(record);
+        self.speeds.restore(record);
     }
 
     /// Learned speeds.
--- a/crates/dispatch/src/dispatcher/resting.rs
+++ b/crates/dispatch/src/dispatcher/resting.rs
@@ -18,18 +18,19 @@
     /// An upstream turned a request away and asked this node for rest.
     pub fn begin_rest(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
         if self.config.honors_rests {
-            self.rests.asked(now, UpstreamHash::of(upstream), rest);
+            self.rests.begin(now, UpstreamHash::of(upstream), rest);
         }
     }
 
     /// An upstream asked some node for rest. That binds this node in nothing.
     pub fn note_rest_elsewhere(&mut self, now: Time, upstream: UpstreamHash, rest: Duration) {
-        self.rests_of_any.asked(now, upstream, rest + PROBATION);
+        self.rests_at_any_node
+            .begin(now, upstream, rest + PROBATION);
     }
 
     /// Whether an upstream asked some node for rest, as far as known, of late.
     pub fn rests_for_any_node(&self, now: Time, upstream: UpstreamHash) -> bool {
-        self.rests_of_any.until(now, upstream).is_some()
+        self.rests_at_any_node.until(now, upstream).is_some()
     }
 
     /// How many upstreams asked this node for rest that is not over.
--- a/crates/dispatch/src/dispatcher/slots.rs
+++ b/crates/dispatch/src/dispatcher/slots.rs
@@ -7,7 +7,7 @@
 //! zone, where to send it. The relay counts what it gave out until the node reports
 //! it.
 //!
-//! A node that gets no answer within [`SLOT_WAIT`] chooses by itself: a relay that
+//! A node that gets no answer within [`RELAY_TIMEOUT`] chooses by itself: a relay that
 //! is lost costs its zone that wait, and no request.
 
 use super::choice::Query;
@@ -22,16 +22,16 @@
 
 /// How long the relay's answer is waited for: some round trips within a zone, and a
 /// turn of a relay that has little processor time.
-pub(super) const SLOT_WAIT: Duration = Duration::from_millis(40);
+pub(super) const RELAY_TIMEOUT: Duration = Duration::from_millis(40);
 /// Answers that stay out one after the other until a relay is not asked for a while.
-const MOST_UNANSWERED: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 /// How long that while is.
-const ASK_NOBODY: Duration = Duration::from_millis(300);
+const RELAY_BACKOFF: Duration = Duration::from_millis(300);
 /// Pause before the relay is asked again when it had no slot.
-pub(super) const NO_SLOT_PAUSE: Duration = Duration::from_millis(30);
+pub(super) const NO_SLOT_BACKOFF: Duration = Duration::from_millis(30);
 /// How long an upstream that a node could not reach is given to others only if
 /// they are much busier.
-const SUSPECT: Duration = Duration::from_millis(400);
+const UNREACHABLE_FOR: Duration = Duration::from_millis(400);
 
 /// Asks a relay which upstream a request is to be sent to.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -66,11 +66,11 @@
 pub(super) enum SlotState {
     /// The relay was not asked.
     #[default]
-    Unasked,
+    NotAsked,
     /// It was, and is waited for until then.
     Asked(Time),
     /// It named an upstream.
-    Given(UpstreamHash),
+    Allocated(UpstreamHash),
     /// It had none.
     Refused,
     /// It did not answer: this node chooses by itself.
@@ -98,34 +98,34 @@
     pub counts: SlotCounts,
     unanswered: u32,
     ask_from: Time,
-    suspects: HashMap<UpstreamHash, Time>,
+    unreachable_until: HashMap<UpstreamHash, Time>,
 }
 
 impl SlotTracker {
-    fn is_asked(&self, now: Time) -> bool {
+    fn may_ask(&self, now: Time) -> bool {
         self.has_relay && now >= self.ask_from
     }
 
     fn note_unanswered(&mut self, now: Time) {
         self.counts.unanswered += 1;
         self.unanswered += 1;
-        if self.unanswered >= MOST_UNANSWERED {
+        if self.unanswered >= MAX_UNANSWERED {
             self.unanswered = 0;
-            self.ask_from = now + ASK_NOBODY;
+            self.ask_from = now + RELAY_BACKOFF;
         }
     }
 
     /// Whether another node could not reach the upstream of late.
-    pub fn is_suspect(&self, now: Time, upstream: UpstreamHash) -> bool {
-        self.suspects
+    pub fn is_reported_unreachable(&self, now: Time, upstream: UpstreamHash) -> bool {
+        self.unreachable_until
             .get(&upstream)
             .is_some_and(|until| now < *until)
     }
 
-    fn suspect(&mut self, now: Time, upstreams: &[UpstreamHash]) {
-        self.suspects.retain(|_, until| now < *until);
-        let until = now + SUSPECT;
-        self.suspects
+    fn note_unreachable(&mut self, now: Time, upstreams: &[UpstreamHash]) {
+        self.unreachable_until.retain(|_, until| now < *until);
+        let until = now + UNREACHABLE_FOR;
+        self.unreachable_until
             .extend(upstreams.iter().map(|upstream| (*upstream, until)));
     }
 }
@@ -158,8 +158,8 @@
     pub(super) fn slot_step(&mut self, now: Time, request: &mut Request) -> SlotStep {
         match request.slot {
             SlotState::Refused if now >= request.wait_until => SlotStep::GiveUp,
-            SlotState::Unasked | SlotState::Refused if self.slots.is_asked(now) => {
-                request.slot = SlotState::Asked(now + SLOT_WAIT);
+            SlotState::NotAsked | SlotState::Refused if self.slots.may_ask(now) => {
+                request.slot = SlotState::Asked(now + RELAY_TIMEOUT);
                 SlotStep::Ask
             }
             SlotState::Asked(until) if now < until => SlotStep::Wait,
@@ -168,8 +168,8 @@
                 request.slot = SlotState::Unanswered;
                 SlotStep::Choose
             }
-            SlotState::Given(upstream) => SlotStep::Use(upstream),
-            SlotState::Unasked | SlotState::Refused | SlotState::Unanswered => SlotStep::Choose,
+            SlotState::Allocated(upstream) => SlotStep::Use(upstream),
+            SlotState::NotAsked | SlotState::Refused | SlotState::Unanswered => SlotStep::Choose,
         }
     }
 
@@ -195,7 +195,7 @@
             report: self.load_report(Vec::new()),
             service: request.service.clone(),
             work_us: (query.work * 1e6) as u32,
-            left_ms: (query.left * 1e3) as u32,
+            left_ms: (query.time_left * 1e3) as u32,
             excluded,
             unreachable,
         }
@@ -208,20 +208,21 @@
         directory: &Directory,
         request: &SlotRequest,
     ) -> SlotReply {
-        self.pools.follow(directory);
+        self.pools.update(directory);
         self.slots.counts.asked_here += 1;
-        self.slots.suspect(now, &request.unreachable);
+        self.slots.note_unreachable(now, &request.unreachable);
         let query = Query {
             work: f64::from(request.work_us) / 1e6,
-            left: f64::from(request.left_ms) / 1e3,
+            time_left: f64::from(request.left_ms) / 1e3,
             tried: &request.excluded,
-            is_others: true,
+            is_for_peer: true,
         };
         let pool = self.pools.of(&request.service);
         let member = self.least_cost(now, &query, &pool);
         let upstream = member.map(|member| member.hash);
         if let Some(upstream) = upstream {
-            self.occupancy.given(now, request.report.node, upstream);
+            self.occupancy
+                .slot_allocated(now, request.report.node, upstream);
         }
         SlotReply {
             ticket: request.ticket,
@@ -241,12 +242,12 @@
         match reply.upstream {
             Some(upstream) => {
                 self.slots.counts.given += 1;
-                request.slot = SlotState::Given(upstream);
+                request.slot = SlotState::Allocated(upstream);
             }
             None => {
                 self.slots.counts.refused += 1;
                 request.slot = SlotState::Refused;
-                request.not_before = now + NO_SLOT_PAUSE;
+                request.not_before = now + NO_SLOT_BACKOFF;
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/absences.rs
+++ b/crates/dispatch/src/dispatcher/unheld_keys.rs
@@ -11,55 +11,55 @@
 use std::time::Duration;
 
 /// Absences that are remembered, the latest ones.
-const REMEMBERED: usize = 64;
+const MAX_OBSERVED: usize = 64;
 /// Taken to have been observed before any was: a move (0.4 s from release to grant at 78
 /// machines), and the loss of a holder (a hold of 3 s and the time to notice).
-const PRIOR: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(4_000)];
+const PRIOR_DURATIONS: [Duration; 2] = [Duration::from_millis(400), Duration::from_millis(4_000)];
 
 /// A range of keys without a holder, by its first key.
 #[derive(Clone, Copy, Debug)]
-struct Absence {
+struct UnheldRange {
     last: ShardKey,
     since: Time,
 }
 
 /// The keys without a holder, and how long others were.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Absences {
-    current: HashMap<ServiceName, BTreeMap<ShardKey, Absence>>,
+pub(super) struct UnheldKeys {
+    current: HashMap<ServiceName, BTreeMap<ShardKey, UnheldRange>>,
     /// How long keys were without a holder, the oldest first.
-    lasted: VecDeque<Duration>,
+    durations: VecDeque<Duration>,
 }
 
-impl Absences {
+impl UnheldKeys {
     /// Takes the newest assignment of a service.
-    pub fn follow(&mut self, now: Time, service: &ServiceName, assignment: &Assignment) {
+    pub fn update(&mut self, now: Time, service: &ServiceName, assignment: &Assignment) {
         let before = self.current.remove(service).unwrap_or_default();
         let is_held = |state: &SliceState| matches!(state, SliceState::Held { .. });
-        for (first, absence) in &before {
+        for (first, range) in &before {
             let slice = assignment.slice(*first);
             if slice.is_some_and(|slice| is_held(&slice.state)) {
-                self.remember(now.since(absence.since));
+                self.record_duration(now.since(range.since));
             }
         }
-        let absent = assignment.slices().filter(|slice| !is_held(&slice.state));
-        let absent = absent.map(|slice| {
-            let known = absence_of(&before, slice.range.first);
-            let absence = Absence {
+        let unheld = assignment.slices().filter(|slice| !is_held(&slice.state));
+        let unheld = unheld.map(|slice| {
+            let known = range_of(&before, slice.range.first);
+            let range = UnheldRange {
                 last: slice.range.last,
                 since: known.map_or(now, |known| known.since),
             };
-            (slice.range.first, absence)
+            (slice.range.first, range)
         });
-        let absent: BTreeMap<ShardKey, Absence> = absent.collect();
-        self.current.insert(service.clone(), absent);
+        let unheld: BTreeMap<ShardKey, UnheldRange> = unheld.collect();
+        self.current.insert(service.clone(), unheld);
     }
 
-    fn remember(&mut self, lasted: Duration) {
-        if self.lasted.len() == REMEMBERED {
-            self.lasted.pop_front();
+    fn record_duration(&mut self, duration: Duration) {
+        if self.durations.len() == MAX_OBSERVED {
+            self.durations.pop_front();
         }
-        self.lasted.push_back(lasted);
+        self.durations.push_back(duration);
     }
 
     /// How long a key is likely to be without a holder from `now` on: the median of those
@@ -67,11 +67,11 @@
     /// taken to be half way.
     pub fn remaining(&self, now: Time, service: &ServiceName, key: ShardKey) -> Duration {
         let current = self.current.get(service);
-        let absence = current.and_then(|current| absence_of(current, key));
-        let elapsed = absence.map_or(Duration::ZERO, |absence| now.since(absence.since));
-        let observed = self.lasted.iter().copied();
-        let all = observed.chain(PRIOR);
-        let mut longer: Vec<Duration> = all.filter(|lasted| *lasted > elapsed).collect();
+        let range = current.and_then(|current| range_of(current, key));
+        let elapsed = range.map_or(Duration::ZERO, |range| now.since(range.since));
+        let observed = self.durations.iter().copied();
+        let all = observed.chain(PRIOR_DURATIONS);
+        let mut longer: Vec<Duration> = all.filter(|duration| *duration > elapsed).collect();
         longer.sort();
         match longer.get(longer.len().saturating_sub(1) / 2) {
             Some(median) => *median - elapsed,
@@ -80,7 +80,7 @@
     }
 }
 
-fn absence_of(absences: &BTreeMap<ShardKey, Absence>, key: ShardKey) -> Option<&Absence> {
-    let (_, absence) = absences.range(..=key).next_back()?;
-    (key <= absence.last).then_some(absence)
+fn range_of(ranges: &BTreeMap<ShardKey, UnheldRange>, key: ShardKey) -> Option<&UnheldRange> {
+    let (_, range) = ranges.range(..=key).next_back()?;
+    (key <= range.last).then_some(range)
 }
--- a/crates/dispatch/src/occupancy.rs
+++ b/crates/dispatch/src/occupancy.rs
@@ -15,29 +15,29 @@
 use std::time::Duration;
 
 /// What has not been reported again for this long no longer counts.
-const FORGET: Duration = Duration::from_millis(1_500);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 /// Between looks for nodes and sums that fell silent.
-const EXPIRE_PAUSE: Duration = Duration::from_millis(100);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 /// A report that comes sooner than this after a slot was given out may not tell of
 /// the request that it was for.
-const GIVEN_UNSEEN: Duration = Duration::from_millis(8);
+const ALLOCATION_GRACE: Duration = Duration::from_millis(8);
 /// Own reports that may come back within a sum.
-const OWN_REPORTS: usize = 24;
+const MAX_OWN_REPORTS: usize = 24;
 
 #[derive(Clone, Debug)]
 struct Peer {
     run: u32,
     sequence: u32,
-    heard: Time,
+    received_at: Time,
     in_flight: Vec<InFlight>,
     /// Slots that were given to this node and that it has not reported yet.
-    given: Vec<(Time, UpstreamHash)>,
+    allocated: Vec<(Time, UpstreamHash)>,
 }
 
 #[derive(Clone, Debug)]
 struct SumPart {
     parts: u8,
-    heard: Time,
+    received_at: Time,
     in_flight: Vec<InFlight>,
 }
 
@@ -101,12 +101,12 @@
     }
 
     /// Keeps what this node reported, so that it can be told from a sum.
-    pub fn reported(&mut self, sequence: u32, in_flight: Vec<InFlight>) {
+    pub fn record_own_report(&mut self, sequence: u32, in_flight: Vec<InFlight>) {
         self.own_reports.push_back(OwnReport {
             sequence,
             in_flight,
         });
-        if self.own_reports.len() > OWN_REPORTS {
+        if self.own_reports.len() > MAX_OWN_REPORTS {
             self.own_reports.pop_front();
         }
     }
@@ -116,34 +116,34 @@
         let peer = self.peers.entry(report.node).or_insert(Peer {
             run: report.run,
             sequence: 0,
-            heard: now,
+            received_at: now,
             in_flight: Vec::new(),
-            given: Vec::new(),
+            allocated: Vec::new(),
         });
-        let older = peer.run == report.run && report.sequence <= peer.sequence;
-        if older {
+        let is_stale = peer.run == report.run && report.sequence <= peer.sequence;
+        if is_stale {
             return;
         }
         peer.run = report.run;
         peer.sequence = report.sequence;
-        peer.heard = now;
+        peer.received_at = now;
         let before = std::mem::replace(&mut peer.in_flight, report.in_flight.clone());
         subtract(&mut self.others, &before);
         add(&mut self.others, &report.in_flight);
         let others = &mut self.others;
-        peer.given.retain(|(at, upstream)| {
-            let unseen = now.since(*at) < GIVEN_UNSEEN;
-            if !unseen {
-                take_one(others, *upstream);
+        peer.allocated.retain(|(at, upstream)| {
+            let is_unreported = now.since(*at) < ALLOCATION_GRACE;
+            if !is_unreported {
+                subtract_one(others, *upstream);
             }
-            unseen
+            is_unreported
         });
     }
 
     /// Counts a slot that was given to another node until that node reports.
-    pub fn given(&mut self, now: Time, node: NodeHash, upstream: UpstreamHash) {
+    pub fn slot_allocated(&mut self, now: Time, node: NodeHash, upstream: UpstreamHash) {
         if let Some(peer) = self.peers.get_mut(&node) {
-            peer.given.push((now, upstream));
+            peer.allocated.push((now, upstream));
             *self.others.entry(upstream).or_default() += 1;
         }
     }
@@ -156,7 +156,7 @@
         let in_flight = self.without_own(own, sum);
         let part = SumPart {
             parts: sum.parts,
-            heard: now,
+            received_at: now,
             in_flight,
         };
         let key = (source, sum.part);
@@ -198,7 +198,7 @@
         }
         for peer in self.peers.values() {
             add(&mut counts, &peer.in_flight);
-            for (_, upstream) in &peer.given {
+            for (_, upstream) in &peer.allocated {
                 *counts.entry(*upstream).or_default() += 1;
             }
         }
@@ -221,19 +221,19 @@
         if now < self.expire_at {
             return;
         }
-        self.expire_at = now + EXPIRE_PAUSE;
+        self.expire_at = now + EXPIRY_INTERVAL;
         let others = &mut self.others;
         self.peers.retain(|_, peer| {
-            let keep = now.since(peer.heard) < FORGET;
+            let keep = now.since(peer.received_at) < REPORT_LIFETIME;
             if !keep {
                 subtract(others, &peer.in_flight);
-                for (_, upstream) in &peer.given {
-                    take_one(others, *upstream);
+                for (_, upstream) in &peer.allocated {
+                    subtract_one(others, *upstream);
                 }
             }
             keep
         });
-        self.drop_parts(|_, part| now.since(part.heard) >= FORGET);
+        self.drop_parts(|_, part| now.since(part.received_at) >= REPORT_LIFETIME);
     }
 
     fn drop_parts(&mut self, drops: impl Fn((SumSource, u8), &SumPart) -> bool) {
@@ -271,7 +271,7 @@
     }
 }
 
-fn take_one(sums: &mut HashMap<UpstreamHash, u32>, upstream: UpstreamHash) {
+fn subtract_one(sums: &mut HashMap<UpstreamHash, u32>, upstream: UpstreamHash) {
     let one = InFlight {
         upstream,
         requests: 1,
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -12,7 +12,7 @@
 //! things, or hear them twice, makes no difference.
 
 mod lender;
-mod standing;
+mod status;
 mod suspect;
 mod trials;
 
@@ -22,31 +22,31 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use lender::Lender;
 pub use lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
-pub(crate) use standing::Standing;
+pub(crate) use status::RequestStatus;
 use std::collections::HashMap;
 use std::time::Duration;
 pub use suspect::{AttemptHash, Suspicion, UPSTREAMS_BEFORE_QUARANTINE};
-use suspect::{Learned, Suspect};
-use trials::OwnTrials;
+use suspect::{MergeOutcome, Suspect};
+use trials::LocalTrials;
 pub(crate) use trials::TrialStep;
 
 /// Most fingerprints that are remembered, some 300 bytes each. The least suspected ones
 /// give way: one that ends upstreams is told of again with each further end, and comes back
 /// with all of them as soon as a node that remembers it tells.
-const MOST_SUSPECTS: usize = 1_024;
+const MAX_SUSPECTS: usize = 1_024;
 /// Between two looks for what is too old. Each goes through all suspects, which a node is not
 /// to do at every tick (30 ms) while there are many. What is remembered for a second more
 /// than its time harms nobody.
-const EXPIRE_PAUSE: Duration = Duration::from_secs(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Suspects that are kept in the store have ended with their upstreams so often. What one
 /// end tells is lost with the processes that saw it, and most of what it tells is of
 /// bystanders.
-const RECORDED_FROM: usize = 2;
+const MIN_RECORDED_ATTEMPTS: usize = 2;
 /// Most suspects in the store's record.
-const MOST_RECORDED: usize = 256;
+const MAX_RECORDED: usize = 256;
 /// How long it may take to learn whether an upstream ended when a connection to it broke
 /// off: the time after which its registration lapses at the latest.
-const PROOF_WAIT: Duration = Duration::from_secs(10);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Suspicions as they outlive the processes that found them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspicionRecord {
@@ -93,15 +93,15 @@
 
 /// One attempt, as far as it matters here.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RunOfRequest {
+pub(crate) struct SuspectAttempt {
     pub upstream: UpstreamHash,
-    pub run: AttemptHash,
+    pub id: AttemptHash,
     pub fingerprints: Fingerprints,
     /// The fingerprint of whose permit it was sent.
     pub permit: Option<Fingerprint>,
 }
 
-impl RunOfRequest {
+impl SuspectAttempt {
     /// Whether no other run of that fingerprint was under way. One that is alone with its
     /// content is alone with its caller, too.
     fn is_trial_of(&self, fingerprint: Fingerprint) -> bool {
@@ -112,15 +112,15 @@
 
 /// A connection broke off; whether its upstream ended is not known yet.
 #[derive(Clone, Copy, Debug)]
-struct Unproved {
-    run: RunOfRequest,
+struct UnconfirmedTermination {
+    attempt: SuspectAttempt,
     at: Time,
 }
 
 /// A suspicion told something new.
-struct News {
+struct Merged {
     /// What a line is written of, if of anything.
-    notice: Option<QuarantineEvent>,
+    event: Option<QuarantineEvent>,
 }
 
 /// What one node knows of requests that end upstreams.
@@ -128,65 +128,67 @@
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     /// The oldest first.
-    unproved: Vec<Unproved>,
-    trials: OwnTrials,
+    unconfirmed: Vec<UnconfirmedTermination>,
+    trials: LocalTrials,
     lender: Lender,
-    untold: Vec<Suspicion>,
+    local_suspicions: Vec<Suspicion>,
     /// All that was news here, whoever found it.
-    news: Vec<Suspicion>,
-    notices: Vec<QuarantineEvent>,
+    new_suspicions: Vec<Suspicion>,
+    events: Vec<QuarantineEvent>,
     expire_at: Time,
 }
 
 impl Quarantine {
     /// A quarantine that knows nothing. Questions of different processes of one node are
     /// told apart by numbers that go on from different ones.
-    pub(crate) fn numbered_from(number: u32) -> Self {
+    pub(crate) fn with_first_number(number: u32) -> Self {
         let mut quarantine = Self::default();
-        quarantine.trials.begin_after(number);
+        quarantine.trials.set_last_number(number);
         quarantine
     }
 
     /// The connection of a request to an upstream broke off, or fell silent.
-    pub(crate) fn broke_off(&mut self, now: Time, run: RunOfRequest) {
-        if self.unproved.len() >= MOST_SUSPECTS {
-            self.unproved.remove(0);
+    pub(crate) fn connection_lost(&mut self, now: Time, attempt: SuspectAttempt) {
+        if self.unconfirmed.len() >= MAX_SUSPECTS {
+            self.unconfirmed.remove(0);
         }
-        self.unproved.push(Unproved { run, at: now });
+        self.unconfirmed
+            .push(UnconfirmedTermination { attempt, at: now });
     }
 
     /// An upstream has ended. Requests whose connections to it broke off are suspected.
     pub fn upstream_terminated(&mut self, now: Time, upstream: UpstreamHash) {
-        for run in self.take_unproved(upstream) {
-            for fingerprint in run.fingerprints.both() {
+        for attempt in self.take_unconfirmed(upstream) {
+            for fingerprint in attempt.fingerprints.both() {
                 let suspicion = Suspicion {
                     fingerprint,
                     upstream,
-                    run: run.run,
-                    is_trial: run.is_trial_of(fingerprint),
+                    attempt: attempt.id,
+                    is_trial: attempt.is_trial_of(fingerprint),
                     is_cleared: false,
                 };
-                self.find(now, suspicion);
+                self.record_local(now, suspicion);
             }
-            self.end_trial(run.permit, TrialOutcome::UpstreamTerminated);
+            self.end_trial(attempt.permit, TrialOutcome::UpstreamTerminated);
         }
     }
 
     /// An upstream lives: connections to it broke off for another reason.
     pub fn upstream_alive(&mut self, upstream: UpstreamHash) {
-        for run in self.take_unproved(upstream) {
-            self.end_trial(run.permit, TrialOutcome::Unknown);
+        for attempt in self.take_unconfirmed(upstream) {
+            self.end_trial(attempt.permit, TrialOutcome::Unknown);
         }
     }
 
-    fn take_unproved(&mut self, upstream: UpstreamHash) -> Vec<RunOfRequest> {
-        let is_meant = |unproved: &mut Unproved| unproved.run.upstream == upstream;
-        let taken = self.unproved.extract_if(.., is_meant);
-        taken.map(|unproved| unproved.run).collect()
+    fn take_unconfirmed(&mut self, upstream: UpstreamHash) -> Vec<SuspectAttempt> {
+        let is_meant =
+            |unconfirmed: &mut UnconfirmedTermination| unconfirmed.attempt.upstream == upstream;
+        let taken = self.unconfirmed.extract_if(.., is_meant);
+        taken.map(|unconfirmed| unconfirmed.attempt).collect()
     }
 
     /// An upstream ran a request to a good end: it is no cause of ends.
-    pub(crate) fn succeeded(&mut self, now: Time, fingerprints: Fingerprints) {
+    pub(crate) fn request_succeeded(&mut self, now: Time, fingerprints: Fingerprints) {
         for fingerprint in fingerprints.both() {
             self.clear(now, fingerprint);
         }
@@ -198,58 +200,58 @@
                 is_cleared: true,
                 ..suspicion
             };
-            self.find(now, cleared);
+            self.record_local(now, cleared);
         }
     }
 
     /// Joins what this node found itself, and has it told.
-    fn find(&mut self, now: Time, suspicion: Suspicion) {
-        let Some(news) = self.join(now, suspicion) else {
+    fn record_local(&mut self, now: Time, suspicion: Suspicion) {
+        let Some(merged) = self.merge_suspicion(now, suspicion) else {
             return;
         };
-        self.notices.extend(news.notice);
-        self.untold.push(suspicion);
+        self.events.extend(merged.event);
+        self.local_suspicions.push(suspicion);
     }
 
     /// Joins what another node, or the store, tells. Whoever found it wrote the line about
     /// it: with one at each node that hears of it, the ends of one zone's upstreams filled
     /// the log of every node.
     pub fn merge(&mut self, now: Time, suspicion: Suspicion) {
-        let Some(news) = self.join(now, suspicion) else {
+        let Some(merged) = self.merge_suspicion(now, suspicion) else {
             return;
         };
-        let is_kept_off =
-            |notice: &QuarantineEvent| matches!(notice, QuarantineEvent::Quarantined { .. });
-        self.notices.extend(news.notice.filter(is_kept_off));
+        let is_quarantined =
+            |event: &QuarantineEvent| matches!(event, QuarantineEvent::Quarantined { .. });
+        self.events.extend(merged.event.filter(is_quarantined));
     }
 
     /// Joins a suspicion; none if it told nothing new.
-    fn join(&mut self, now: Time, suspicion: Suspicion) -> Option<News> {
+    fn merge_suspicion(&mut self, now: Time, suspicion: Suspicion) -> Option<Merged> {
         let fingerprint = suspicion.fingerprint;
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_if_full();
         }
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let learned = suspect.learn(now, &suspicion);
-        let notice = match learned {
-            Learned::Nothing => return None,
-            Learned::Ended => Some(suspect.notice(&suspicion)),
-            Learned::Cleared { is_wholly } => {
-                is_wholly.then_some(QuarantineEvent::Cleared { fingerprint })
+        let outcome = suspect.merge(now, &suspicion);
+        let event = match outcome {
+            MergeOutcome::Unchanged => return None,
+            MergeOutcome::NewTermination => Some(suspect.event(&suspicion)),
+            MergeOutcome::Cleared { is_complete } => {
+                is_complete.then_some(QuarantineEvent::Cleared { fingerprint })
             }
         };
-        self.news.push(suspicion);
-        Some(News { notice })
+        self.new_suspicions.push(suspicion);
+        Some(Merged { event })
     }
 
     /// Forgets the least suspected one, of these the one known longest, when there are too
     /// many.
-    fn make_room(&mut self) {
-        if self.suspects.len() < MOST_SUSPECTS {
+    fn evict_if_full(&mut self) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let suspects = self.suspects.iter();
-        let least = suspects.min_by_key(|(_, suspect)| (suspect.runs(), suspect.since));
+        let least = suspects.min_by_key(|(_, suspect)| (suspect.attempts(), suspect.since));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&fingerprint);
         }
@@ -275,17 +277,17 @@
 
     /// What this node found since the last call.
     pub fn take_local_suspicions(&mut self) -> Vec<Suspicion> {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.local_suspicions)
     }
 
     /// What was news here since the last call, whoever found it.
     pub fn take_new_suspicions(&mut self) -> Vec<Suspicion> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.new_suspicions)
     }
 
     /// What became known since the last call.
     pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
-        std::mem::take(&mut self.notices)
+        std::mem::take(&mut self.events)
     }
 
     /// Forgets what is too old.
@@ -294,11 +296,10 @@
         if now < self.expire_at {
             return;
         }
-        self.expire_at = now + EXPIRE_PAUSE;
-        self.unproved
-            .retain(|unproved| now.since(unproved.at) < PROOF_WAIT);
-        self.suspects
-            .retain(|_, suspect| !suspect.is_forgotten(now));
+        self.expire_at = now + EXPIRY_INTERVAL;
+        self.unconfirmed
+            .retain(|unconfirmed| now.since(unconfirmed.at) < CONFIRMATION_TIMEOUT);
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         self.lender.expire(now);
     }
 
@@ -312,13 +313,14 @@
     /// What is worth keeping in the store: the most suspected.
     pub fn record(&self) -> SuspicionRecord {
         let suspects = self.suspects.iter();
-        let mut worth: Vec<(usize, Fingerprint)> = suspects
-            .map(|(fingerprint, suspect)| (suspect.runs(), *fingerprint))
-            .filter(|(ended, _)| *ended >= RECORDED_FROM)
+        let mut recorded: Vec<(usize, Fingerprint)> = suspects
+            .map(|(fingerprint, suspect)| (suspect.attempts(), *fingerprint))
+            .filter(|(attempts, _)| *attempts >= MIN_RECORDED_ATTEMPTS)
             .collect();
-        worth.sort_by_key(|(ended, fingerprint)| (std::cmp::Reverse(*ended), *fingerprint));
-        worth.truncate(MOST_RECORDED);
-        let suspicions = worth
+        recorded
+            .sort_by_key(|(attempts, fingerprint)| (std::cmp::Reverse(*attempts), *fingerprint));
+        recorded.truncate(MAX_RECORDED);
+        let suspicions = recorded
             .into_iter()
             .flat_map(|(_, fingerprint)| self.suspicions_of(fingerprint));
         let mut suspicions: Vec<Suspicion> = suspicions.collect();
@@ -329,8 +331,8 @@
     /// Fingerprints that are suspected, and those that are kept off.
     pub fn counts(&self, now: Time) -> (usize, usize) {
         let suspects = self.suspects.values();
-        let suspected = suspects.clone().filter(|suspect| suspect.runs() > 0);
-        let kept_off = suspects.filter(|suspect| suspect.remaining(now).is_some());
-        (suspected.count(), kept_off.count())
+        let suspected = suspects.clone().filter(|suspect| suspect.attempts() > 0);
+        let quarantined = suspects.filter(|suspect| suspect.remaining(now).is_some());
+        (suspected.count(), quarantined.count())
     }
 }
--- a/crates/dispatch/src/quarantine/lender.rs
+++ b/crates/dispatch/src/quarantine/lender.rs
@@ -18,20 +18,20 @@
 
 /// How long after the end of a trial's time its outcome may still come: the proof whether
 /// an upstream ended, and the way here.
-const OUTCOME_WAIT: Duration = Duration::from_secs(1);
+const OUTCOME_GRACE: Duration = Duration::from_secs(1);
 /// Pause after a trial whose outcome stayed unknown; the next ones in a row are
-/// [`PAUSE_GROWTH`] times as long each. In a hundred seconds four such trials are made.
-const UNKNOWN_PAUSE: Duration = Duration::from_secs(1);
+/// [`BACKOFF_FACTOR`] times as long each. In a hundred seconds four such trials are made.
+const UNKNOWN_BACKOFF: Duration = Duration::from_secs(1);
 /// How much longer each further such pause is.
-const PAUSE_GROWTH: u32 = 8;
+const BACKOFF_FACTOR: u32 = 8;
 /// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10 * 60);
+const MAX_BACKOFF: Duration = Duration::from_secs(10 * 60);
 /// Trials in a row that were answered, if only with failures, and that their upstreams
 /// outlived: enough to clear a request that never gets a success, such as of something that
 /// is not there.
 const ANSWERED_TRIALS: u32 = 3;
 /// How long nothing has to be heard of a request for the lender to forget it.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20 * 60);
+const RETENTION: Duration = Duration::from_secs(20 * 60);
 
 /// Asks for a permit.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -101,25 +101,25 @@
 #[derive(Clone, Debug, Default)]
 struct Trials {
     permit: Option<Permit>,
-    pause_until: Time,
+    backoff_until: Time,
     /// Trials in a row whose outcome stayed unknown.
     unknown: u32,
     /// Trials in a row that were answered.
     answered: u32,
-    heard: Time,
+    last_activity: Time,
 }
 
 impl Trials {
-    fn end_unknown(&mut self, now: Time) {
-        let pause = UNKNOWN_PAUSE * PAUSE_GROWTH.saturating_pow(self.unknown.min(4));
-        self.pause_until = now + pause.min(LONGEST_PAUSE);
+    fn record_unknown(&mut self, now: Time) {
+        let backoff = UNKNOWN_BACKOFF * BACKOFF_FACTOR.saturating_pow(self.unknown.min(4));
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
         self.unknown += 1;
     }
 
-    fn lapse(&mut self, now: Time) {
+    fn expire_permit(&mut self, now: Time) {
         if self.permit.is_some_and(|permit| now >= permit.until) {
             self.permit = None;
-            self.end_unknown(now);
+            self.record_unknown(now);
         }
     }
 }
@@ -135,37 +135,37 @@
     /// so one that asks again did not get the answer, or its report is on its way.
     pub fn lend(&mut self, now: Time, request: &TrialRequest) -> bool {
         let trials = self.trials.entry(request.fingerprint).or_default();
-        trials.heard = now;
-        trials.lapse(now);
+        trials.last_activity = now;
+        trials.expire_permit(now);
         let is_others = |permit: Permit| permit.node != request.node;
-        if trials.permit.is_some_and(is_others) || now < trials.pause_until {
+        if trials.permit.is_some_and(is_others) || now < trials.backoff_until {
             return false;
         }
         let lasts = Duration::from_millis(u64::from(request.timeout_ms));
         trials.permit = Some(Permit {
             node: request.node,
             number: request.number,
-            until: now + lasts + OUTCOME_WAIT,
+            until: now + lasts + OUTCOME_GRACE,
         });
         true
     }
 
     /// Takes the outcome of a trial; whether the request has been answered often enough to
     /// be cleared.
-    pub fn take(&mut self, now: Time, report: &TrialReport) -> bool {
+    pub fn handle_report(&mut self, now: Time, report: &TrialReport) -> bool {
         let Some(trials) = self.trials.get_mut(&report.fingerprint) else {
             return false;
         };
-        let is_meant =
+        let is_current =
             |permit: Permit| permit.node == report.node && permit.number == report.number;
-        if !trials.permit.is_some_and(is_meant) {
+        if !trials.permit.is_some_and(is_current) {
             return false;
         }
-        trials.heard = now;
+        trials.last_activity = now;
         trials.permit = None;
         match report.outcome {
             TrialOutcome::Unused => {}
-            TrialOutcome::Unknown => trials.end_unknown(now),
+            TrialOutcome::Unknown => trials.record_unknown(now),
             TrialOutcome::UpstreamTerminated => {
                 trials.unknown = 0;
                 trials.answered = 0;
@@ -181,6 +181,6 @@
     /// Forgets requests that nobody asked for lately.
     pub fn expire(&mut self, now: Time) {
         self.trials
-            .retain(|_, trials| now.since(trials.heard) < FORGOTTEN_AFTER);
+            .retain(|_, trials| now.since(trials.last_activity) < RETENTION);
     }
 }
--- a/crates/dispatch/src/quarantine/standing.rs
+++ b/crates/dispatch/src/quarantine/status.rs
@@ -2,7 +2,7 @@
 //! and at the one that lends the permits.
 
 use super::lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
-use super::trials::{TrialStep, USE_WITHIN};
+use super::trials::{PERMIT_LIFETIME, TrialStep};
 use super::{Quarantine, QuarantineEvent};
 use crate::fingerprint::{Fingerprint, Fingerprints};
 use crate::report::NodeHash;
@@ -11,27 +11,27 @@
 
 /// What a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum RequestStatus {
     /// It is sent as any other.
-    Free,
+    Clear,
     /// It needs a permit for this fingerprint.
     OnTrial(Fingerprint),
     /// It is refused for that long.
-    KeptOff(Duration),
+    Quarantined(Duration),
 }
 
 impl Quarantine {
     /// What a request may do now.
-    pub(crate) fn standing(&self, now: Time, fingerprints: Fingerprints) -> Standing {
+    pub(crate) fn status(&self, now: Time, fingerprints: Fingerprints) -> RequestStatus {
         if let Some(remaining) = self.remaining(now, fingerprints) {
-            return Standing::KeptOff(remaining);
+            return RequestStatus::Quarantined(remaining);
         }
         let is_suspected = |fingerprint: &Fingerprint| {
             let suspect = self.suspects.get(fingerprint);
-            suspect.is_some_and(|suspect| suspect.runs() > 0)
+            suspect.is_some_and(|suspect| suspect.attempts() > 0)
         };
         let suspected = fingerprints.both().into_iter().find(is_suspected);
-        suspected.map_or(Standing::Free, Standing::OnTrial)
+        suspected.map_or(RequestStatus::Clear, RequestStatus::OnTrial)
     }
 
     /// What a request that is on trial has to do now.
@@ -52,7 +52,7 @@
             fingerprint,
             node,
             number,
-            timeout_ms: (lasts + USE_WITHIN).as_millis() as u32,
+            timeout_ms: (lasts + PERMIT_LIFETIME).as_millis() as u32,
             known: self.suspicions_of(fingerprint),
         }
     }
@@ -64,8 +64,8 @@
             self.merge(now, *suspicion);
         }
         let suspect = self.suspects.get(&fingerprint);
-        let is_on_trial =
-            suspect.is_some_and(|suspect| suspect.runs() > 0 && suspect.remaining(now).is_none());
+        let is_on_trial = suspect
+            .is_some_and(|suspect| suspect.attempts() > 0 && suspect.remaining(now).is_none());
         TrialReply {
             fingerprint,
             number: request.number,
@@ -85,7 +85,7 @@
             is_lent,
             ..
         } = *reply;
-        self.trials.answered(now, fingerprint, number, is_lent);
+        self.trials.handle_reply(now, fingerprint, number, is_lent);
     }
 
     /// A request is sent by a permit; it has its end by that time.
@@ -103,11 +103,11 @@
     /// Reports to the lender since the last call, of this node.
     pub fn take_trial_reports(&mut self, node: &str) -> Vec<TrialReport> {
         let ended = self.trials.take_ended();
-        let notices = ended.iter().map(|ended| QuarantineEvent::TrialEnded {
+        let events = ended.iter().map(|ended| QuarantineEvent::TrialEnded {
             fingerprint: ended.fingerprint,
             outcome: ended.outcome,
         });
-        self.notices.extend(notices);
+        self.events.extend(events);
         ended
             .into_iter()
             .map(|ended| TrialReport {
@@ -125,7 +125,7 @@
         for suspicion in &report.known {
             self.merge(now, *suspicion);
         }
-        if self.lender.take(now, report) {
+        if self.lender.handle_report(now, report) {
             self.clear(now, report.fingerprint);
         }
     }
--- a/crates/dispatch/src/quarantine/suspect.rs
+++ b/crates/dispatch/src/quarantine/suspect.rs
@@ -18,24 +18,24 @@
 /// them was a trial. A trial is the only run of its content anywhere and lasts as long as
 /// one request: that its upstream ends meanwhile for another reason is far less likely than
 /// that it does so while any of many runs is under way.
-const RUNS_ENDED: usize = 3;
+const ATTEMPTS_BEFORE_QUARANTINE: usize = 3;
 /// For how long a request is kept off: at first, after one more end, and from the next one
 /// on. One that stays as it is then costs no more than three upstreams in its first day
 /// after it is known.
-const HOLD_OFFS: [Duration; 3] = [
+const QUARANTINE_TIMES: [Duration; 3] = [
     Duration::from_secs(2 * 60),
     Duration::from_secs(30 * 60),
     Duration::from_secs(24 * 60 * 60),
 ];
 /// How long a suspicion is remembered beyond that.
-const REMEMBERED: Duration = Duration::from_secs(30 * 60);
+const RETENTION: Duration = Duration::from_secs(30 * 60);
 /// How long it is remembered of what a request was cleared: longer than word of its ends is
 /// on its way, through the store too.
-const CLEARED_REMEMBERED: Duration = Duration::from_secs(60);
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 /// Runs that are remembered of one upstream: more would change nothing.
-const MOST_RUNS: usize = RUNS_ENDED;
+const MAX_ATTEMPTS_PER_UPSTREAM: usize = ATTEMPTS_BEFORE_QUARANTINE;
 /// Ends that are remembered of one request, 18 bytes each where nodes tell each other.
-pub(super) const MOST_ENDS: usize = 24;
+pub(super) const MAX_TERMINATIONS: usize = 24;
 
 /// Short name of one run of a request at an upstream.
 #[derive(
@@ -63,7 +63,7 @@
     /// The upstream.
     pub upstream: UpstreamHash,
     /// The run.
-    pub run: AttemptHash,
+    pub attempt: AttemptHash,
     /// Whether it was the only run of that request anywhere, by a permit.
     pub is_trial: bool,
     /// Whether the request was answered since, so that it was not the cause.
@@ -72,23 +72,23 @@
 
 /// One run that ended with its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct End {
+struct Termination {
     upstream: UpstreamHash,
     is_trial: bool,
-    run: AttemptHash,
+    attempt: AttemptHash,
 }
 
 /// Whether a suspicion told something new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Learned {
+pub(super) enum MergeOutcome {
     /// It did not.
-    Nothing,
+    Unchanged,
     /// A further run ended with its upstream.
-    Ended,
+    NewTermination,
     /// The request was not the cause of an end; whether it is under no suspicion now.
     Cleared {
         /// No end is left.
-        is_wholly: bool,
+        is_complete: bool,
     },
 }
 
@@ -96,95 +96,102 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspect {
     /// Whether it was cleared of each end.
-    ends: BTreeMap<End, bool>,
+    terminations: BTreeMap<Termination, bool>,
     /// When something last became known.
     pub since: Time,
 }
 
 impl Suspect {
     /// Joins one suspicion.
-    pub fn learn(&mut self, now: Time, suspicion: &Suspicion) -> Learned {
-        let end = End {
+    pub fn merge(&mut self, now: Time, suspicion: &Suspicion) -> MergeOutcome {
+        let termination = Termination {
             upstream: suspicion.upstream,
             is_trial: suspicion.is_trial,
-            run: suspicion.run,
+            attempt: suspicion.attempt,
         };
-        let was_cleared = self.ends.get(&end).copied();
+        let was_cleared = self.terminations.get(&termination).copied();
         if was_cleared == Some(true) || was_cleared == Some(suspicion.is_cleared) {
-            return Learned::Nothing;
+            return MergeOutcome::Unchanged;
         }
-        self.ends.insert(end, suspicion.is_cleared);
-        if self.gave_way(end) {
-            return Learned::Nothing;
+        self.terminations.insert(termination, suspicion.is_cleared);
+        if self.evict_surplus(termination) {
+            return MergeOutcome::Unchanged;
         }
         if !suspicion.is_cleared {
             self.since = now;
-            return Learned::Ended;
+            return MergeOutcome::NewTermination;
         }
-        let is_wholly = was_cleared.is_some() && self.runs() == 0;
-        if is_wholly {
+        let is_complete = was_cleared.is_some() && self.attempts() == 0;
+        if is_complete {
             self.since = now;
         }
-        Learned::Cleared { is_wholly }
+        MergeOutcome::Cleared { is_complete }
     }
 
     /// Keeps the set within its bounds; whether that end was dropped. Of one upstream's
     /// runs those with the least names stay, so that all nodes keep the same ones.
-    fn gave_way(&mut self, added: End) -> bool {
-        let others = self.ends.keys();
-        let alike = others.filter(|end| end.upstream == added.upstream && !end.is_trial);
-        let surplus = alike.copied().nth(MOST_RUNS);
-        let last = (self.ends.len() > MOST_ENDS).then_some(added);
+    fn evict_surplus(&mut self, added: Termination) -> bool {
+        let others = self.terminations.keys();
+        let alike = others
+            .filter(|termination| termination.upstream == added.upstream && !termination.is_trial);
+        let surplus = alike.copied().nth(MAX_ATTEMPTS_PER_UPSTREAM);
+        let last = (self.terminations.len() > MAX_TERMINATIONS).then_some(added);
         let Some(dropped) = surplus.or(last) else {
             return false;
         };
-        self.ends.remove(&dropped);
+        self.terminations.remove(&dropped);
         dropped == added
     }
 
-    fn under_suspicion(&self) -> impl Iterator<Item = &End> {
-        let ends = self.ends.iter();
-        ends.filter(|(_, is_cleared)| !**is_cleared)
-            .map(|(end, _)| end)
+    fn uncleared(&self) -> impl Iterator<Item = &Termination> {
+        let terminations = self.terminations.iter();
+        terminations
+            .filter(|(_, is_cleared)| !**is_cleared)
+            .map(|(termination, _)| termination)
     }
 
     /// Runs that ended with their upstreams, of which it was not cleared.
-    pub fn runs(&self) -> usize {
-        self.under_suspicion().count()
+    pub fn attempts(&self) -> usize {
+        self.uncleared().count()
     }
 
     /// Upstreams that these ended with.
     pub fn upstreams(&self) -> usize {
-        let mut upstreams: Vec<_> = self.under_suspicion().map(|end| end.upstream).collect();
+        let mut upstreams: Vec<_> = self
+            .uncleared()
+            .map(|termination| termination.upstream)
+            .collect();
         upstreams.dedup();
         upstreams.len()
     }
 
     fn trials(&self) -> usize {
-        self.under_suspicion().filter(|end| end.is_trial).count()
+        self.uncleared()
+            .filter(|termination| termination.is_trial)
+            .count()
     }
 
     /// For how long it is kept off from when its last end became known; zero if it is not.
-    pub fn hold_off(&self) -> Duration {
+    pub fn quarantine_time(&self) -> Duration {
         let (upstreams, trials) = (self.upstreams(), self.trials());
-        let is_proved = self.runs() >= RUNS_ENDED && trials > 0;
-        if !is_proved && upstreams < UPSTREAMS_BEFORE_QUARANTINE {
+        let has_terminated_in_trial = self.attempts() >= ATTEMPTS_BEFORE_QUARANTINE && trials > 0;
+        if !has_terminated_in_trial && upstreams < UPSTREAMS_BEFORE_QUARANTINE {
             return Duration::ZERO;
         }
         let further = upstreams.saturating_sub(UPSTREAMS_BEFORE_QUARANTINE);
         let further = further.max(trials.saturating_sub(1));
-        HOLD_OFFS[further.min(HOLD_OFFS.len() - 1)]
+        QUARANTINE_TIMES[further.min(QUARANTINE_TIMES.len() - 1)]
     }
 
     /// For how much longer it is kept off.
     pub fn remaining(&self, now: Time) -> Option<Duration> {
-        let left = self.hold_off().checked_sub(now.since(self.since))?;
+        let left = self.quarantine_time().checked_sub(now.since(self.since))?;
         (!left.is_zero()).then_some(left)
     }
 
     /// What is told of a further end.
-    pub fn notice(&self, suspicion: &Suspicion) -> QuarantineEvent {
-        let (ended, lasts) = (self.runs(), self.hold_off());
+    pub fn event(&self, suspicion: &Suspicion) -> QuarantineEvent {
+        let (ended, lasts) = (self.attempts(), self.quarantine_time());
         let fingerprint = suspicion.fingerprint;
         if lasts.is_zero() {
             QuarantineEvent::Suspected {
@@ -203,23 +210,25 @@
     }
 
     /// Whether nothing is worth remembering of it any more.
-    pub fn is_forgotten(&self, now: Time) -> bool {
-        let remembered = if self.runs() == 0 {
-            CLEARED_REMEMBERED
+    pub fn is_expired(&self, now: Time) -> bool {
+        let remembered = if self.attempts() == 0 {
+            CLEARED_RETENTION
         } else {
-            self.hold_off() + REMEMBERED
+            self.quarantine_time() + RETENTION
         };
         now.since(self.since) >= remembered
     }
 
     /// All that is known, as nodes tell each other.
     pub fn suspicions(&self, fingerprint: Fingerprint) -> impl Iterator<Item = Suspicion> + '_ {
-        self.ends.iter().map(move |(end, is_cleared)| Suspicion {
-            fingerprint,
-            upstream: end.upstream,
-            run: end.run,
-            is_trial: end.is_trial,
-            is_cleared: *is_cleared,
-        })
+        self.terminations
+            .iter()
+            .map(move |(termination, is_cleared)| Suspicion {
+                fingerprint,
+                upstream: termination.upstream,
+                attempt: termination.attempt,
+                is_trial: termination.is_trial,
+                is_cleared: *is_cleared,
+            })
     }
 }
--- a/crates/dispatch/src/quarantine/trials.rs
+++ b/crates/dispatch/src/quarantine/trials.rs
@@ -9,15 +9,15 @@
 /// How long the lender's answer is waited for, and how long after the question a permit may
 /// be used: longer than a way across zones and back, and a turn of a node that has little
 /// processor time.
-const ANSWER_WAIT: Duration = Duration::from_millis(150);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a permit that came may go unused, from the question on. The lender counts it
 /// from later.
-pub(super) const USE_WITHIN: Duration = Duration::from_millis(300);
+pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
 /// Pause after the lender had no permit: about what a request takes.
-const DENIED_PAUSE: Duration = Duration::from_millis(40);
+const DENIAL_BACKOFF: Duration = Duration::from_millis(40);
 /// How long after the end of a trial's attempt proof of what became of its upstream is
 /// waited for.
-const PROOF_WAIT: Duration = Duration::from_millis(500);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -61,15 +61,15 @@
 
 /// The trials.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OwnTrials {
+pub(super) struct LocalTrials {
     trials: HashMap<Fingerprint, Trial>,
     last_number: u32,
     ended: Vec<EndedTrial>,
 }
 
-impl OwnTrials {
+impl LocalTrials {
     /// Numbers of different processes must differ.
-    pub fn begin_after(&mut self, number: u32) {
+    pub fn set_last_number(&mut self, number: u32) {
         self.last_number = number;
     }
 
@@ -87,24 +87,30 @@
             number: self.last_number,
             stage: Stage::Asked,
             asked: now,
-            until: now + ANSWER_WAIT,
+            until: now + REPLY_TIMEOUT,
         };
         self.trials.insert(fingerprint, trial);
         TrialStep::Ask(trial.number)
     }
 
     /// Takes the lender's answer.
-    pub fn answered(&mut self, now: Time, fingerprint: Fingerprint, number: u32, is_lent: bool) {
+    pub fn handle_reply(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        number: u32,
+        is_lent: bool,
+    ) {
         let trial = self.trials.get_mut(&fingerprint);
         match trial.filter(|trial| trial.number == number) {
             Some(trial) if trial.stage != Stage::Asked => {}
             Some(trial) if is_lent => {
                 trial.stage = Stage::Held;
-                trial.until = trial.asked + USE_WITHIN;
+                trial.until = trial.asked + PERMIT_LIFETIME;
             }
             Some(trial) => {
                 trial.stage = Stage::Denied;
-                trial.until = now + DENIED_PAUSE;
+                trial.until = now + DENIAL_BACKOFF;
             }
             // It came too late: the lender need not wait for what will not be.
             None if is_lent => self.ended.push(EndedTrial {
@@ -120,7 +126,7 @@
     pub fn begin(&mut self, fingerprint: Fingerprint, ends: Time) {
         if let Some(trial) = self.trials.get_mut(&fingerprint) {
             trial.stage = Stage::UnderWay;
-            trial.until = ends + PROOF_WAIT;
+            trial.until = ends + CONFIRMATION_TIMEOUT;
         }
     }
 
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream in need names the requests a second that it takes from all nodes. No node
 //! knows what the others are about to send, so each request to it needs a permit, which one
-//! of the upstream's [`MOST_LENDERS`] lenders lends: nodes picked by a hash of both, each of
+//! of the upstream's [`MAX_LENDERS`] lenders lends: nodes picked by a hash of both, each of
 //! which has an equal share of the rate to lend. A node that has no permit asks one lender
 //! after the other; one that is lost costs its share until its entry is gone, or another
 //! lender is asked, and never lets more through.
@@ -21,17 +21,17 @@
 pub use known::{RateLimitEvent, RateLimitUpdate};
 use lender::{Buckets, Share, Tenure, WINDOW};
 use permits::Permits;
-pub(crate) use permits::{ANSWER_WAIT, PermitStep};
+pub(crate) use permits::{PermitStep, REPLY_TIMEOUT};
 use recent::RecentSends;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// Nodes that lend an upstream's permits: one that is lost leaves two, and few enough that
 /// the first permit of each bucket, which may all come at once, harms nobody.
-const MOST_LENDERS: usize = 3;
+const MAX_LENDERS: usize = 3;
 /// When a node that is asked and lends nothing is asked again: the nodes may see different
 /// ones for a moment.
-const NO_LENDER_PAUSE: Duration = Duration::from_millis(500);
+const NO_LENDER_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Asks a lender for permits.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -87,7 +87,7 @@
     sent_before: u32,
     learned: Time,
     /// Lenders that were told of them.
-    told: Vec<NodeHash>,
+    informed: Vec<NodeHash>,
 }
 
 /// What one node knows, lends and has.
@@ -109,7 +109,7 @@
     /// `number`, from which on they are counted.
     pub fn new(own: NodeHash, number: u32) -> Self {
         let mut permits = Permits::default();
-        permits.begin_after(number);
+        permits.set_last_number(number);
         Self {
             own,
             nodes: Vec::new(),
@@ -132,7 +132,7 @@
         self.nodes_changed = now;
         self.known.set_nodes(nodes.len());
         for (upstream, lenders) in &mut self.lenders {
-            lenders.nodes = rendezvous::first(nodes, *upstream, MOST_LENDERS);
+            lenders.nodes = rendezvous::top_ranked(nodes, *upstream, MAX_LENDERS);
             let is_lender = lenders.nodes.contains(&self.own);
             lenders.since = is_lender.then(|| lenders.since.unwrap_or(now));
         }
@@ -174,8 +174,9 @@
         if self.permits.has_one(now, upstream) {
             return true;
         }
-        let lending = self.lending(upstream, rate);
-        lending.is_some_and(|(share, tenure)| self.buckets.has_one(now, upstream, share, tenure))
+        let local_share = self.local_share(upstream, rate);
+        local_share
+            .is_some_and(|(share, tenure)| self.buckets.has_one(now, upstream, share, tenure))
     }
 
     /// What a request that is to be sent to an upstream has to do now.
@@ -189,7 +190,7 @@
             PermitStep::Send | PermitStep::Asked => {}
             PermitStep::Ask { .. } => self.counts.asked += 1,
             PermitStep::Empty { until } => {
-                let own = self.own_permit_at(now, upstream);
+                let own = self.local_permit_at(now, upstream);
                 let until = own.map_or(until, |own| own.min(until));
                 return PermitStep::Empty { until };
             }
@@ -212,9 +213,9 @@
     }
 
     /// When this node has a permit again out of its own bucket, if it is a lender.
-    fn own_permit_at(&self, now: Time, upstream: UpstreamHash) -> Option<Time> {
+    fn local_permit_at(&self, now: Time, upstream: UpstreamHash) -> Option<Time> {
         let rate = self.rate(upstream)?;
-        let (share, tenure) = self.lending(upstream, rate)?;
+        let (share, tenure) = self.local_share(upstream, rate)?;
         Some(now + self.buckets.next_in(now, upstream, share, tenure))
     }
 
@@ -227,34 +228,34 @@
         number: u32,
         wanted: u32,
     ) -> Option<PermitRequest> {
-        let limit = self.known.word(now, upstream)?;
+        let limit = self.known.update(now, upstream)?;
         Some(PermitRequest {
             limit,
             lender,
             number,
             wanted,
-            sent_before: self.tell_sent_before(now, upstream, lender),
+            sent_before: self.report_sent_before(now, upstream, lender),
         })
     }
 
     /// What a lender is to be told of the requests before the rate was known.
-    fn tell_sent_before(&mut self, now: Time, upstream: UpstreamHash, lender: NodeHash) -> u32 {
+    fn report_sent_before(&mut self, now: Time, upstream: UpstreamHash, lender: NodeHash) -> u32 {
         let Some(lenders) = self.lenders.get_mut(&upstream) else {
             return 0;
         };
         let is_old = now.since(lenders.learned) >= WINDOW;
-        if is_old || lenders.told.contains(&lender) {
+        if is_old || lenders.informed.contains(&lender) {
             return 0;
         }
-        lenders.told.push(lender);
+        lenders.informed.push(lender);
         lenders.sent_before
     }
 
     /// As the lender: answers a question.
     pub fn lend(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
-        self.told(now, &request.limit);
+        self.apply_update(now, &request.limit);
         let upstream = request.limit.upstream;
-        let limit = self.known.word(now, upstream).unwrap_or(request.limit);
+        let limit = self.known.update(now, upstream).unwrap_or(request.limit);
         let reply = |permits, next_in: Duration, room_in: Duration| PermitReply {
             limit,
             number: request.number,
@@ -263,8 +264,8 @@
             room_in_ms: millis(room_in),
         };
         let rate = self.known.rate(upstream);
-        let Some((share, tenure)) = rate.and_then(|rate| self.lending(upstream, rate)) else {
-            return reply(0, NO_LENDER_PAUSE, NO_LENDER_PAUSE);
+        let Some((share, tenure)) = rate.and_then(|rate| self.local_share(upstream, rate)) else {
+            return reply(0, NO_LENDER_BACKOFF, NO_LENDER_BACKOFF);
         };
         let wanted = request.wanted;
         self.buckets
@@ -276,9 +277,9 @@
     }
 
     /// Takes a lender's answer.
-    pub fn answered(&mut self, now: Time, reply: &PermitReply) {
-        self.told(now, &reply.limit);
-        self.permits.answered(
+    pub fn handle_reply(&mut self, now: Time, reply: &PermitReply) {
+        self.apply_update(now, &reply.limit);
+        self.permits.handle_reply(
             now,
             reply.limit.upstream,
             reply.number,
@@ -289,19 +290,20 @@
     }
 
     /// A request is sent to an upstream; whether there was a permit for it.
-    pub fn sent(&mut self, now: Time, upstream: UpstreamHash) -> bool {
-        self.recent.note(now, upstream);
+    pub fn record_send(&mut self, now: Time, upstream: UpstreamHash) -> bool {
+        self.recent.record(now, upstream);
         let Some(rate) = self.rate(upstream) else {
             return true;
         };
-        let is_permitted = self.permits.spend(now, upstream) || self.draw_own(now, upstream, rate);
+        let is_permitted =
+            self.permits.consume(now, upstream) || self.take_local_permit(now, upstream, rate);
         self.counts.used += u64::from(is_permitted);
         is_permitted
     }
 
     /// Takes a permit out of this node's own bucket, if it is a lender and there is one.
-    fn draw_own(&mut self, now: Time, upstream: UpstreamHash, rate: RequestRate) -> bool {
-        let Some((share, tenure)) = self.lending(upstream, rate) else {
+    fn take_local_permit(&mut self, now: Time, upstream: UpstreamHash, rate: RequestRate) -> bool {
+        let Some((share, tenure)) = self.local_share(upstream, rate) else {
             return false;
         };
         let lent = self.buckets.lend(now, upstream, share, tenure, 1);
@@ -315,7 +317,7 @@
     }
 
     /// What this node lends of a rate, if it is a lender.
-    fn lending(&self, upstream: UpstreamHash, rate: RequestRate) -> Option<(Share, Tenure)> {
+    fn local_share(&self, upstream: UpstreamHash, rate: RequestRate) -> Option<(Share, Tenure)> {
         let lenders = self.lenders.get(&upstream)?;
         let (since, count) = (lenders.since?, lenders.nodes.len());
         let tenure = Tenure::of(rate, lenders.learned, since);
@@ -323,24 +325,24 @@
     }
 
     /// Takes what an answer said of its upstream's rate.
-    pub fn named(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
+    pub fn observe(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
         if self.known.is_empty() && word == RateWord::Unlimited {
             return;
         }
-        self.known.answered(now, upstream, sent, word);
-        self.follow(now, upstream);
+        self.known.observe(now, upstream, sent, word);
+        self.update_lenders(now, upstream);
     }
 
     /// Takes another node's word; whether it was news.
-    pub fn told(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
-        let is_news = self.known.told(now, word);
-        self.follow(now, word.upstream);
-        is_news
+    pub fn apply_update(&mut self, now: Time, update: &RateLimitUpdate) -> bool {
+        let is_new = self.known.apply_update(now, update);
+        self.update_lenders(now, update.upstream);
+        is_new
     }
 
     /// Finds out who lends the permits of an upstream that has begun to name a rate, and
     /// forgets all about those of one that has ceased to.
-    fn follow(&mut self, now: Time, upstream: UpstreamHash) {
+    fn update_lenders(&mut self, now: Time, upstream: UpstreamHash) {
         let Some(rate) = self.known.rate(upstream) else {
             if self.lenders.remove(&upstream).is_some() {
                 self.buckets.retain(|other| other != upstream);
@@ -351,18 +353,18 @@
         if self.lenders.contains_key(&upstream) {
             return;
         }
-        let nodes = rendezvous::first(&self.nodes, upstream, MOST_LENDERS);
+        let nodes = rendezvous::top_ranked(&self.nodes, upstream, MAX_LENDERS);
         let is_lender = nodes.contains(&self.own);
         let lenders = Lenders {
             nodes,
             since: is_lender.then_some(self.nodes_changed),
             sent_before: self.recent.count(now, upstream),
             learned: self.known.learned(upstream).unwrap_or(now),
-            told: Vec::new(),
+            informed: Vec::new(),
         };
         self.lenders.insert(upstream, lenders);
-        if let Some((share, tenure)) = self.lending(upstream, rate) {
-            let sent_before = self.tell_sent_before(now, upstream, self.own);
+        if let Some((share, tenure)) = self.local_share(upstream, rate) {
+            let sent_before = self.report_sent_before(now, upstream, self.own);
             self.buckets
                 .charge(now, upstream, share, tenure, sent_before);
         }
--- a/crates/dispatch/src/rate_limit/known.rs
+++ b/crates/dispatch/src/rate_limit/known.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// Before a rate that answers go on naming is told to other nodes again, where there are no
-/// more than [`FEW_NODES`]: words get lost, and nodes start. Where there are more it takes
+/// more than [`NODES_PER_INTERVAL`]: words get lost, and nodes start. Where there are more it takes
 /// longer, by as much as more of them tell.
-const TOLD_AGAIN: Duration = Duration::from_secs(1);
-const FEW_NODES: usize = 16;
+const SHARE_INTERVAL: Duration = Duration::from_secs(1);
+const NODES_PER_INTERVAL: usize = 16;
 
 /// What one node tells another of an upstream's rate.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -73,16 +73,16 @@
     rate: Option<RequestRate>,
     /// When that was learned from an answer, by this or another node.
     learned: Time,
-    told: Option<Time>,
+    last_shared: Option<Time>,
 }
 
 /// The rates that upstreams name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownLimits {
     known: HashMap<UpstreamHash, Known>,
-    untold: HashSet<UpstreamHash>,
+    unsent: HashSet<UpstreamHash>,
     nodes: usize,
-    notices: Vec<RateLimitEvent>,
+    events: Vec<RateLimitEvent>,
 }
 
 impl KnownLimits {
@@ -114,12 +114,12 @@
     }
 
     /// Takes what the answer to a request says that was sent to an upstream then.
-    pub fn answered(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
+    pub fn observe(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
         let rate = match word {
             RateWord::Unlimited => None,
             RateWord::Limited(rate) => Some(rate),
             RateWord::Unreadable => {
-                self.notices.push(RateLimitEvent::Unreadable { upstream });
+                self.events.push(RateLimitEvent::Unreadable { upstream });
                 return;
             }
         };
@@ -130,10 +130,12 @@
             return;
         };
         if known.rate == rate {
-            let pause = TOLD_AGAIN * self.nodes.div_ceil(FEW_NODES).max(1) as u32;
-            let is_due = known.told.is_none_or(|told| now.since(told) >= pause);
+            let interval = SHARE_INTERVAL * self.nodes.div_ceil(NODES_PER_INTERVAL).max(1) as u32;
+            let is_due = known
+                .last_shared
+                .is_none_or(|shared| now.since(shared) >= interval);
             if rate.is_some() && is_due {
-                self.untold.insert(upstream);
+                self.unsent.insert(upstream);
             }
         } else if sent > known.learned {
             self.set(now, upstream, rate, true);
@@ -141,21 +143,21 @@
     }
 
     /// Takes another node's word; whether it was news.
-    pub fn told(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
-        let learned = now - Duration::from_millis(word.age_ms.into());
-        let is_news = match self.known.get_mut(&word.upstream) {
-            Some(known) if known.rate == word.rate => {
+    pub fn apply_update(&mut self, now: Time, update: &RateLimitUpdate) -> bool {
+        let learned = now - Duration::from_millis(update.age_ms.into());
+        let is_new = match self.known.get_mut(&update.upstream) {
+            Some(known) if known.rate == update.rate => {
                 // Others tell it, so this node need not.
-                known.told = Some(now);
+                known.last_shared = Some(now);
                 false
             }
             Some(known) => learned > known.learned,
-            None => word.rate.is_some(),
+            None => update.rate.is_some(),
         };
-        if is_news {
-            self.set(learned, word.upstream, word.rate, false);
+        if is_new {
+            self.set(learned, update.upstream, update.rate, false);
         }
-        is_news
+        is_new
     }
 
     fn set(
@@ -168,13 +170,13 @@
         let known = Known {
             rate,
             learned,
-            told: None,
+            last_shared: None,
         };
         self.known.insert(upstream, known);
         if is_local {
-            self.untold.insert(upstream);
+            self.unsent.insert(upstream);
         }
-        self.notices.push(match rate {
+        self.events.push(match rate {
             Some(rate) => RateLimitEvent::Limited {
                 upstream,
                 rate,
@@ -185,7 +187,7 @@
     }
 
     /// What this node knows of an upstream, for another node.
-    pub fn word(&self, now: Time, upstream: UpstreamHash) -> Option<RateLimitUpdate> {
+    pub fn update(&self, now: Time, upstream: UpstreamHash) -> Option<RateLimitUpdate> {
         let known = self.known.get(&upstream)?;
         let age = now.since(known.learned).as_millis();
         Some(RateLimitUpdate {
@@ -196,35 +198,35 @@
     }
 
     /// All rates that are named, for another node.
-    pub fn words(&self, now: Time) -> Vec<RateLimitUpdate> {
+    pub fn updates(&self, now: Time) -> Vec<RateLimitUpdate> {
         let limited = self.known.iter().filter(|(_, known)| known.rate.is_some());
         limited
-            .filter_map(|(upstream, _)| self.word(now, *upstream))
+            .filter_map(|(upstream, _)| self.update(now, *upstream))
             .collect()
     }
 
     /// What other nodes were not told of.
-    pub fn take_untold(&mut self, now: Time) -> Vec<RateLimitUpdate> {
-        let untold: Vec<UpstreamHash> = self.untold.drain().collect();
-        for upstream in &untold {
+    pub fn take_unsent_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
+        let unsent: Vec<UpstreamHash> = self.unsent.drain().collect();
+        for upstream in &unsent {
             if let Some(known) = self.known.get_mut(upstream) {
-                known.told = Some(now);
+                known.last_shared = Some(now);
             }
         }
-        let words = untold.into_iter();
-        words
-            .filter_map(|upstream| self.word(now, upstream))
+        let unsent_upstreams = unsent.into_iter();
+        unsent_upstreams
+            .filter_map(|upstream| self.update(now, upstream))
             .collect()
     }
 
     /// What became known since the last call.
-    pub fn take_notices(&mut self) -> Vec<RateLimitEvent> {
-        std::mem::take(&mut self.notices)
+    pub fn take_events(&mut self) -> Vec<RateLimitEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Forgets upstreams that are gone: another incarnation begins without a limit.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.known.retain(|upstream, _| keep(*upstream));
-        self.untold.retain(|upstream| keep(*upstream));
+        self.unsent.retain(|upstream| keep(*upstream));
     }
 }
--- a/crates/dispatch/src/rate_limit/lender.rs
+++ b/crates/dispatch/src/rate_limit/lender.rs
@@ -1,17 +1,17 @@
 //! The buckets out of which a node lends permits.
 //!
 //! Invariant: what all lenders of an upstream lend, and what is sent by it, in any
-//! [`WINDOW`] stays below the named rate over that time and [`AT_ONCE`] requests of each
+//! [`WINDOW`] stays below the named rate over that time and [`BURST_PERMITS`] requests of each
 //! lender. A bucket that takes another's place begins empty, so nothing is lent twice; it
 //! fills slower than the rate by what it may hold at once and by how long a
 //! permit may lie unused, so that permits which come together, or late, are paid for.
 //!
 //! What nodes sent before they knew of the rate is worked off first, as far as it is beyond
-//! the rate and [`LONGEST_DEBT`] at the most: the upstream has it in its queue, and at the
+//! the rate and [`MAX_DEBT`] at the most: the upstream has it in its queue, and at the
 //! rate itself the queue would stay. Where it got less than it takes nothing is held back.
 //!
-//! Counter-cases: lenders that two nodes see differently for longer than [`SETTLED`], and a
-//! rate that falls: what was lent by the higher one may still be used for [`USE_WITHIN`].
+//! Counter-cases: lenders that two nodes see differently for longer than [`SETTLE_TIME`], and a
+//! rate that falls: what was lent by the higher one may still be used for [`PERMIT_LIFETIME`].
 
 use crate::report::UpstreamHash;
 use beamtray_catalog::RequestRate;
@@ -22,23 +22,23 @@
 /// Over which an upstream's rate is kept.
 pub(super) const WINDOW: Duration = Duration::from_secs(4);
 /// How long after the question a permit may be used. The lender counts it from later.
-pub(super) const USE_WITHIN: Duration = Duration::from_millis(150);
-/// Permits that a bucket may hold at once, beyond [`BURST`]. With one only, a permit that is
+pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(150);
+/// Permits that a bucket may hold at once, beyond [`BURST_TIME`]. With one only, a permit that is
 /// fetched a little late would have the bucket stand still until then, at each permit.
-const AT_ONCE: f64 = 1.5;
+const BURST_PERMITS: f64 = 1.5;
 /// What a bucket may hold besides, as time at its rate: where rates are high many are asked
 /// for at once.
-const BURST: Duration = Duration::from_millis(150);
+const BURST_TIME: Duration = Duration::from_millis(150);
 /// How long a node has been a lender before its bucket fills: until the one before it has
 /// heard that it is none any more.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Longest pause for what was sent before the rate was known, at the rate.
-const LONGEST_DEBT: Duration = Duration::from_secs(2);
+const MAX_DEBT: Duration = Duration::from_secs(2);
 /// Requests a second that an upstream is sent at least, also where it takes none: the only
 /// way to learn that it takes some again.
-const LEAST_RATE: f64 = 0.2;
+const MIN_RATE: f64 = 0.2;
 /// How fast denied permits are forgotten: half of them in this time.
-const DEMAND_HALVES: Duration = Duration::from_secs(1);
+const DEMAND_HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// What one lender may lend of an upstream's rate.
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +46,7 @@
     /// Permits a second.
     rate: f64,
     /// Most permits that are there at once.
-    most: f64,
+    capacity: f64,
     /// Requests that the upstream takes of this share in the window.
     in_window: f64,
     /// Of how many shares it is one.
@@ -57,13 +57,13 @@
     /// The share of each of so many lenders.
     pub fn of(rate: RequestRate, lenders: usize) -> Self {
         let shares = lenders.max(1) as f64;
-        let each = rate.a_second().max(LEAST_RATE) / shares;
+        let each = rate.a_second().max(MIN_RATE) / shares;
         let window = WINDOW.as_secs_f64();
-        let beyond = USE_WITHIN + BURST;
-        let rate = each * window / (window + beyond.as_secs_f64());
+        let excess = PERMIT_LIFETIME + BURST_TIME;
+        let rate = each * window / (window + excess.as_secs_f64());
         Self {
             rate,
-            most: AT_ONCE + rate * BURST.as_secs_f64(),
+            capacity: BURST_PERMITS + rate * BURST_TIME.as_secs_f64(),
             in_window: each * window,
             shares,
         }
@@ -71,7 +71,7 @@
 
     /// Whether the upstream takes anything.
     fn is_closed(rate: RequestRate) -> bool {
-        rate.a_second() < LEAST_RATE
+        rate.a_second() < MIN_RATE
     }
 }
 
@@ -97,15 +97,15 @@
 }
 
 impl Bucket {
-    fn begin(now: Time, share: Share, tenure: Tenure) -> Self {
+    fn new(now: Time, share: Share, tenure: Tenure) -> Self {
         let permits = if tenure.is_takeover() || tenure.is_closed {
             0.0
         } else {
-            share.most
+            share.capacity
         };
         Self {
             permits,
-            filled: tenure.begins(),
+            filled: tenure.starts(),
             unused: share.in_window,
             denied: 0.0,
             asked: now,
@@ -120,20 +120,20 @@
     /// Takes what a node sent in the window before the rate was known.
     fn charge(&mut self, share: Share, sent_before: u32) {
         let sent = f64::from(sent_before) / share.shares;
-        let beyond = (sent - self.unused).max(0.0);
+        let excess = (sent - self.unused).max(0.0);
         self.unused = (self.unused - sent).max(0.0);
-        if beyond > 0.0 {
-            let least = -share.rate * LONGEST_DEBT.as_secs_f64();
-            self.permits = (self.permits.min(0.0) - beyond).max(least);
+        if excess > 0.0 {
+            let least = -share.rate * MAX_DEBT.as_secs_f64();
+            self.permits = (self.permits.min(0.0) - excess).max(least);
         }
     }
 
     fn fill(&mut self, now: Time, share: Share) {
         let filled = self.permits + now.since(self.filled).as_secs_f64() * share.rate;
-        self.permits = filled.min(share.most);
+        self.permits = filled.min(share.capacity);
         self.filled = self.filled.max(now);
-        let halvings = now.since(self.asked).as_secs_f64() / DEMAND_HALVES.as_secs_f64();
-        self.denied *= 0.5f64.powf(halvings);
+        let half_lives = now.since(self.asked).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
+        self.denied *= 0.5f64.powf(half_lives);
         self.asked = now;
     }
 }
@@ -160,11 +160,11 @@
 
     /// Whether another node may have lent before, since the rate was learned.
     fn is_takeover(self) -> bool {
-        self.learned < self.lender_since + SETTLED
+        self.learned < self.lender_since + SETTLE_TIME
     }
 
-    fn begins(self) -> Time {
-        self.learned.max(self.lender_since + SETTLED)
+    fn starts(self) -> Time {
+        self.learned.max(self.lender_since + SETTLE_TIME)
     }
 }
 
@@ -175,7 +175,7 @@
 impl Buckets {
     /// Whether there is a permit now.
     pub fn has_one(&self, now: Time, upstream: UpstreamHash, share: Share, tenure: Tenure) -> bool {
-        self.seen(now, upstream, share, tenure).permits >= 1.0
+        self.snapshot(now, upstream, share, tenure).permits >= 1.0
     }
 
     /// When there will be a permit.
@@ -186,13 +186,14 @@
         share: Share,
         tenure: Tenure,
     ) -> Duration {
-        self.seen(now, upstream, share, tenure).next_in(now, share)
+        self.snapshot(now, upstream, share, tenure)
+            .next_in(now, share)
     }
 
     /// The bucket as it is now.
-    fn seen(&self, now: Time, upstream: UpstreamHash, share: Share, tenure: Tenure) -> Bucket {
+    fn snapshot(&self, now: Time, upstream: UpstreamHash, share: Share, tenure: Tenure) -> Bucket {
         let bucket = self.0.get(&upstream).copied();
-        let mut bucket = bucket.unwrap_or_else(|| Bucket::begin(now, share, tenure));
+        let mut bucket = bucket.unwrap_or_else(|| Bucket::new(now, share, tenure));
         bucket.fill(now, share);
         bucket
     }
@@ -238,7 +239,7 @@
         tenure: Tenure,
     ) -> &mut Bucket {
         let bucket = self.0.entry(upstream);
-        let bucket = bucket.or_insert_with(|| Bucket::begin(now, share, tenure));
+        let bucket = bucket.or_insert_with(|| Bucket::new(now, share, tenure));
         bucket.fill(now, share);
         bucket
     }
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -1,6 +1,6 @@
 //! One node's permits to send requests to upstreams that name a rate.
 
-use super::lender::USE_WITHIN;
+use super::lender::PERMIT_LIFETIME;
 use crate::report::{NodeHash, UpstreamHash};
 use beamtray_types::Time;
 use std::collections::{HashMap, VecDeque};
@@ -8,18 +8,18 @@
 
 /// How long a lender's answer is waited for: a way across zones and back, and a turn of a
 /// node that has little processor time.
-pub(crate) const ANSWER_WAIT: Duration = Duration::from_millis(120);
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long a lender that did not answer once is not asked; twice as long with each further
 /// time. A word may get lost, or the lender be gone.
-const SILENT_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_LENDER_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_LENDER_BACKOFF: Duration = Duration::from_secs(1);
 /// How long is waited where no lender is known.
-const NO_LENDER: Duration = Duration::from_millis(500);
+const NO_LENDER_WAIT: Duration = Duration::from_millis(500);
 /// How soon a lender that had none is asked again at the least.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
+const MIN_LENDER_BACKOFF: Duration = Duration::from_millis(1);
 /// Most permits that are asked for at once.
-const MOST_WANTED: u32 = 16;
+const MAX_PERMITS_PER_REQUEST: u32 = 16;
 
 /// What a request to an upstream that names a rate has to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,22 +39,22 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PendingRequest {
     number: u32,
     lender: NodeHash,
     asked: Time,
     wanted: u32,
 }
 
-impl Question {
-    fn ends(&self) -> Time {
-        self.asked + ANSWER_WAIT
+impl PendingRequest {
+    fn expires(&self) -> Time {
+        self.asked + REPLY_TIMEOUT
     }
 }
 
 /// A lender that has no permits, or did not answer.
 #[derive(Clone, Copy, Debug)]
-struct Lender {
+struct LenderState {
     node: NodeHash,
     ask_from: Time,
     /// Questions in a row without an answer.
@@ -67,51 +67,51 @@
     /// Until when each permit may be used.
     held: VecDeque<Time>,
     /// One at most to each lender.
-    questions: Vec<Question>,
-    lenders: Vec<Lender>,
+    pending: Vec<PendingRequest>,
+    lenders: Vec<LenderState>,
     /// When all who were denied would have had one, as the lenders said last.
     room_at: Time,
     /// Requests that looked for a permit at the last look, and at the one before.
-    looked_at: Time,
-    looking: u32,
-    wanted: u32,
+    demand_at: Time,
+    demand: u32,
+    last_demand: u32,
 }
 
 impl Account {
     fn expire(&mut self, now: Time) {
         self.held.retain(|until| now < *until);
-        let unanswered: Vec<Question> = self
-            .questions
-            .extract_if(.., |question| now >= question.ends())
+        let unanswered: Vec<PendingRequest> = self
+            .pending
+            .extract_if(.., |request| now >= request.expires())
             .collect();
-        for question in unanswered {
-            let lender = self.lender(question.lender);
-            let pause = SILENT_PAUSE * 2u32.saturating_pow(lender.unanswered.min(8));
+        for request in unanswered {
+            let lender = self.lender(request.lender);
+            let backoff = INITIAL_LENDER_BACKOFF * 2u32.saturating_pow(lender.unanswered.min(8));
             lender.unanswered += 1;
-            lender.ask_from = now + pause.min(LONGEST_PAUSE);
+            lender.ask_from = now + backoff.min(MAX_LENDER_BACKOFF);
         }
     }
 
     /// Permits that lenders were asked for and have not answered yet.
     fn outstanding(&self) -> u32 {
-        self.questions.iter().map(|question| question.wanted).sum()
+        self.pending.iter().map(|request| request.wanted).sum()
     }
 
     /// The first lender that may have permits and was not asked.
     fn next_lender(&self, now: Time, lenders: &[NodeHash]) -> Option<NodeHash> {
-        let is_empty = |lender| {
+        let is_backed_off = |lender| {
             let mut known = self.lenders.iter();
             known.any(|known| known.node == lender && now < known.ask_from)
         };
-        let is_asked = |lender| self.questions.iter().any(|one| one.lender == lender);
+        let is_asked = |lender| self.pending.iter().any(|one| one.lender == lender);
         let mut free = lenders.iter().copied();
-        free.find(|lender| !is_empty(*lender) && !is_asked(*lender))
+        free.find(|lender| !is_backed_off(*lender) && !is_asked(*lender))
     }
 
-    fn lender(&mut self, node: NodeHash) -> &mut Lender {
+    fn lender(&mut self, node: NodeHash) -> &mut LenderState {
         let known = self.lenders.iter().position(|lender| lender.node == node);
         let index = known.unwrap_or_else(|| {
-            self.lenders.push(Lender {
+            self.lenders.push(LenderState {
                 node,
                 ask_from: Time::ZERO,
                 unanswered: 0,
@@ -128,12 +128,12 @@
         known.map(|known| known.ask_from).min()
     }
 
-    fn note_look(&mut self, now: Time) {
-        if now > self.looked_at {
-            self.wanted = std::mem::take(&mut self.looking);
-            self.looked_at = now;
+    fn record_demand(&mut self, now: Time) {
+        if now > self.demand_at {
+            self.last_demand = std::mem::take(&mut self.demand);
+            self.demand_at = now;
         }
-        self.looking += 1;
+        self.demand += 1;
     }
 }
 
@@ -146,7 +146,7 @@
 
 impl Permits {
     /// Numbers of different processes must differ.
-    pub fn begin_after(&mut self, number: u32) {
+    pub fn set_last_number(&mut self, number: u32) {
         self.last_number = number;
     }
 
@@ -162,37 +162,37 @@
     pub fn step(&mut self, now: Time, upstream: UpstreamHash, lenders: &[NodeHash]) -> PermitStep {
         let account = self.accounts.entry(upstream).or_default();
         account.expire(now);
-        account.note_look(now);
+        account.record_demand(now);
         let outstanding = account.outstanding();
-        if outstanding >= account.looking {
+        if outstanding >= account.demand {
             return PermitStep::Asked;
         }
         let Some(lender) = account.next_lender(now, lenders) else {
             if outstanding > 0 {
                 return PermitStep::Asked;
             }
-            let until = account.ask_from(lenders).unwrap_or(now + NO_LENDER);
+            let until = account.ask_from(lenders).unwrap_or(now + NO_LENDER_WAIT);
             return PermitStep::Empty { until };
         };
         self.last_number = self.last_number.wrapping_add(1);
-        let looking = account.wanted.max(account.looking);
-        let question = Question {
+        let demand = account.last_demand.max(account.demand);
+        let request = PendingRequest {
             number: self.last_number,
             lender,
             asked: now,
-            wanted: (looking - outstanding).clamp(1, MOST_WANTED),
+            wanted: (demand - outstanding).clamp(1, MAX_PERMITS_PER_REQUEST),
         };
-        account.questions.push(question);
+        account.pending.push(request);
         PermitStep::Ask {
             lender,
-            number: question.number,
-            wanted: question.wanted,
+            number: request.number,
+            wanted: request.wanted,
         }
     }
 
     /// Takes a lender's answer. What comes after its time is not used: the lender counts on
     /// that.
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         now: Time,
         upstream: UpstreamHash,
@@ -204,24 +204,24 @@
         let Some(account) = self.accounts.get_mut(&upstream) else {
             return;
         };
-        let mut questions = account.questions.iter();
-        let Some(asked) = questions.position(|one| one.number == number) else {
+        let mut pending = account.pending.iter();
+        let Some(asked) = pending.position(|one| one.number == number) else {
             return;
         };
-        let question = account.questions.swap_remove(asked);
-        let until = question.asked + USE_WITHIN;
-        let permits = permits.min(MOST_WANTED) as usize;
+        let request = account.pending.swap_remove(asked);
+        let until = request.asked + PERMIT_LIFETIME;
+        let permits = permits.min(MAX_PERMITS_PER_REQUEST) as usize;
         account.held.extend(std::iter::repeat_n(until, permits));
-        let lender = account.lender(question.lender);
+        let lender = account.lender(request.lender);
         lender.unanswered = 0;
-        if permits < question.wanted as usize {
-            lender.ask_from = now + next_in.max(LEAST_PAUSE);
+        if permits < request.wanted as usize {
+            lender.ask_from = now + next_in.max(MIN_LENDER_BACKOFF);
         }
         account.room_at = now + room_in;
     }
 
     /// Uses a permit up; whether there was one.
-    pub fn spend(&mut self, now: Time, upstream: UpstreamHash) -> bool {
+    pub fn consume(&mut self, now: Time, upstream: UpstreamHash) -> bool {
         let account = self.accounts.get_mut(&upstream);
         account.is_some_and(|account| {
             account.expire(now);
--- a/crates/dispatch/src/rate_limit/recent.rs
+++ b/crates/dispatch/src/rate_limit/recent.rs
@@ -10,23 +10,23 @@
 use std::time::Duration;
 
 /// Steps that the window is counted in.
-const STEPS: usize = 8;
+const BUCKETS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     /// Number of the newest step.
     newest: u64,
-    sent: [u32; STEPS],
+    sent: [u32; BUCKETS],
 }
 
 impl Counts {
     /// Empties the steps that have passed since the newest one.
-    fn advance(&mut self, step: u64) {
-        let passed = step.saturating_sub(self.newest);
-        for past in 1..=passed.min(STEPS as u64) {
-            self.sent[((self.newest + past) % STEPS as u64) as usize] = 0;
+    fn advance(&mut self, bucket: u64) {
+        let passed = bucket.saturating_sub(self.newest);
+        for offset in 1..=passed.min(BUCKETS as u64) {
+            self.sent[((self.newest + offset) % BUCKETS as u64) as usize] = 0;
         }
-        self.newest = self.newest.max(step);
+        self.newest = self.newest.max(bucket);
     }
 }
 
@@ -36,17 +36,17 @@
 
 impl RecentSends {
     /// Counts a request.
-    pub fn note(&mut self, now: Time, upstream: UpstreamHash) {
+    pub fn record(&mut self, now: Time, upstream: UpstreamHash) {
         let counts = self.0.entry(upstream).or_default();
-        counts.advance(step(now));
-        counts.sent[(counts.newest % STEPS as u64) as usize] += 1;
+        counts.advance(bucket(now));
+        counts.sent[(counts.newest % BUCKETS as u64) as usize] += 1;
     }
 
     /// Requests to an upstream within the window.
     pub fn count(&self, now: Time, upstream: UpstreamHash) -> u32 {
         let counts = self.0.get(&upstream).copied();
         let mut counts = counts.unwrap_or_default();
-        counts.advance(step(now));
+        counts.advance(bucket(now));
         counts.sent.iter().sum()
     }
 
@@ -56,7 +56,7 @@
     }
 }
 
-fn step(now: Time) -> u64 {
-    let length: Duration = WINDOW / STEPS as u32;
+fn bucket(now: Time) -> u64 {
+    let length: Duration = WINDOW / BUCKETS as u32;
     now.0 / length.as_micros() as u64
 }
--- a/crates/dispatch/src/rendezvous.rs
+++ b/crates/dispatch/src/rendezvous.rs
@@ -5,7 +5,11 @@
 use crate::report::{NodeHash, UpstreamHash};
 
 /// The first nodes of an upstream, the first one first.
-pub(crate) fn first(nodes: &[NodeHash], upstream: UpstreamHash, count: usize) -> Vec<NodeHash> {
+pub(crate) fn top_ranked(
+    nodes: &[NodeHash],
+    upstream: UpstreamHash,
+    count: usize,
+) -> Vec<NodeHash> {
     let mut ranked = nodes.to_vec();
     ranked.sort_by_key(|node| std::cmp::Reverse((weight(*node, upstream), *node)));
     ranked.truncate(count);
@@ -13,17 +17,17 @@
 }
 
 /// Whether a node is among the first of an upstream.
-pub(crate) fn is_among_first(
+pub(crate) fn is_top_ranked(
     own: NodeHash,
     nodes: &[NodeHash],
     upstream: UpstreamHash,
     count: usize,
 ) -> bool {
     let own_weight = weight(own, upstream);
-    let before = nodes
+    let higher = nodes
         .iter()
         .filter(|node| weight(**node, upstream) > own_weight);
-    nodes.contains(&own) && before.count() < count
+    nodes.contains(&own) && higher.count() < count
 }
 
 fn weight(node: NodeHash, upstream: UpstreamHash) -> u64 {
--- a/crates/dispatch/src/rests.rs
+++ b/crates/dispatch/src/rests.rs
@@ -18,7 +18,7 @@
 
 impl Rests {
     /// An upstream asks for rest. Of several that it asked for the one that ends last counts.
-    pub fn asked(&mut self, now: Time, upstream: UpstreamHash, rest: Duration) {
+    pub fn begin(&mut self, now: Time, upstream: UpstreamHash, rest: Duration) {
         let until = self.until.entry(upstream).or_default();
         *until = (*until).max(now + rest);
     }
--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -12,14 +12,14 @@
 /// Samples that an unknown upstream is taken to have had at speed 1.
 const PRIOR_SAMPLES: f64 = 3.0;
 /// Samples that what an earlier process learned is worth.
-const ADOPTED_SAMPLES: f64 = 12.0;
+const RESTORED_SAMPLES: f64 = 12.0;
 /// Older samples fade beyond this number.
-const MOST_SAMPLES: f64 = 40.0;
+const MAX_SAMPLES: f64 = 40.0;
 /// Weight of a new sample in a route's mean.
-const ROUTE_WEIGHT: f64 = 0.03;
+const MEAN_SMOOTHING: f64 = 0.03;
 /// Longest time relative to the mean that counts: one very long request says
 /// little.
-const LONGEST_SAMPLE: f64 = 5.0;
+const MAX_SAMPLE_RATIO: f64 = 5.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Samples {
@@ -29,7 +29,7 @@
 
 /// Samples of one upstream, to be told to other nodes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Untold {
+pub(crate) struct UnreportedSamples {
     pub count: u32,
     pub sum: f64,
     pub failures: u32,
@@ -69,57 +69,57 @@
 pub struct SpeedTable {
     routes: HashMap<String, f64>,
     upstreams: HashMap<UpstreamHash, Samples>,
-    untold: HashMap<UpstreamHash, Untold>,
+    unreported: HashMap<UpstreamHash, UnreportedSamples>,
     services: HashMap<ServiceName, f64>,
 }
 
 impl SpeedTable {
     /// Takes the time of an answer, in seconds.
-    pub fn learn(&mut self, upstream: UpstreamHash, route: &str, seconds: f64) {
+    pub fn record_response(&mut self, upstream: UpstreamHash, route: &str, seconds: f64) {
         let mean = match self.routes.get_mut(route) {
             Some(mean) => mean,
             None => self.routes.entry(route.to_owned()).or_insert(seconds),
         };
-        let ratio = (seconds / mean.max(1e-4)).min(LONGEST_SAMPLE);
-        *mean += (seconds - *mean) * ROUTE_WEIGHT;
-        self.add_own(upstream, ratio);
+        let ratio = (seconds / mean.max(1e-4)).min(MAX_SAMPLE_RATIO);
+        *mean += (seconds - *mean) * MEAN_SMOOTHING;
+        self.add_local_sample(upstream, ratio);
     }
 
     /// The same of a request that queued, its time in the queue taken off as far as that is
     /// known: it tells of the upstream, and nothing of the route's work.
-    pub fn learn_queued(&mut self, upstream: UpstreamHash, route: &str, seconds: f64) {
+    pub fn record_queued_response(&mut self, upstream: UpstreamHash, route: &str, seconds: f64) {
         let Some(mean) = self.routes.get(route) else {
             return;
         };
-        let ratio = (seconds / mean.max(1e-4)).min(LONGEST_SAMPLE);
-        self.add_own(upstream, ratio);
+        let ratio = (seconds / mean.max(1e-4)).min(MAX_SAMPLE_RATIO);
+        self.add_local_sample(upstream, ratio);
     }
 
     /// Takes a sample of this node, to be told to others.
-    fn add_own(&mut self, upstream: UpstreamHash, ratio: f64) {
-        self.add(upstream, 1.0, ratio);
-        let untold = self.untold.entry(upstream).or_default();
-        untold.count += 1;
-        untold.sum += ratio;
+    fn add_local_sample(&mut self, upstream: UpstreamHash, ratio: f64) {
+        self.add_samples(upstream, 1.0, ratio);
+        let unreported = self.unreported.entry(upstream).or_default();
+        unreported.count += 1;
+        unreported.sum += ratio;
     }
 
     /// Takes an answer that told of a failure, to be told to other nodes.
-    pub fn fail(&mut self, upstream: UpstreamHash) {
-        self.untold.entry(upstream).or_default().failures += 1;
+    pub fn record_failure(&mut self, upstream: UpstreamHash) {
+        self.unreported.entry(upstream).or_default().failures += 1;
     }
 
     /// Takes samples of another node.
-    pub fn add(&mut self, upstream: UpstreamHash, count: f64, sum: f64) {
+    pub fn add_samples(&mut self, upstream: UpstreamHash, count: f64, sum: f64) {
         let samples = self.upstreams.entry(upstream).or_insert(Samples {
             count: PRIOR_SAMPLES,
             sum: PRIOR_SAMPLES,
         });
         samples.count += count;
         samples.sum += sum;
-        if samples.count > MOST_SAMPLES {
-            let fade = MOST_SAMPLES / samples.count;
-            samples.count *= fade;
-            samples.sum *= fade;
+        if samples.count > MAX_SAMPLES {
+            let scale = MAX_SAMPLES / samples.count;
+            samples.count *= scale;
+            samples.sum *= scale;
         }
     }
 
@@ -136,9 +136,9 @@
     }
 
     /// Takes the time of an answer for the mean of its service.
-    pub fn learn_service(&mut self, service: &ServiceName, seconds: f64) {
+    pub fn record_service_response(&mut self, service: &ServiceName, seconds: f64) {
         match self.services.get_mut(service) {
-            Some(mean) => *mean += (seconds - *mean) * ROUTE_WEIGHT,
+            Some(mean) => *mean += (seconds - *mean) * MEAN_SMOOTHING,
             None => {
                 self.services.insert(service.clone(), seconds);
             }
@@ -176,11 +176,11 @@
     }
 
     /// Takes what an earlier process kept, for whatever is not known here.
-    pub fn adopt(&mut self, record: &SpeedRecord) {
+    pub fn restore(&mut self, record: &SpeedRecord) {
         for row in &record.upstreams {
             let known = Samples {
-                count: ADOPTED_SAMPLES,
-                sum: ADOPTED_SAMPLES * f64::from(row.slowness),
+                count: RESTORED_SAMPLES,
+                sum: RESTORED_SAMPLES * f64::from(row.slowness),
             };
             self.upstreams.entry(row.upstream).or_insert(known);
         }
@@ -196,8 +196,8 @@
     }
 
     /// Samples taken here since the last call.
-    pub(crate) fn take_untold(&mut self) -> Vec<(UpstreamHash, Untold)> {
-        self.untold.drain().collect()
+    pub(crate) fn take_unreported(&mut self) -> Vec<(UpstreamHash, UnreportedSamples)> {
+        self.unreported.drain().collect()
     }
 
     /// Forgets upstreams that are gone.
--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -12,8 +12,8 @@
 };
 
 /// Requests that each node gets in a second, and repeats that it would make.
-const REQUESTS_A_SECOND: u64 = 3;
-const WANTED_FOR_EACH: usize = 10;
+const REQUESTS_PER_SECOND: u64 = 3;
+const RETRIES_WANTED: usize = 10;
 
 fn at(millis: u64) -> Time {
     Time(millis * 1_000)
@@ -21,33 +21,33 @@
 
 /// Most arrivals beyond the first in any window, and the requests in it, where the process of
 /// each node is replaced at the moments that are given for it.
-fn most_repeats(replaced: [&[u64]; NODES]) -> (usize, usize) {
-    const LENGTH_MS: u64 = 40_000;
-    let mut repeats = Vec::new();
+fn max_retries(replaced: [&[u64]; NODES]) -> (usize, usize) {
+    const DURATION_MS: u64 = 40_000;
+    let mut retries = Vec::new();
     for moments in replaced {
         let mut budget = RetryBudget::default();
-        for now in (0..LENGTH_MS).step_by(1_000 / REQUESTS_A_SECOND as usize) {
+        for now in (0..DURATION_MS).step_by(1_000 / REQUESTS_PER_SECOND as usize) {
             if moments.iter().any(|moment| now.abs_diff(*moment) < 167) {
                 budget = RetryBudget::default();
             }
-            budget.request(&CONFIG, at(now));
-            for _ in 0..WANTED_FOR_EACH {
+            budget.record_request(&CONFIG, at(now));
+            for _ in 0..RETRIES_WANTED {
                 if budget.allows(&CONFIG, at(now), NODES) {
-                    budget.repeat(&CONFIG, at(now));
-                    repeats.push(now);
+                    budget.record_retry(&CONFIG, at(now));
+                    retries.push(now);
                 }
             }
         }
     }
     let window = CONFIG.window.as_millis() as u64;
     let in_window = |begin: u64| {
-        let inside = repeats
+        let inside = retries
             .iter()
             .filter(|at| (begin..begin + window).contains(*at));
         inside.count()
     };
-    let most = (0..LENGTH_MS - window).map(in_window).max();
-    let requests = NODES * (REQUESTS_A_SECOND * window / 1_000) as usize;
+    let most = (0..DURATION_MS - window).map(in_window).max();
+    let requests = NODES * (REQUESTS_PER_SECOND * window / 1_000) as usize;
     (most.unwrap_or_default(), requests)
 }
 
@@ -58,7 +58,7 @@
 /// Four routers that were stopped in turn each spent a whole part of the allowance again.
 #[test]
 fn nodes_that_are_replaced_in_turn_spend_the_allowance_once() {
-    let (most, requests) = most_repeats([&[16_000], &[16_900], &[17_700], &[18_600]]);
+    let (most, requests) = max_retries([&[16_000], &[16_900], &[17_700], &[18_600]]);
     let allowed = allowed(requests);
     assert!(most <= allowed, "{most} repeats, {allowed} allowed");
 }
@@ -66,7 +66,7 @@
 /// Each node spent all at once, and again nine tenths of a window later.
 #[test]
 fn nodes_that_run_on_keep_the_bound_and_spend_most_of_it() {
-    let (most, requests) = most_repeats([&[], &[], &[], &[]]);
+    let (most, requests) = max_retries([&[], &[], &[], &[]]);
     let allowed = allowed(requests);
     assert!(most <= allowed, "{most} repeats, {allowed} allowed");
     assert!(
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -276,7 +276,7 @@
         }],
         answers: Vec::new(),
     };
-    node.reported(3, report.in_flight.clone());
+    node.record_own_report(3, report.in_flight.clone());
     relay.begin(upstream);
     relay.apply_load_report(at(0), &report);
     for sum in relay.sum(1, true) {
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -200,7 +200,7 @@
 
 /// It was at the upstreams when they ended, and is not what ended them.
 #[test]
-fn a_request_that_was_answered_between_is_not_kept_off() {
+fn a_request_that_was_answered_between_is_not_quarantined() {
     let mut deployment = Deployment::new();
     deployment.told_of_two("bystander");
     deployment.send(100, "bystander", AttemptOutcome::Answered { success: true });
@@ -218,7 +218,7 @@
             let suspicion = Suspicion {
                 fingerprint,
                 upstream: UpstreamHash(upstream),
-                run: AttemptHash(1),
+                attempt: AttemptHash(1),
                 is_trial: false,
                 is_cleared: false,
             };
@@ -230,7 +230,7 @@
         let cleared = Suspicion {
             fingerprint: of(ELSEWHERE).content,
             upstream: UpstreamHash(upstream),
-            run: AttemptHash(1),
+            attempt: AttemptHash(1),
             is_trial: false,
             is_cleared: true,
         };
@@ -304,7 +304,7 @@
 
 /// It is tried again after a while, and kept off for longer if it does the same.
 #[test]
-fn each_further_end_doubles_the_time_for_which_it_is_kept_off() {
+fn each_further_end_doubles_the_time_for_which_it_is_quarantined() {
     let mut deployment = Deployment::new();
     deployment.told_of_two("bad");
     deployment.end_under(100, "bad");
@@ -318,7 +318,7 @@
     Suspicion {
         fingerprint: Fingerprint(fingerprint),
         upstream: UpstreamHash(upstream),
-        run: AttemptHash(1),
+        attempt: AttemptHash(1),
         is_trial: false,
         is_cleared: false,
     }
@@ -333,9 +333,9 @@
     for fingerprint in 100..10_100 {
         quarantine.merge(at(2), suspicion(fingerprint, 9));
     }
-    let (suspected, kept_off) = quarantine.counts(at(3));
+    let (suspected, quarantined) = quarantine.counts(at(3));
     assert!(suspected <= 4_096, "{suspected} are remembered");
-    assert_eq!(kept_off, 1);
+    assert_eq!(quarantined, 1);
 }
 
 #[test]
@@ -388,7 +388,7 @@
             .map(|(fingerprint, upstream, run, is_cleared)| Suspicion {
                 fingerprint: Fingerprint(u64::from(fingerprint % 3)),
                 upstream: UpstreamHash(u32::from(upstream % 6)),
-                run: AttemptHash(u32::from(run % 5)),
+                attempt: AttemptHash(u32::from(run % 5)),
                 is_trial: run % 5 == 4,
                 is_cleared: *is_cleared,
             })
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -103,7 +103,7 @@
             Suspicion {
                 fingerprint,
                 upstream: UpstreamHash::of(&born(birth)),
-                run: AttemptHash(birth as u32),
+                attempt: AttemptHash(birth as u32),
                 is_trial: false,
                 is_cleared: false,
             },
--- a/crates/dispatch/tests/trials.rs
+++ b/crates/dispatch/tests/trials.rs
@@ -57,7 +57,7 @@
 /// A run of the request ended with that upstream.
 fn ended(upstream: u32, run: u32, is_trial: bool) -> Suspicion {
     Suspicion {
-        run: AttemptHash(run),
+        attempt: AttemptHash(run),
         is_trial,
         fingerprint: BAD,
         upstream: UpstreamHash(upstream),
