--- a/crates/dispatch/src/dispatcher/decide.rs
+++ b/crates/dispatch/src/dispatcher/decide.rs
@@ -38,7 +38,7 @@
                 continue;
             };
             let decision = self.decide(now, directory, ticket, &mut request);
-            let (waits, ended) = match &decision {
+            let (is_waiting, is_concluded) = match &decision {
                 None
                 | Some(Decision::AskSlot(_) | Decision::AskTrial(_) | Decision::AskPermit(_)) => {
                     (true, false)
@@ -46,10 +46,10 @@
                 Some(Decision::Forward(..)) => (false, false),
                 Some(Decision::Conclude(..)) => (false, true),
             };
-            if !ended {
+            if !is_concluded {
                 self.requests.insert(ticket, request);
             }
-            if waits {
+            if is_waiting {
                 self.waiting.push(ticket);
             }
             decisions.extend(decision);
@@ -76,12 +76,12 @@
             let ending = self.conclude(now, request, RefusalReason::Quarantined);
             return Some(Decision::Conclude(ticket, ending));
         }
-        let wanted = if now < request.not_before {
+        let choice = if now < request.not_before {
             Err(RefusalReason::Busy)
         } else {
             self.choose(now, directory, request)
         };
-        match wanted {
+        match choice {
             Ok(Choice::Send(registration)) => {
                 let RequestStatus::OnTrial(fingerprint) = status else {
                     let forward = self.forward(now, ticket, request, &registration, None);
@@ -92,7 +92,7 @@
             Ok(Choice::AskRelay) => {
                 Some(Decision::AskSlot(self.slot_request(now, ticket, request)))
             }
-            Ok(Choice::AskPermit(asked)) => Some(Decision::AskPermit(asked)),
+            Ok(Choice::AskPermit(permit_request)) => Some(Decision::AskPermit(permit_request)),
             Ok(Choice::Wait) => None,
             Err(reason) if now >= request.wait_until || self.is_futile(now, request, reason) => {
                 let ending = self.conclude(now, request, reason);
@@ -123,8 +123,8 @@
                 Some(Decision::Forward(ticket, forward))
             }
             TrialStep::Ask(number) => {
-                let asked = self.trial_request(request, fingerprint, number);
-                Some(Decision::AskTrial(asked))
+                let trial_request = self.trial_request(request, fingerprint, number);
+                Some(Decision::AskTrial(trial_request))
             }
             TrialStep::Wait if now < request.wait_until => None,
             TrialStep::Wait => {
@@ -141,9 +141,9 @@
         number: u32,
     ) -> TrialRequest {
         let node = NodeHash::of(&self.config.node);
-        let lasts = request.route.timeout;
+        let timeout = request.route.timeout;
         self.quarantine
-            .trial_request(fingerprint, node, number, lasts)
+            .trial_request(fingerprint, node, number, timeout)
     }
 
     /// Whether the reason for waiting can't pass before the request's time to wait is over: the
@@ -186,7 +186,7 @@
             service: request.service.clone(),
             key: request.key,
             assignment: self.assignment(request),
-            limited_by: self.limit_facts(now, request, reason),
+            limited_by: self.rate_limit_state(now, request, reason),
             arrivals: request.arrivals,
             age: now.since(request.arrived),
             left: request.deadline.since(now),
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -50,8 +50,8 @@
     }
 
     /// Applies a rate limit update from another node. Returns whether it was new.
-    pub fn apply_rate_limit_update(&mut self, now: Time, word: &RateLimitUpdate) -> bool {
-        self.limits.apply_update(now, word)
+    pub fn apply_rate_limit_update(&mut self, now: Time, update: &RateLimitUpdate) -> bool {
+        self.limits.apply_update(now, update)
     }
 
     /// What is known of an upstream's rate limit, for another node.
@@ -130,9 +130,9 @@
     ) -> Result<Choice, RefusalReason> {
         match self.permit_action(now, hash) {
             PermitAction::Send => Ok(Choice::Send(registration.clone())),
-            PermitAction::Ask(asked) => {
+            PermitAction::Ask(permit_request) => {
                 wait_for_lender(now, request);
-                Ok(Choice::AskPermit(asked))
+                Ok(Choice::AskPermit(permit_request))
             }
             PermitAction::Wait(wait) => {
                 request.limited_by = Some(wait);
@@ -153,7 +153,7 @@
         }
         let pool = self.pools.of(&request.service);
         let query = self.query(now, request);
-        let takes = |member: &&PoolMember| {
+        let has_permit_and_room = |member: &&PoolMember| {
             let registration = &member.registration;
             let is_free = self.occupancy.total(member.hash) < registration.record.slots;
             let expected = self.expected_time(now, query.work, registration, member.hash);
@@ -164,7 +164,7 @@
                 && is_free
                 && expected <= query.time_left * TIME_LEFT_FRACTION
         };
-        if let Some(member) = pool.iter().find(takes) {
+        if let Some(member) = pool.iter().find(has_permit_and_room) {
             return Some(Choice::Send(member.registration.clone()));
         }
         if request.slot != SlotState::Refused {
@@ -192,26 +192,26 @@
         let is_limited = |member: &&&PoolMember| self.limits.rate(member.hash).is_some();
         let limited: Vec<&PoolMember> = usable.iter().filter(is_limited).copied().collect();
         let is_only_limited = limited.len() == usable.len();
-        let mut soonest: Option<PermitWait> = None;
+        let mut earliest: Option<PermitWait> = None;
         for member in limited {
             if self.cold_rate(now, &member.registration).is_some() {
                 continue;
             }
             match self.permit_action(now, member.hash) {
                 PermitAction::Send => return Ok(Choice::Send(member.registration.clone())),
-                PermitAction::Ask(asked) => {
+                PermitAction::Ask(permit_request) => {
                     wait_for_lender(now, request);
-                    return Ok(Choice::AskPermit(asked));
+                    return Ok(Choice::AskPermit(permit_request));
                 }
                 PermitAction::Wait(wait) => {
-                    if soonest.is_none_or(|soonest| wait.until < soonest.until) {
-                        soonest = Some(wait);
+                    if earliest.is_none_or(|earliest| wait.until < earliest.until) {
+                        earliest = Some(wait);
                     }
                 }
             }
         }
-        request.limited_by = soonest;
-        match soonest {
+        request.limited_by = earliest;
+        match earliest {
             Some(_) if is_only_limited => Err(RefusalReason::Limited),
             _ => Err(RefusalReason::Busy),
         }
@@ -220,18 +220,18 @@
     /// Returns when a rate-limited client should retry: when there is room for it and for those
     /// that were refused before, with jitter so that they don't all retry at once.
     pub(super) fn retry_after_limit(&mut self, now: Time, request: &Request) -> Duration {
-        let Some(facts) = self.limit_facts(now, request, RefusalReason::Limited) else {
+        let Some(state) = self.rate_limit_state(now, request, RefusalReason::Limited) else {
             return MIN_RETRY_AFTER;
         };
-        let least = facts.next_in.max(MIN_RETRY_AFTER);
-        let spread = facts
+        let least = state.next_in.max(MIN_RETRY_AFTER);
+        let spread = state
             .room_in
             .clamp(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER);
         least + spread.mul_f64(self.random.random())
     }
 
     /// State of the rate limit that a request is refused for.
-    pub(super) fn limit_facts(
+    pub(super) fn rate_limit_state(
         &self,
         now: Time,
         request: &Request,
@@ -259,6 +259,6 @@
             .route
             .target_latency
             .mul_f64(MAX_PERMIT_WAIT_FRACTION);
-    let answered = (now + REPLY_TIMEOUT).min(latest);
-    request.wait_until = request.wait_until.max(answered).min(request.deadline);
+    let reply_by = (now + REPLY_TIMEOUT).min(latest);
+    request.wait_until = request.wait_until.max(reply_by).min(request.deadline);
 }
--- a/crates/dispatch/src/quarantine/lender.rs
+++ b/crates/dispatch/src/quarantine/lender.rs
@@ -142,11 +142,11 @@
         if trials.permit.is_some_and(is_others) || now < trials.backoff_until {
             return false;
         }
-        let lasts = Duration::from_millis(u64::from(request.timeout_ms));
+        let timeout = Duration::from_millis(u64::from(request.timeout_ms));
         trials.permit = Some(Permit {
             node: request.node,
             number: request.number,
-            until: now + lasts + OUTCOME_GRACE,
+            until: now + timeout + OUTCOME_GRACE,
         });
         true
     }
--- a/crates/dispatch/src/quarantine/status.rs
+++ b/crates/dispatch/src/quarantine/status.rs
@@ -39,20 +39,20 @@
         self.trials.step(now, fingerprint)
     }
 
-    /// Builds the permit request for the lender. The suspected request ends at most `lasts`
+    /// Builds the permit request for the lender. The suspected request ends at most `timeout`
     /// after it is sent.
     pub(crate) fn trial_request(
         &self,
         fingerprint: Fingerprint,
         node: NodeHash,
         number: u32,
-        lasts: Duration,
+        timeout: Duration,
     ) -> TrialRequest {
         TrialRequest {
             fingerprint,
             node,
             number,
-            timeout_ms: (lasts + PERMIT_LIFETIME).as_millis() as u32,
+            timeout_ms: (timeout + PERMIT_LIFETIME).as_millis() as u32,
             known: self.suspicions_of(fingerprint),
         }
     }
--- a/crates/dispatch/src/quarantine/trials.rs
+++ b/crates/dispatch/src/quarantine/trials.rs
@@ -35,7 +35,7 @@
 struct Trial {
     number: u32,
     stage: Stage,
-    asked: Time,
+    asked_at: Time,
     /// When this stage ends if nothing happens.
     until: Time,
 }
@@ -87,7 +87,7 @@
         let trial = Trial {
             number: self.last_number,
             stage: Stage::Asked,
-            asked: now,
+            asked_at: now,
             until: now + REPLY_TIMEOUT,
         };
         self.trials.insert(fingerprint, trial);
@@ -107,7 +107,7 @@
             Some(trial) if trial.stage != Stage::Asked => {}
             Some(trial) if is_lent => {
                 trial.stage = Stage::Held;
-                trial.until = trial.asked + PERMIT_LIFETIME;
+                trial.until = trial.asked_at + PERMIT_LIFETIME;
             }
             Some(trial) => {
                 trial.stage = Stage::Denied;
--- a/crates/dispatch/src/rate_limit/lender.rs
+++ b/crates/dispatch/src/rate_limit/lender.rs
@@ -94,13 +94,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     permits: f64,
-    filled: Time,
+    filled_at: Time,
     /// How many more requests the upstream would have accepted in the window before the limit
     /// was known.
     unused: f64,
     /// Number of permits that were recently denied.
     denied: f64,
-    asked: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
@@ -112,16 +112,16 @@
         };
         Self {
             permits,
-            filled: tenure.starts(),
+            filled_at: tenure.starts(),
             unused: share.in_window,
             denied: 0.0,
-            asked: now,
+            updated_at: now,
         }
     }
 
     fn next_in(&self, now: Time, share: Share) -> Duration {
         let lacking = (1.0 - self.permits).max(0.0) / share.rate;
-        self.filled.since(now) + Duration::from_secs_f64(lacking)
+        self.filled_at.since(now) + Duration::from_secs_f64(lacking)
     }
 
     /// Charges the bucket for requests that a node sent in the window before the limit was
@@ -137,12 +137,12 @@
     }
 
     fn fill(&mut self, now: Time, share: Share) {
-        let filled = self.permits + now.since(self.filled).as_secs_f64() * share.rate;
+        let filled = self.permits + now.since(self.filled_at).as_secs_f64() * share.rate;
         self.permits = filled.min(share.capacity);
-        self.filled = self.filled.max(now);
-        let half_lives = now.since(self.asked).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
+        self.filled_at = self.filled_at.max(now);
+        let half_lives = now.since(self.updated_at).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
         self.denied *= 0.5f64.powf(half_lives);
-        self.asked = now;
+        self.updated_at = now;
     }
 }
 
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -42,13 +42,13 @@
 struct PendingRequest {
     number: u32,
     lender: NodeHash,
-    asked: Time,
+    asked_at: Time,
     wanted: u32,
 }
 
 impl PendingRequest {
     fn expires(&self) -> Time {
-        self.asked + REPLY_TIMEOUT
+        self.asked_at + REPLY_TIMEOUT
     }
 }
 
@@ -181,7 +181,7 @@
         let request = PendingRequest {
             number: self.last_number,
             lender,
-            asked: now,
+            asked_at: now,
             wanted: (demand - outstanding).clamp(1, MAX_PERMITS_PER_REQUEST),
         };
         account.pending.push(request);
@@ -206,11 +206,11 @@
             return;
         };
         let mut pending = account.pending.iter();
-        let Some(asked) = pending.position(|one| one.number == number) else {
+        let Some(index) = pending.position(|one| one.number == number) else {
             return;
         };
-        let request = account.pending.swap_remove(asked);
-        let until = request.asked + PERMIT_LIFETIME;
+        let request = account.pending.swap_remove(index);
+        let until = request.asked_at + PERMIT_LIFETIME;
         let permits = permits.min(MAX_PERMITS_PER_REQUEST) as usize;
         account.held.extend(std::iter::repeat_n(until, permits));
         let lender = account.lender(request.lender);
--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -1,6 +1,6 @@
-//! The bound on repeats over all nodes, where processes are replaced.
+//! The retry budget over all nodes, while their processes are replaced.
 
-use beamtray_dispatch::{RetryBudget, RetryBudgetConfig};
+use beamtray_dispatch::{RetryBudgetConfig, RetryBudget};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     window: Duration::from_secs(10),
 };
 
-/// Requests that each node gets in a second, and repeats that it would make.
+/// Requests per second and node, and retries that each node wants per request.
 const REQUESTS_PER_SECOND: u64 = 3;
 const RETRIES_WANTED: usize = 10;
 
@@ -19,12 +19,12 @@
     Time(millis * 1_000)
 }
 
-/// Most arrivals beyond the first in any window, and the requests in it, where the process of
-/// each node is replaced at the moments that are given for it.
-fn max_retries(replaced: [&[u64]; NODES]) -> (usize, usize) {
+/// Returns the highest number of retries in any window, and the number of requests in a window.
+/// The process of each node is replaced at the given times.
+fn max_retries(restarts: [&[u64]; NODES]) -> (usize, usize) {
     const DURATION_MS: u64 = 40_000;
     let mut retries = Vec::new();
-    for moments in replaced {
+    for moments in restarts {
         let mut budget = RetryBudget::default();
         for now in (0..DURATION_MS).step_by(1_000 / REQUESTS_PER_SECOND as usize) {
             if moments.iter().any(|moment| now.abs_diff(*moment) < 167) {
@@ -55,17 +55,19 @@
     (CONFIG.ratio * requests as f64 + CONFIG.allowance) as usize
 }
 
-/// Four routers that were stopped in turn each spent a whole part of the allowance again.
+/// Guards against each new process starting with the whole share of its node: four routers
+/// restarted in turn each spent it again.
 #[test]
-fn nodes_that_are_replaced_in_turn_spend_the_allowance_once() {
+fn processes_replaced_in_turn_spend_the_allowance_once() {
     let (most, requests) = max_retries([&[16_000], &[16_900], &[17_700], &[18_600]]);
     let allowed = allowed(requests);
     assert!(most <= allowed, "{most} repeats, {allowed} allowed");
 }
 
-/// Each node spent all at once, and again nine tenths of a window later.
+/// Guards against a node that spends its share all at once and again nine tenths of a window
+/// later.
 #[test]
-fn nodes_that_run_on_keep_the_bound_and_spend_most_of_it() {
+fn running_nodes_keep_the_limit_and_use_most_of_it() {
     let (most, requests) = max_retries([&[], &[], &[], &[]]);
     let allowed = allowed(requests);
     assert!(most <= allowed, "{most} repeats, {allowed} allowed");
--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -1,33 +1,33 @@
-//! Many nodes and an upstream that is cold.
+//! Many nodes and a cold upstream.
 //!
-//! Seen: a zone's upstreams came back cold under ordinary load. They were sent up to 35
-//! requests in a second where 18 are allowed, fell over, came back cold again, and so on to
-//! the end of the day. Cause: that an upstream is cold made it count as twice as slow, and
-//! an idle one that is twice as slow is still the first choice of nodes whose other
-//! upstreams are busy; the holder of a key has no alternative at all. Proof: without the
-//! bound the holder below gets 1,106 requests in a second.
+//! Guards against overloading upstreams that start cold. The upstreams of a zone restarted
+//! under ordinary load, were sent up to 35 requests per second where 18 are allowed, failed,
+//! restarted cold, and so on to the end of the day. A cold upstream only counted as twice as
+//! slow, and an idle one that is twice as slow is still the first choice of nodes whose other
+//! upstreams are busy; the holder of a key has no alternative at all. Without the limit the
+//! holder below gets 1,106 requests in a second.
 
 mod common;
 
 use beamtray_catalog::{ColdStart, Directory, UpstreamRecord};
-use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, NotExecuted, Ticket};
+use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, Ticket, NotExecuted};
 use beamtray_sharding::{FencingToken, SliceState};
 use beamtray_types::Time;
 use common::*;
 use std::time::Duration;
 
 const COLD: &str = "cold";
-/// What 18 requests a second come to: 6.7 x 1.5 + 8.
-const ALLOWED: usize = 18;
-/// Requests a second that a cold upstream handles.
+/// The limit of 18 requests per second: 6.7 x 1.5 + 8.
+const MAX_PER_SECOND: usize = 18;
+/// Requests per second that a cold upstream handles.
 const RATE: f64 = 6.7;
-/// For so long the upstream is cold, from 2 s on.
-const LASTS: Duration = Duration::from_secs(3);
+/// How long the upstream is cold, starting at 2 s.
+const COLD_TIME: Duration = Duration::from_secs(3);
 const COLD_FROM: u64 = 2_000;
 const COLD_UNTIL: u64 = 5_000;
-/// Between two requests of a node.
-const REQUEST_EVERY_MS: u64 = 50;
-/// How long one takes.
+/// Interval between the requests of a node.
+const REQUEST_INTERVAL_MS: u64 = 50;
+/// Duration of a request.
 const WORK_MS: u64 = 150;
 
 fn name(node: usize) -> String {
@@ -41,7 +41,7 @@
 fn node(number: usize, rate: f64) -> Dispatcher {
     let mut configuration = configuration();
     for service in &mut configuration.services {
-        service.cold_start = Some(ColdStart { lasts: LASTS, rate });
+        service.cold_start = Some(ColdStart { lasts: COLD_TIME, rate });
     }
     let mut dispatcher = unconfigured_as(&name(number));
     if rate < RATE {
@@ -58,15 +58,15 @@
     }
 }
 
-/// Nodes under load, with the directory that all of them see.
+/// Nodes under load that share one directory.
 struct Load {
     nodes: Vec<Dispatcher>,
     directory: Directory,
     path: &'static str,
     key: Option<u16>,
     next: u64,
-    /// When each request under way ends, and where.
-    under_way: Vec<(u64, usize, Ticket)>,
+    /// End time, node and ticket of each request in flight.
+    in_flight: Vec<(u64, usize, Ticket)>,
     /// When the cold upstream was sent requests.
     sent: Vec<Time>,
     warm: usize,
@@ -85,31 +85,31 @@
             path,
             key,
             next: 0,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             sent: Vec::new(),
             warm: 0,
         };
         for number in 0..load.nodes.len() {
-            load.know(0, number, 0..load.nodes.len());
+            load.set_members(0, number, 0..load.nodes.len());
         }
         load
     }
 
-    /// Which nodes there are, as a node sees it from then on.
-    fn know(&mut self, millis: u64, node: usize, nodes: std::ops::Range<usize>) {
+    /// Sets the nodes that a node sees from now on.
+    fn set_members(&mut self, millis: u64, node: usize, nodes: std::ops::Range<usize>) {
         self.nodes[node].set_members(at(millis), members(nodes));
     }
 
     fn step(&mut self, millis: u64) {
         let now = at(millis);
-        let ended = self.under_way.extract_if(.., |(due, ..)| *due <= millis);
+        let ended = self.in_flight.extract_if(.., |(due, ..)| *due <= millis);
         for (_, node, ticket) in ended {
             let outcome = AttemptOutcome::Answered { success: true };
             self.nodes[node].attempt_ended(now, ticket, outcome);
         }
         for (number, node) in self.nodes.iter_mut().enumerate() {
             node.expire(now);
-            if (millis + 7 * number as u64).is_multiple_of(REQUEST_EVERY_MS) {
+            if (millis + 7 * number as u64).is_multiple_of(REQUEST_INTERVAL_MS) {
                 self.next += 1;
                 let head = head(self.path, self.key);
                 node.admit(now, Ticket(self.next), &head)
@@ -119,7 +119,7 @@
                 let Decision::Forward(ticket, forward) = decision else {
                     continue;
                 };
-                self.under_way.push((millis + WORK_MS, number, ticket));
+                self.in_flight.push((millis + WORK_MS, number, ticket));
                 if forward.upstream.name.0 == COLD {
                     self.sent.push(now);
                 } else {
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Most requests that the cold upstream was sent in any second while it was cold.
-    fn most_in_a_second(&self) -> usize {
+    /// Highest number of requests sent to the cold upstream in any second while it was cold.
+    fn max_per_second(&self) -> usize {
         let cold = |time: &&Time| **time < at(COLD_UNTIL);
         let sent: Vec<Time> = self.sent.iter().filter(cold).copied().collect();
         let within = |first: &Time| {
@@ -150,49 +150,50 @@
 }
 
 #[test]
-fn many_nodes_send_a_cold_upstream_no_more_than_it_may_get() {
+fn many_nodes_keep_the_limit_of_a_cold_upstream() {
     let mut load = Load::new(79, "/read/1", None);
     load.run(0, COLD_FROM);
     load.directory
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     load.run(COLD_FROM, COLD_UNTIL);
-    let most = load.most_in_a_second();
-    assert!((3..=ALLOWED).contains(&most), "{most}");
+    let most = load.max_per_second();
+    assert!((3..=MAX_PER_SECOND).contains(&most), "{most}");
     let cold = load.sent.len();
-    assert!(cold >= 12, "it is used: {cold} of 20 that it handles");
+    assert!(cold >= 12, "used too little: {cold} of the 20 requests that it handles");
     load.run(COLD_UNTIL, COLD_UNTIL + 1_000);
     assert!(
         load.sent.len() > cold + 20,
-        "it is one of all as soon as it is warm"
+        "a warm upstream gets its full share of requests"
     );
 }
 
-/// Half of the nodes are cut off from the others when the upstream starts: the two views
-/// of who there is have senders of their own.
+/// Half of the nodes are partitioned from the others when the upstream starts: each of the two
+/// views of the nodes has its own senders.
 #[test]
-fn nodes_that_are_cut_off_from_each_other_send_no_more_together() {
-    for cut in [10, 27, 40] {
+fn partitioned_nodes_keep_the_limit_together() {
+    for partitioned in [10, 27, 40] {
         let mut load = Load::new(79, "/read/1", None);
         load.run(0, COLD_FROM);
         load.directory
             .register(at(COLD_FROM), cold("pool", COLD_FROM));
-        // Entries of those that are cut off lapse one by one; they themselves see all.
-        for lapsed in 0..=cut {
+        // The registrations of partitioned nodes lapse one by one; these nodes themselves still
+        // see all.
+        for lapsed in 0..=partitioned {
             let from = COLD_FROM + 40 * lapsed as u64;
             load.run(from, from + 40);
-            for number in cut..79 {
-                load.know(from, number, lapsed..79);
+            for number in partitioned..79 {
+                load.set_members(from, number, lapsed..79);
             }
         }
-        load.run(COLD_FROM + 40 * (cut as u64 + 1), COLD_UNTIL);
-        let most = load.most_in_a_second();
-        assert!(most <= ALLOWED, "{cut} cut off: {most}");
+        load.run(COLD_FROM + 40 * (partitioned as u64 + 1), COLD_UNTIL);
+        let most = load.max_per_second();
+        assert!(most <= MAX_PER_SECOND, "{partitioned} partitioned: {most}");
     }
 }
 
-/// A node that has just started sees itself alone, and so do all that start with it.
+/// Nodes that all started just now see no other node.
 #[test]
-fn nodes_that_know_no_others_send_it_nothing() {
+fn nodes_without_known_members_send_nothing() {
     let mut load = Load::new(79, "/read/1", None);
     for number in 0..79 {
         load.nodes[number].set_members(at(COLD_FROM - 1), Vec::new());
@@ -200,13 +201,13 @@
     load.directory
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     load.run(COLD_FROM, COLD_UNTIL);
-    assert_eq!(load.most_in_a_second(), 0);
-    assert!(load.warm > 0, "all goes to the others");
+    assert_eq!(load.max_per_second(), 0);
+    assert!(load.warm > 0, "the other upstreams get all requests");
 }
 
-/// All requests for a key go to its holder, whichever nodes they come to.
+/// All requests for a key go to its holder, from all nodes.
 #[test]
-fn a_holder_that_is_cold_gets_no_more_than_it_may() {
+fn a_cold_holder_gets_no_more_than_its_limit() {
     let mut load = Load::new(79, "/keyed/1", Some(5));
     for node in &mut load.nodes {
         let state = SliceState::Held {
@@ -218,13 +219,13 @@
     load.directory
         .register(at(COLD_FROM), cold("keyed", COLD_FROM));
     load.run(COLD_FROM, COLD_UNTIL);
-    let most = load.most_in_a_second();
-    assert!((3..=ALLOWED).contains(&most), "{most}");
+    let most = load.max_per_second();
+    assert!((3..=MAX_PER_SECOND).contains(&most), "{most}");
 }
 
-/// A warm upstream may become cold again, and says so in its entry.
+/// A warm upstream may become cold again and states so in its registration.
 #[test]
-fn one_that_becomes_cold_again_gets_no_more_from_then_on() {
+fn an_upstream_that_becomes_cold_again_is_limited_again() {
     let mut load = Load::new(79, "/read/1", None);
     let warm = record(COLD, "pool", "here", 9_000);
     load.directory.register(at(0), warm);
@@ -233,38 +234,39 @@
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     load.sent.clear();
     load.run(COLD_FROM, COLD_UNTIL);
-    assert!(load.most_in_a_second() <= ALLOWED);
+    assert!(load.max_per_second() <= MAX_PER_SECOND);
 }
 
-/// 2 requests a second, 3 allowed: one sender for each view, also after the nodes changed.
+/// Handles 2 requests per second, with 3 allowed: one sender per view, also after the set of
+/// nodes changed.
 #[test]
-fn a_small_bound_has_fewer_senders() {
+fn a_low_limit_has_fewer_senders() {
     let mut load = Load::with_rate(79, "/read/1", None, 2.0);
     load.run(0, COLD_FROM);
     load.directory
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     load.run(COLD_FROM, COLD_FROM + 500);
     for number in 1..79 {
-        load.know(COLD_FROM + 500, number, 1..79);
+        load.set_members(COLD_FROM + 500, number, 1..79);
     }
     load.run(COLD_FROM + 500, COLD_UNTIL);
-    let most = load.most_in_a_second();
-    assert!((1..=2).contains(&most), "one in each view: {most}");
+    let most = load.max_per_second();
+    assert!((1..=2).contains(&most), "one sender in each view: {most}");
 }
 
-/// What could not be sent was not taken: nothing of it counts at the upstream.
+/// Attempts that are not executed cause no load, but still count against the interval.
 #[test]
-fn attempts_that_did_not_arrive_keep_the_pause_too() {
+fn attempts_that_are_not_executed_count_against_the_interval() {
     let mut load = Load::new(3, "/read/1", None);
     load.run(0, COLD_FROM);
     load.directory
         .register(at(COLD_FROM), cold("pool", COLD_FROM));
     for millis in COLD_FROM..COLD_UNTIL {
         load.step(millis);
-        let untouched = AttemptOutcome::NotExecuted(NotExecuted::Unsent);
-        for (_, node, ticket) in std::mem::take(&mut load.under_way) {
-            load.nodes[node].attempt_ended(at(millis), ticket, untouched);
+        let not_executed = AttemptOutcome::NotExecuted(NotExecuted::Unsent);
+        for (_, node, ticket) in std::mem::take(&mut load.in_flight) {
+            load.nodes[node].attempt_ended(at(millis), ticket, not_executed);
         }
     }
-    assert!(load.most_in_a_second() <= ALLOWED);
+    assert!(load.max_per_second() <= MAX_PER_SECOND);
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -7,8 +7,8 @@
     ServiceConfig, UpstreamId, UpstreamRecord, UpstreamState, WeightedBackend,
 };
 use beamtray_dispatch::{
-    ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints, Forward,
-    RequestHead, RetryBudgetConfig,
+    RetryBudgetConfig, ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints,
+    Forward, RequestHead,
 };
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
@@ -101,7 +101,7 @@
     directory
 }
 
-/// Bounds under which a cold upstream gets half more than it handles.
+/// Limits that allow a cold upstream 1.5 times the rate it handles, and no more.
 pub fn bounds_without_slack() -> DispatchConfig {
     let cold_start = ColdStartBound {
         overage: 1.5,
@@ -113,12 +113,12 @@
     }
 }
 
-/// A node that knows no configuration yet.
+/// A node without a configuration.
 pub fn unconfigured() -> Dispatcher {
     unconfigured_as("node")
 }
 
-/// The same under that name.
+/// A node of that name without a configuration.
 pub fn unconfigured_as(node: &str) -> Dispatcher {
     Dispatcher::new(config(node))
 }
@@ -179,12 +179,12 @@
     })
 }
 
-/// All keys of "keyed" are in that state.
+/// Assigns all keys of "keyed" in state `state` at time 0.
 pub fn assign(dispatcher: &mut Dispatcher, sequence: u64, state: SliceState) {
     assign_at(dispatcher, 0, sequence, state);
 }
 
-/// The same, from then on.
+/// Assigns all keys of "keyed" in state `state`.
 pub fn assign_at(dispatcher: &mut Dispatcher, millis: u64, sequence: u64, state: SliceState) {
     let slices = Part::all().map(|part| SliceRecord {
         range: part.range(),
@@ -205,7 +205,7 @@
     );
 }
 
-/// The usual holder has them.
+/// All keys are held by the upstream "holder".
 pub fn held() -> SliceState {
     SliceState::Held {
         holder: UpstreamId::from("holder".to_owned()),
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,17 +1,17 @@
-//! Where requests go and what becomes of those that failed there.
+//! Selection of upstreams and handling of failed attempts.
 
 mod common;
 
 use beamtray_catalog::{UpstreamId, UpstreamState};
 use beamtray_dispatch::{
-    AdmissionError, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, NotExecuted,
-    Occupancy, SumSource, Ticket, UnknownCause, UpstreamHash,
+    AdmissionError, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, Occupancy, SumSource,
+    Ticket, UnknownCause, NotExecuted, UpstreamHash,
 };
 use beamtray_sharding::{FencingToken, SliceState};
 use common::*;
 
-/// Another node's requests under way.
-fn others(upstream: &str, requests: u8, sequence: u32) -> LoadReport {
+/// Another node's report of requests in flight.
+fn report_of_peer(upstream: &str, requests: u8, sequence: u32) -> LoadReport {
     LoadReport {
         node: NodeHash(1),
         run: 1,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_no_configuration_allows_is_not_admitted() {
+fn requests_that_the_configuration_does_not_allow_are_not_admitted() {
     let mut unconfigured = unconfigured();
     let denied = unconfigured.admit(at(1), Ticket(1), &head("/read/1", None));
     assert_eq!(denied, Err(AdmissionError::NoConfiguration));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_own_zone_goes_first_while_it_has_room() {
+fn the_own_zone_is_preferred_while_it_has_room() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     let mut zones = Vec::new();
     for ticket in 0..4 {
@@ -52,23 +52,23 @@
 }
 
 #[test]
-fn requests_of_other_nodes_count() {
+fn requests_of_other_nodes_count_as_load() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
-    dispatcher.apply_load_report(at(1), &others("near", 3, 1));
+    dispatcher.apply_load_report(at(1), &report_of_peer("near", 3, 1));
     dispatcher
         .admit(at(2), Ticket(1), &head("/read/1", None))
         .expect("admitted");
     let forward = forwarded(dispatcher.poll(at(2), &directory)).expect("sent");
     assert_eq!(forward.upstream.name.0, "far");
-    // An older report that comes late changes nothing.
-    dispatcher.apply_load_report(at(3), &others("near", 0, 1));
+    // An older report that arrives late is ignored.
+    dispatcher.apply_load_report(at(3), &report_of_peer("near", 0, 1));
     assert_eq!(
         dispatcher
             .occupancy()
             .total(UpstreamHash::of(&UpstreamId::from("near"))),
         3
     );
-    // A node that fell silent is forgotten.
+    // Reports of a node that stopped reporting expire.
     dispatcher.expire(at(5_000));
     assert_eq!(
         dispatcher
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_is_sent_again_only_on_proof() {
+fn non_repeatable_requests_are_retried_only_if_not_executed() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     dispatcher
         .admit(at(1), Ticket(1), &head("/order/1", None))
@@ -96,18 +96,14 @@
 }
 
 #[test]
-fn after_an_unknown_end_no_refusal_promises_anything() {
+fn an_unknown_outcome_is_never_followed_by_a_refusal() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     dispatcher
         .admit(at(1), Ticket(1), &head("/read/1", None))
         .expect("admitted");
     forwarded(dispatcher.poll(at(1), &directory)).expect("sent");
     let broken = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-    assert!(
-        dispatcher
-            .attempt_ended(at(10), Ticket(1), broken)
-            .is_none()
-    );
+    assert!(dispatcher.attempt_ended(at(10), Ticket(1), broken).is_none());
     forwarded(dispatcher.poll(at(11), &directory)).expect("sent again");
     let full = AttemptOutcome::NotExecuted(NotExecuted::Full);
     let end = dispatcher.attempt_ended(at(20), Ticket(1), full);
@@ -116,7 +112,7 @@
 }
 
 #[test]
-fn repeats_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     let mut repeats = 0;
     for ticket in 0..100 {
@@ -126,10 +122,7 @@
             .expect("admitted");
         forwarded(dispatcher.poll(now, &directory)).expect("sent");
         let broken = AttemptOutcome::Unknown(UnknownCause::WrongAnswer);
-        if dispatcher
-            .attempt_ended(now, Ticket(ticket), broken)
-            .is_none()
-        {
+        if dispatcher.attempt_ended(now, Ticket(ticket), broken).is_none() {
             repeats += 1;
             forwarded(dispatcher.poll(now, &directory)).expect("sent again");
             dispatcher.attempt_ended(
@@ -139,12 +132,12 @@
             );
         }
     }
-    // A fifth of 100 requests and the allowance of 10, spent prudently.
+    // A fifth of 100 requests plus the allowance of 10, less the safety margin.
     assert!((15..=30).contains(&repeats), "{repeats} repeats");
 }
 
 #[test]
-fn a_key_goes_to_its_holder_with_the_number_of_the_assignment() {
+fn a_keyed_request_goes_to_its_holder_with_the_assignment_number() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     assign(&mut dispatcher, 1, held());
     dispatcher
@@ -156,15 +149,15 @@
     assert_eq!((assignment.epoch, assignment.sequence), (1, 1));
 }
 
-/// A granter may be lost while a holder leaves: nodes stop by themselves
-/// before the drain time is over.
+/// The granter may be lost while a holder drains: nodes stop sending on their own before the
+/// drain time is over.
 #[test]
-fn a_leaving_holder_soon_gets_nothing_whoever_is_the_granter() {
+fn a_draining_holder_gets_nothing_after_the_grace_period() {
     let (mut dispatcher, mut directory) = (dispatcher(), directory());
     assign(&mut dispatcher, 1, held());
-    let mut leaver = record("holder", "keyed", "here", 8_003);
-    leaver.state = UpstreamState::Draining;
-    directory.register(at(1_000), leaver);
+    let mut draining = record("holder", "keyed", "here", 8_003);
+    draining.state = UpstreamState::Draining;
+    directory.register(at(1_000), draining);
     dispatcher.apply_directory(at(1_000), &directory);
     let mut send = |ticket, millis| {
         dispatcher
@@ -181,7 +174,7 @@
 }
 
 #[test]
-fn no_more_is_sent_than_can_be_answered_in_time() {
+fn no_more_requests_are_sent_than_can_be_answered_in_time() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     assign(&mut dispatcher, 1, held());
     let mut sent = 0;
@@ -191,12 +184,12 @@
             .expect("admitted");
         sent += usize::from(forwarded(dispatcher.poll(at(0), &directory)).is_some());
     }
-    // Two slots; work is taken to be a third of 400 ms while nothing is known.
+    // Two slots; the work is assumed to take a third of 400 ms until response times are known.
     assert!((3..=6).contains(&sent), "{sent} sent");
 }
 
 #[test]
-fn backends_get_their_shares() {
+fn backends_get_requests_by_weight() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     let mut other = 0;
     for ticket in 0..100 {
@@ -216,7 +209,7 @@
 }
 
 #[test]
-fn an_upstream_that_can_not_be_reached_is_left_alone_for_a_while() {
+fn an_unreachable_upstream_is_avoided_for_a_while() {
     let (mut dispatcher, directory) = (dispatcher(), directory());
     dispatcher
         .admit(at(0), Ticket(1), &head("/order/1", None))
@@ -224,21 +217,17 @@
     let first = forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
     assert_eq!(first.upstream.name.0, "near");
     let unconnected = AttemptOutcome::NotExecuted(NotExecuted::Unconnected);
-    assert!(
-        dispatcher
-            .attempt_ended(at(10), Ticket(1), unconnected)
-            .is_none()
-    );
+    assert!(dispatcher.attempt_ended(at(10), Ticket(1), unconnected).is_none());
     let second = forwarded(dispatcher.poll(at(10), &directory)).expect("sent again");
     assert_eq!(second.upstream.name.0, "far");
-    // It never arrived, so this is still the first arrival.
+    // The first attempt never reached the upstream, so this is still attempt 1.
     assert_eq!(second.attempt, 1);
 }
 
-/// Found by an incident: with an old assignment a request went to the same
-/// former holder twice and was then refused.
+/// Guards against sending a request to the same former holder twice on the basis of an old
+/// assignment, and refusing it then.
 #[test]
-fn after_a_denial_a_request_waits_for_a_newer_assignment() {
+fn a_rejected_keyed_request_goes_to_the_next_holder() {
     let (mut dispatcher, mut directory) = (dispatcher(), directory());
     directory.register(at(0), record("heir", "keyed", "here", 8_009));
     assign(&mut dispatcher, 1, held());
@@ -258,9 +247,9 @@
     assert_eq!(forward.upstream.name.0, "heir");
 }
 
-/// A relay that sums what its zone has under way, and a node that reports to it.
+/// A relay that sums the requests in flight of its zone, and a node that reports to it.
 #[test]
-fn a_node_takes_its_own_report_out_of_a_sum() {
+fn a_node_subtracts_its_own_report_from_a_sum() {
     let mut relay = Occupancy::default();
     let upstream = UpstreamHash(7);
     let mut node = Occupancy::default();
@@ -290,7 +279,7 @@
 }
 
 #[test]
-fn a_sum_in_parts_replaces_the_one_before() {
+fn a_sum_in_parts_replaces_the_previous_one() {
     let mut relay = Occupancy::default();
     for upstream in 0..400 {
         relay.begin(UpstreamHash(upstream));
@@ -311,7 +300,7 @@
     }
     assert_eq!(other.total(UpstreamHash(0)), 1);
     assert!((1..400).all(|upstream| other.total(UpstreamHash(upstream)) == 0));
-    // Relays of other zones are told of this zone alone.
+    // Relays of other zones are sent the sum of this zone only.
     assert!(
         other
             .sum(3, false)
--- a/crates/dispatch/tests/faults.rs
+++ b/crates/dispatch/tests/faults.rs
@@ -1,11 +1,12 @@
-//! Upstreams that answer with failures.
+//! Upstreams that respond with failures.
 
 mod common;
 
 use beamtray_dispatch::{AttemptOutcome, Dispatcher, LoadReport, NodeHash, Ticket};
 use common::*;
 
-/// Sends a request and ends it at once; where it went. "near" fails if it does.
+/// Sends a request, ends it after 10 ms and returns its upstream. If `near_fails`, "near"
+/// responds with a failure.
 fn send(node: &mut Dispatcher, ticket: u64, time: u64, near_fails: bool) -> String {
     node.admit(at(time), Ticket(ticket), &head("/order/1", None))
         .expect("it is admitted");
@@ -16,9 +17,10 @@
     forward.upstream.name.0
 }
 
-/// An upstream that fails fast is always idle. It got every request of its zone.
+/// Guards against upstreams that fail fast and, being always idle, get every request of their
+/// zone.
 #[test]
-fn an_upstream_that_fails_gets_fewer_requests_for_a_while() {
+fn a_failing_upstream_gets_fewer_requests_for_a_while() {
     let mut node = dispatcher();
     let sent: Vec<String> = (0..20)
         .map(|index| send(&mut node, index, index * 20, true))
@@ -29,7 +31,7 @@
 }
 
 #[test]
-fn failures_are_told_to_other_nodes() {
+fn failures_are_reported_to_other_nodes() {
     let mut node = dispatcher();
     for index in 0..3 {
         send(&mut node, index, index, true);
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -1,17 +1,17 @@
-//! Nodes and upstreams that name the requests a second that they take.
+//! Upstreams that advertise rate limits, and nodes that share them.
 //!
-//! Seen: two holders of keys named 4.5 a second each and went on getting 12, from all of
-//! eleven nodes that had passed such an answer on, each of which sent 1 to 8 in four seconds.
-//! Cause: nobody read what the answers named, and no node knows what the others are about
-//! to send. Proof: with permits lent by three nodes at a share of the rate each, all nodes
-//! together stay below the rate over any four seconds below, and use it.
+//! Guards against exceeding an advertised rate. Two holders of keys advertised 4.5 requests per
+//! second each and still got 12, from all of eleven nodes that had passed on such a response,
+//! each of which sent 1 to 8 in four seconds: nobody read the advertised rate, and no node
+//! knows what the others are about to send. With permits lent by three nodes, each for a share
+//! of the rate, all nodes together stay below the rate over any four seconds below, and use it.
 
 mod common;
 
 use beamtray_catalog::{RateWord, RequestRate};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Decision, Dispatcher, NodeHash, PermitReply, PermitRequest,
-    RateLimitUpdate, RefusalReason, Ticket, UpstreamHash,
+    AttemptOutcome, Conclusion, Decision, Dispatcher, RateLimitUpdate, NodeHash, PermitReply,
+    PermitRequest, RefusalReason, Ticket, UpstreamHash,
 };
 use common::*;
 use quickcheck::{QuickCheck, TestResult};
@@ -20,12 +20,12 @@
 use std::time::Duration;
 
 const WINDOW_MS: u64 = 4_000;
-/// Requests beyond the rate over the window.
+/// Requests allowed beyond the rate in a window.
 const SLACK: f64 = 5.0;
 /// How long an upstream works on a request.
 const WORK_MS: u64 = 40;
-/// When the upstream begins to name its rate.
-const NAMED_MS: u64 = 6_000;
+/// When the upstream starts to advertise its rate.
+const LIMITED_FROM_MS: u64 = 6_000;
 const LONGEST_DELAY_MS: u64 = 30;
 
 fn name(node: usize) -> String {
@@ -33,12 +33,12 @@
 }
 
 fn limited(a_second: f64) -> RateWord {
-    RateWord::Limited(RequestRate::new(a_second).expect("a rate"))
+    RateWord::Limited(RequestRate::new(a_second).expect("valid rate"))
 }
 
-/// What one node has said to another.
+/// A message from one node to another.
 enum Message {
-    Limit(RateLimitUpdate),
+    RateLimit(RateLimitUpdate),
     Ask(PermitRequest),
     Reply(PermitReply),
 }
@@ -50,45 +50,45 @@
     message: Message,
 }
 
-/// Nodes with requests for one upstream, and the words between them.
+/// Nodes with requests for one upstream, and the messages between them.
 struct World {
     nodes: Vec<Dispatcher>,
-    is_there: Vec<bool>,
-    is_cut: Vec<bool>,
+    is_alive: Vec<bool>,
+    is_partitioned: Vec<bool>,
     random: ChaCha8Rng,
     directory: beamtray_catalog::Directory,
     word: RateWord,
     messages: Vec<Sent>,
-    under_way: Vec<(u64, usize, Ticket)>,
+    in_flight: Vec<(u64, usize, Ticket)>,
     next: u64,
-    /// When nodes that knew of the rate sent it requests.
+    /// When nodes that knew the rate limit sent requests to the upstream.
     sent: Vec<u64>,
     refused: Vec<(u64, Conclusion)>,
-    has_word: Vec<bool>,
+    knows_limit: Vec<bool>,
 }
 
 impl World {
     fn new(seed: u64, nodes: usize) -> Self {
         let mut world = Self {
             nodes: Vec::new(),
-            is_there: vec![true; nodes],
-            is_cut: vec![false; nodes],
+            is_alive: vec![true; nodes],
+            is_partitioned: vec![false; nodes],
             random: ChaCha8Rng::seed_from_u64(seed),
             directory: directory(),
             word: RateWord::Unlimited,
             messages: Vec::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             next: 0,
             sent: Vec::new(),
             refused: Vec::new(),
-            has_word: vec![false; nodes],
+            knows_limit: vec![false; nodes],
         };
         for node in 0..nodes {
             let dispatcher = world.start(0, node);
             world.nodes.push(dispatcher);
         }
         for node in 0..nodes {
-            world.tell_members(0, node);
+            world.set_members(0, node);
         }
         world
     }
@@ -101,11 +101,11 @@
     }
 
     fn members(&self) -> Vec<NodeHash> {
-        let there = (0..self.is_there.len()).filter(|node| self.is_there[*node]);
-        there.map(|node| NodeHash::of(&name(node))).collect()
+        let alive = (0..self.is_alive.len()).filter(|node| self.is_alive[*node]);
+        alive.map(|node| NodeHash::of(&name(node))).collect()
     }
 
-    fn tell_members(&mut self, millis: u64, node: usize) {
+    fn set_members(&mut self, millis: u64, node: usize) {
         let members = self.members();
         self.nodes[node].set_members(at(millis), members);
     }
@@ -131,16 +131,16 @@
             .collect();
         for sent in due {
             let Sent { from, to, .. } = sent;
-            if !self.is_there[to] || self.is_cut[to] || self.is_cut[from] {
+            if !self.is_alive[to] || self.is_partitioned[to] || self.is_partitioned[from] {
                 continue;
             }
             match sent.message {
-                Message::Limit(word) => {
+                Message::RateLimit(word) => {
                     self.nodes[to].apply_rate_limit_update(at(millis), &word);
-                    self.has_word[to] |= word.rate.is_some();
+                    self.knows_limit[to] |= word.rate.is_some();
                 }
                 Message::Ask(request) => {
-                    self.has_word[to] = true;
+                    self.knows_limit[to] = true;
                     let reply = self.nodes[to].lend_permits(at(millis), &request);
                     self.send(millis, to, from, Message::Reply(reply));
                 }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// One millisecond; `arrives` tells whether a request comes to a node.
+    /// Simulates one millisecond; `arrives` tells whether a request arrives at a node.
     fn step(
         &mut self,
         millis: u64,
@@ -160,20 +160,20 @@
         let now = at(millis);
         self.deliver(millis);
         let ended: Vec<_> = self
-            .under_way
+            .in_flight
             .extract_if(.., |(due, ..)| *due <= millis)
             .collect();
         for (_, node, ticket) in ended {
-            if !self.is_there[node] {
+            if !self.is_alive[node] {
                 continue;
             }
             self.nodes[node].observe_rate(now, ticket, self.word);
-            self.has_word[node] |= matches!(self.word, RateWord::Limited(_));
+            self.knows_limit[node] |= matches!(self.word, RateWord::Limited(_));
             let outcome = AttemptOutcome::Answered { success: true };
             self.nodes[node].attempt_ended(now, ticket, outcome);
         }
         for node in 0..self.nodes.len() {
-            if self.is_there[node] {
+            if self.is_alive[node] {
                 self.step_node(millis, node, path, key, arrives(millis, node));
             }
         }
@@ -190,10 +190,10 @@
         for decision in self.nodes[node].poll(now, &self.directory) {
             match decision {
                 Decision::Forward(ticket, _) => {
-                    if self.has_word[node] {
+                    if self.knows_limit[node] {
                         self.sent.push(millis);
                     }
-                    self.under_way.push((millis + WORK_MS, node, ticket));
+                    self.in_flight.push((millis + WORK_MS, node, ticket));
                 }
                 Decision::AskPermit(request) => {
                     let to = (0..self.nodes.len())
@@ -209,13 +209,13 @@
         let words = self.nodes[node].take_rate_limit_updates(now);
         for word in words {
             for to in (0..self.nodes.len()).filter(|to| *to != node) {
-                self.send(millis, node, to, Message::Limit(word));
+                self.send(millis, node, to, Message::RateLimit(word));
             }
         }
     }
 
-    /// Most requests in any window that begins after the rate was named.
-    fn most_in_window(&self) -> usize {
+    /// Highest number of requests in any window that starts after the limit was advertised.
+    fn max_in_window(&self) -> usize {
         let windows = self.sent.iter().enumerate().map(|(first, begin)| {
             let within = self.sent[first..].iter();
             within.take_while(|at| **at < begin + WINDOW_MS).count()
@@ -224,19 +224,19 @@
     }
 }
 
-/// Each node gets a request in so many milliseconds, now sooner and now later.
-fn every(pause: u64) -> impl Fn(u64, usize) -> bool {
+/// Requests arrive at each node at random, on average every `pause` ms.
+fn on_average_every(pause: u64) -> impl Fn(u64, usize) -> bool {
     move |millis, node| {
         let seed = millis << 8 | node as u64;
         ChaCha8Rng::seed_from_u64(seed).random_range(0..pause) == 0
     }
 }
 
-/// The keys' only holder names that rate while so many nodes get requests for it.
-fn holder_in_need(nodes: usize, rate: f64, arrives: &dyn Fn(u64, usize) -> bool) -> World {
+/// The only holder of the keys advertises `rate` while `nodes` nodes get requests for it.
+fn rate_limited_holder(nodes: usize, rate: f64, arrives: &dyn Fn(u64, usize) -> bool) -> World {
     let mut world = World::new(1, nodes);
-    for millis in 0..NAMED_MS + observed_ms(rate) {
-        if millis == NAMED_MS {
+    for millis in 0..LIMITED_FROM_MS + observed_ms(rate) {
+        if millis == LIMITED_FROM_MS {
             world.word = limited(rate);
         }
         world.step(millis, "/keyed/1", Some(7), arrives);
@@ -244,27 +244,27 @@
     world
 }
 
-fn kept(world: &World, rate: f64) {
+fn assert_rate_kept(world: &World, rate: f64) {
     let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK;
-    let most = world.most_in_window();
+    let most = world.max_in_window();
     assert!((most as f64) < allowed, "{most} in 4 s, allowed {allowed}");
 }
 
-/// How long a rate is named: long enough for many requests.
+/// How long a rate is observed: long enough for many requests.
 fn observed_ms(rate: f64) -> u64 {
     if rate < 2.0 { 120_000 } else { 20_000 }
 }
 
-/// Part of the rate that is used from five seconds after it was named.
-fn used(world: &World, rate: f64) -> f64 {
-    let first = NAMED_MS + 5_000;
+/// Fraction of the rate that is used, from five seconds after it was first advertised.
+fn used_fraction(world: &World, rate: f64) -> f64 {
+    let first = LIMITED_FROM_MS + 5_000;
     let sent = world.sent.iter().filter(|at| **at >= first).count();
     let seconds = (observed_ms(rate) - 5_000) as f64 / 1e3;
     sent as f64 / seconds / rate
 }
 
 #[test]
-fn all_nodes_together_keep_to_the_rate_and_use_it() {
+fn all_nodes_together_keep_the_rate_limit_and_use_it() {
     for (nodes, rate) in [
         (1, 4.5),
         (3, 4.5),
@@ -273,69 +273,70 @@
         (30, 4.5),
         (30, 50.0),
     ] {
-        // Three times what it takes.
+        // Three times the accepted rate.
         let pause = (nodes as f64 * 1e3 / (rate * 3.0)) as u64;
-        let world = holder_in_need(nodes, rate, &every(pause.max(1)));
-        kept(&world, rate);
-        let used = used(&world, rate);
+        let world = rate_limited_holder(nodes, rate, &on_average_every(pause.max(1)));
+        assert_rate_kept(&world, rate);
+        let used = used_fraction(&world, rate);
         assert!(used >= 0.8, "{nodes} nodes use {used:.2} of {rate}");
     }
 }
 
 #[test]
-fn one_node_that_has_all_the_requests_uses_the_rate() {
+fn a_single_node_with_all_requests_uses_the_rate() {
     for rate in [4.5, 50.0] {
         let pause = (1e3 / (rate * 2.0)) as u64;
         let all_at_one = move |millis: u64, node: usize| node == 4 && millis.is_multiple_of(pause);
-        let world = holder_in_need(11, rate, &all_at_one);
-        kept(&world, rate);
-        let used = used(&world, rate);
-        assert!(used >= 0.8, "it uses {used:.2} of {rate}");
+        let world = rate_limited_holder(11, rate, &all_at_one);
+        assert_rate_kept(&world, rate);
+        let used = used_fraction(&world, rate);
+        assert!(used >= 0.8, "the node uses {used:.2} of {rate}");
     }
 }
 
-/// Half of what the upstream takes: hardly anything is refused.
+/// Half of what the upstream accepts: hardly anything is refused.
 #[test]
-fn who_gets_less_than_it_takes_gets_all_of_it() {
-    let world = holder_in_need(11, 20.0, &every(1_100));
+fn a_load_below_the_rate_is_hardly_refused() {
+    let world = rate_limited_holder(11, 20.0, &on_average_every(1_100));
     let (refused, all) = (world.refused.len(), world.next as usize);
     assert!(refused * 50 <= all, "{refused} of {all} are refused");
 }
 
 #[test]
-fn a_lender_that_is_lost_costs_a_part_of_the_rate_for_a_while() {
+fn a_lost_lender_costs_part_of_the_rate_for_a_while() {
     let rate = 9.0;
     for lost in 0..11 {
         let mut world = World::new(lost as u64, 11);
-        for millis in 0..NAMED_MS + 20_000 {
-            if millis == NAMED_MS {
+        for millis in 0..LIMITED_FROM_MS + 20_000 {
+            if millis == LIMITED_FROM_MS {
                 world.word = limited(rate);
             }
-            if millis == NAMED_MS + 6_000 {
-                world.is_there[lost] = false;
+            if millis == LIMITED_FROM_MS + 6_000 {
+                world.is_alive[lost] = false;
             }
-            if millis == NAMED_MS + 8_000 {
-                // Its entry is gone.
+            if millis == LIMITED_FROM_MS + 8_000 {
+                // Its registration has lapsed.
                 for node in (0..11).filter(|node| *node != lost) {
-                    world.tell_members(millis, node);
+                    world.set_members(millis, node);
                 }
             }
-            world.step(millis, "/keyed/1", Some(7), &every(400));
+            world.step(millis, "/keyed/1", Some(7), &on_average_every(400));
         }
-        kept(&world, rate);
-        let used = used(&world, rate);
-        assert!(used >= 0.8, "without {lost} {used:.2} are used");
+        assert_rate_kept(&world, rate);
+        let used = used_fraction(&world, rate);
+        assert!(used >= 0.8, "without lender {lost}: {used:.2} of the rate used");
     }
 }
 
-/// What no lender can give in time is refused at once, and says when there will be room.
+/// A request for which no lender has a permit in time is refused at once, with a Retry-After
+/// time that tells when there will be one.
 #[test]
-fn what_has_no_permit_in_time_is_refused_at_once() {
-    let world = holder_in_need(3, 0.5, &every(300));
+fn requests_without_a_permit_in_time_are_refused_at_once() {
+    let world = rate_limited_holder(3, 0.5, &on_average_every(300));
     let refused = world
         .refused
         .iter()
-        .filter(|(at, _)| *at > NAMED_MS + 1_000);
+        .filter(|(at, _)| *at > LIMITED_FROM_MS + 1_000);
     let mut times = Vec::new();
     for (_, conclusion) in refused {
         let Conclusion::Refused {
@@ -343,7 +344,7 @@
             retry_after,
         } = conclusion
         else {
-            panic!("nothing ran");
+            panic!("expected a refusal");
         };
         assert_eq!(*reason, RefusalReason::Limited);
         assert!(
@@ -354,30 +355,30 @@
     }
     let (least, most) = (times.iter().min(), times.iter().max());
     let spread = most
-        .expect("some are refused")
-        .saturating_sub(*least.expect("as above"));
+        .expect("some requests are refused")
+        .saturating_sub(*least.expect("some requests are refused"));
     assert!(
         spread > Duration::from_millis(500),
-        "all come back within {spread:?}"
+        "all clients retry within {spread:?}"
     );
 }
 
-/// An upstream that takes nothing gets a request now and then, the answer to which may tell
-/// that it takes some again.
+/// An upstream that accepts nothing still gets an occasional request, whose response may tell
+/// that it accepts some again.
 #[test]
-fn an_upstream_that_takes_nothing_is_asked_now_and_then() {
-    let mut world = holder_in_need(3, 0.0, &every(100));
+fn an_upstream_that_accepts_nothing_gets_an_occasional_request() {
+    let mut world = rate_limited_holder(3, 0.0, &on_average_every(100));
     let trials = world
         .sent
         .iter()
-        .filter(|at| **at > NAMED_MS + 1_000)
+        .filter(|at| **at > LIMITED_FROM_MS + 1_000)
         .count();
     assert!((1..=30).contains(&trials), "{trials} in two minutes");
     world.word = RateWord::Unlimited;
     world.sent.clear();
-    let begin = NAMED_MS + observed_ms(0.0);
+    let begin = LIMITED_FROM_MS + observed_ms(0.0);
     for millis in begin..begin + 25_000 {
-        world.step(millis, "/keyed/1", Some(7), &every(100));
+        world.step(millis, "/keyed/1", Some(7), &on_average_every(100));
     }
     let last = world
         .sent
@@ -387,34 +388,34 @@
     assert!(last >= 15, "{last} in the last second");
 }
 
-/// An upstream that names another rate with each answer gets no more than its highest allows,
-/// and something.
+/// An upstream that advertises a different rate in each response gets no more than its highest
+/// rate allows, but not nothing.
 #[test]
-fn a_rate_that_changes_with_each_answer_is_kept_to() {
+fn a_rate_that_changes_with_each_response_is_kept() {
     let rates = [3.0, 9.0, 0.0];
     let highest = 9.0;
     let mut world = World::new(5, 5);
-    for millis in 0..NAMED_MS + 20_000 {
-        if millis >= NAMED_MS {
+    for millis in 0..LIMITED_FROM_MS + 20_000 {
+        if millis >= LIMITED_FROM_MS {
             world.word = limited(rates[millis as usize % rates.len()]);
         }
-        if millis % 977 == 0 && millis > NAMED_MS {
+        if millis % 977 == 0 && millis > LIMITED_FROM_MS {
             world.word = RateWord::Unreadable;
         }
-        world.step(millis, "/keyed/1", Some(7), &every(200));
+        world.step(millis, "/keyed/1", Some(7), &on_average_every(200));
     }
-    kept(&world, highest);
-    // What it gets where it takes nothing: one in five seconds.
+    assert_rate_kept(&world, highest);
+    // What it gets while it accepts nothing: one request in five seconds.
     let sent = world.sent.len();
     assert!(sent >= 4, "{sent} in 20 s");
 }
 
-/// Half of a pool is in need: the other half gets what is too much for it.
+/// Half of a pool is rate-limited: the other half takes what exceeds the limits.
 #[test]
-fn requests_without_a_key_go_to_others_that_have_room() {
+fn requests_without_a_key_go_to_upstreams_with_room() {
     let mut world = World::new(3, 5);
-    for millis in 0..NAMED_MS + 12_000 {
-        if millis == NAMED_MS {
+    for millis in 0..LIMITED_FROM_MS + 12_000 {
+        if millis == LIMITED_FROM_MS {
             let word = RateLimitUpdate {
                 upstream: UpstreamHash::of(&record("near", "pool", "here", 8_000).id),
                 rate: RequestRate::new(4.0),
@@ -425,7 +426,7 @@
             }
         }
         world.word = RateWord::Unlimited;
-        world.step(millis, "/read/1", None, &every(250));
+        world.step(millis, "/read/1", None, &on_average_every(250));
     }
     assert!(
         world.refused.is_empty(),
@@ -435,7 +436,7 @@
 }
 
 #[test]
-fn an_answer_to_an_older_request_changes_nothing() {
+fn a_response_to_an_older_request_changes_nothing() {
     let mut node = dispatcher();
     assign(&mut node, 1, held());
     node.set_members(at(0), vec![NodeHash::of("node")]);
@@ -449,7 +450,7 @@
     send(&mut node, 2_001, 2);
     send(&mut node, 2_002, 3);
     node.observe_rate(at(2_100), Ticket(1), limited(100.0));
-    // It was answered before.
+    // It was answered before the rate was learned.
     node.observe_rate(at(2_101), Ticket(2), RateWord::Unlimited);
     assert_eq!(node.advertised_rate(holder), RequestRate::new(100.0));
     send(&mut node, 2_200, 4);
@@ -457,7 +458,7 @@
     assert_eq!(node.advertised_rate(holder), None);
     node.observe_rate(at(2_301), Ticket(3), limited(100.0));
     assert_eq!(node.advertised_rate(holder), None);
-    // Nor does another node's word that is older.
+    // An older update from another node changes nothing either.
     let word = |rate, age_ms| RateLimitUpdate {
         upstream: holder,
         rate,
@@ -465,60 +466,61 @@
     };
     assert!(!node.apply_rate_limit_update(at(2_400), &word(RequestRate::new(5.0), 200)));
     assert!(node.apply_rate_limit_update(at(2_400), &word(RequestRate::new(5.0), 50)));
-    // What is no rate tells nothing.
+    // An invalid rate changes nothing.
     node.observe_rate(at(2_500), Ticket(3), RateWord::Unreadable);
     assert_eq!(node.advertised_rate(holder), RequestRate::new(5.0));
 }
 
 const HISTORIES: u64 = 100;
 
-/// Drawn histories: loads, rates that change, nodes that end, start and are cut off.
-fn keeps_to_the_rate(seed: u64) -> TestResult {
+/// Random histories: loads, changing rates, and nodes that terminate, start and are
+/// partitioned.
+fn keeps_the_rate_limit(seed: u64) -> TestResult {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let nodes = random.random_range(1..12);
     let rate = [0.5, 2.0, 4.5, 12.0, 50.0][random.random_range(0..5)];
     let pause = random.random_range(20..400);
     let mut world = World::new(seed, nodes);
     world.word = limited(rate);
-    world.has_word = vec![true; nodes];
+    world.knows_limit = vec![true; nodes];
     let mut changes = 0;
     for millis in 0..16_000 {
-        // One change of the nodes within a window, which all hear of within a moment.
+        // One change of the nodes per window, which all nodes learn of shortly afterwards.
         if millis % 5_000 == 4_999 {
             let node = random.random_range(0..nodes);
             match random.random_range(0..3) {
-                0 => world.is_there[node] = !world.is_there[node],
+                0 => world.is_alive[node] = !world.is_alive[node],
                 1 => {
                     world.nodes[node] = world.start(millis, node);
-                    world.is_there[node] = true;
-                    // It knows of no rate before it hears of one.
-                    world.has_word[node] = false;
+                    world.is_alive[node] = true;
+                    // A new process knows of no limit until it learns of one.
+                    world.knows_limit[node] = false;
                 }
-                _ => world.is_cut[node] = !world.is_cut[node],
+                _ => world.is_partitioned[node] = !world.is_partitioned[node],
             }
             changes += 1;
         }
         if millis % 5_000 == 500 && changes > 0 {
             for node in 0..nodes {
-                world.tell_members(millis, node);
+                world.set_members(millis, node);
             }
         }
-        world.step(millis, "/keyed/1", Some(7), &every(pause));
+        world.step(millis, "/keyed/1", Some(7), &on_average_every(pause));
     }
-    // Nodes that did not know sent without a limit up to the first answers.
+    // Nodes that did not know the limit sent without one until the first responses.
     world.sent.retain(|at| *at > 1_000);
     let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK;
-    if (world.most_in_window() as f64) < allowed {
+    if (world.max_in_window() as f64) < allowed {
         TestResult::passed()
     } else {
-        let most = world.most_in_window();
+        let most = world.max_in_window();
         TestResult::error(format!("{nodes} nodes: {most} in 4 s, allowed {allowed}"))
     }
 }
 
 #[test]
-fn drawn_histories_keep_to_the_rate() {
+fn random_histories_keep_the_rate_limit() {
     QuickCheck::new()
         .tests(HISTORIES)
-        .quickcheck(keeps_to_the_rate as fn(u64) -> TestResult);
+        .quickcheck(keeps_the_rate_limit as fn(u64) -> TestResult);
 }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests under which upstreams end.
+//! Requests that terminate upstreams.
 
 mod common;
 
 use beamtray_catalog::{Directory, UpstreamId};
 use beamtray_dispatch::{
-    AttemptHash, AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints,
-    Quarantine, RefusalReason, RequestContent, Suspicion, Ticket, UnknownCause, UpstreamHash,
+    AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints, Quarantine,
+    RefusalReason, RequestContent, AttemptHash, Suspicion, Ticket, UnknownCause, UpstreamHash,
 };
 use beamtray_sharding::ShardKey;
 use common::*;
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 const BROKEN_OFF: AttemptOutcome = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-const HERE: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
-const ELSEWHERE: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2));
+const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1));
+const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2));
 
 fn content(target: &str) -> RequestContent<'_> {
     RequestContent {
@@ -28,10 +28,10 @@
 }
 
 fn fingerprints(target: &str) -> Fingerprints {
-    Fingerprints::of(&content(target), HERE)
+    Fingerprints::of(&content(target), CALLER)
 }
 
-/// A node, and the only upstream of a service, which is another incarnation each time.
+/// A node and the only upstream of a service, which is another incarnation for each request.
 struct Deployment {
     node: Dispatcher,
     directory: Directory,
@@ -57,8 +57,8 @@
         self.upstream = UpstreamId::from(id);
     }
 
-    /// What becomes of a request that comes.
-    fn come(&mut self, millis: u64, target: &str) -> Vec<Decision> {
+    /// Admits a request and returns the decisions about it.
+    fn admit(&mut self, millis: u64, target: &str) -> Vec<Decision> {
         self.restart_upstream(millis);
         let mut head = head("/order/1", None);
         head.fingerprints = fingerprints(target);
@@ -67,7 +67,7 @@
         self.decide(millis)
     }
 
-    /// What is decided now; the node lends the permits that it asks for.
+    /// Polls the node, which lends the trial permits that it asks for itself.
     fn decide(&mut self, millis: u64) -> Vec<Decision> {
         let mut decisions = self.node.poll(at(millis), &self.directory);
         for decision in std::mem::take(&mut decisions) {
@@ -87,32 +87,31 @@
         decisions
     }
 
-    /// Sends a request whose attempt ends that way 20 ms later.
+    /// Sends a request whose attempt ends with `outcome` 20 ms later.
     fn send(&mut self, millis: u64, target: &str, outcome: AttemptOutcome) {
-        let decisions = self.come(millis, target);
+        let decisions = self.admit(millis, target);
         assert!(forwarded(decisions).is_some(), "{target} is sent");
-        self.node
-            .attempt_ended(at(millis + 20), Ticket(millis), outcome);
+        self.node.attempt_ended(at(millis + 20), Ticket(millis), outcome);
     }
 
-    /// The upstream ends under the request.
-    fn end_under(&mut self, millis: u64, target: &str) {
+    /// Sends a request during which the upstream terminates.
+    fn terminate_during(&mut self, millis: u64, target: &str) {
         self.send(millis, target, BROKEN_OFF);
-        let doubted = self.node.take_probe_targets();
-        assert_eq!(doubted.len(), 1);
-        let hash = UpstreamHash::of(&doubted[0].upstream);
+        let targets = self.node.take_probe_targets();
+        assert_eq!(targets.len(), 1);
+        let hash = UpstreamHash::of(&targets[0].upstream);
         let quarantine = self.node.quarantine_mut();
         quarantine.take_local_suspicions();
         quarantine.upstream_terminated(at(millis + 21), hash);
         assert_eq!(quarantine.take_local_suspicions().len(), 2);
     }
 
-    /// Two ends are known from other nodes.
-    fn told_of_two(&mut self, target: &str) {
+    /// Merges two terminations reported by other nodes.
+    fn merge_two_terminations(&mut self, target: &str) {
         for upstream in [901, 902] {
             for fingerprint in fingerprints(target).both() {
-                let told = suspicion(fingerprint.0, upstream);
-                self.node.quarantine_mut().merge(at(1), told);
+                let suspicion = suspicion(fingerprint.0, upstream);
+                self.node.quarantine_mut().merge(at(1), suspicion);
             }
         }
     }
@@ -129,32 +128,33 @@
 }
 
 #[test]
-fn a_request_that_ended_three_upstreams_is_refused_at_once() {
+fn a_request_that_terminated_three_upstreams_is_refused_at_once() {
     let mut deployment = Deployment::new();
-    deployment.told_of_two("bad");
-    deployment.end_under(100, "bad");
-    let (reason, retry_after) = refusal(deployment.come(1_000, "bad")).expect("it is refused");
+    deployment.merge_two_terminations("bad");
+    deployment.terminate_during(100, "bad");
+    let (reason, retry_after) = refusal(deployment.admit(1_000, "bad")).expect("it is refused");
     assert_eq!(reason, RefusalReason::Quarantined);
     assert!(retry_after > Duration::from_secs(100), "{retry_after:?}");
-    assert!(forwarded(deployment.come(1_001, "other")).is_some());
+    assert!(forwarded(deployment.admit(1_001, "other")).is_some());
 }
 
-/// From the first end on one request at a time shows whether it ends another upstream.
+/// From the first termination on, one request at a time shows whether it terminates another
+/// upstream.
 #[test]
-fn a_suspected_request_is_not_sent_by_two_at_a_time() {
+fn a_suspected_request_has_one_attempt_at_a_time() {
     let mut deployment = Deployment::new();
-    deployment.end_under(100, "bad");
-    let sent = [1_000, 1_001, 1_002].map(|millis| forwarded(deployment.come(millis, "bad")));
+    deployment.terminate_during(100, "bad");
+    let sent = [1_000, 1_001, 1_002].map(|millis| forwarded(deployment.admit(millis, "bad")));
     assert!(sent.into_iter().flatten().count() <= 1);
 }
 
-/// A popular read was at an upstream that ended: others that say the same wait for one of
-/// them, and go as soon as it is answered.
+/// A popular request was running when its upstream terminated: others with the same content
+/// wait for one trial and are sent as soon as it succeeds.
 #[test]
-fn a_success_lets_all_that_waited_go() {
+fn a_success_releases_all_waiting_requests() {
     let mut deployment = Deployment::new();
-    deployment.end_under(100, "popular");
-    assert!(forwarded(deployment.come(1_000, "popular")).is_some());
+    deployment.terminate_during(100, "popular");
+    assert!(forwarded(deployment.admit(1_000, "popular")).is_some());
     let mut head = head("/order/1", None);
     head.fingerprints = fingerprints("popular");
     for ticket in [1, 2] {
@@ -163,58 +163,57 @@
     }
     assert!(deployment.decide(1_002).is_empty());
     let success = AttemptOutcome::Answered { success: true };
-    deployment
-        .node
-        .attempt_ended(at(1_050), Ticket(1_000), success);
+    deployment.node.attempt_ended(at(1_050), Ticket(1_000), success);
     let sent = deployment.decide(1_051);
     assert_eq!(sent.len(), 2);
     assert!(matches!(sent[1], Decision::Forward(..)));
 }
 
 #[test]
-fn what_waits_too_long_for_a_trial_is_refused() {
+fn a_request_that_waits_too_long_for_a_trial_is_refused() {
     let mut deployment = Deployment::new();
-    deployment.end_under(100, "bad");
-    assert!(forwarded(deployment.come(1_000, "bad")).is_some());
-    assert!(deployment.come(1_001, "bad").is_empty());
+    deployment.terminate_during(100, "bad");
+    assert!(forwarded(deployment.admit(1_000, "bad")).is_some());
+    assert!(deployment.admit(1_001, "bad").is_empty());
     let (reason, retry_after) = refusal(deployment.decide(1_090)).expect("it is refused");
     assert_eq!(reason, RefusalReason::Quarantined);
     assert!(retry_after < Duration::from_secs(1), "{retry_after:?}");
 }
 
-/// One that waits for a slot while others that say the same end upstreams is not sent.
+/// A request that waits for a slot while others with the same content terminate upstreams is
+/// not sent.
 #[test]
-fn a_request_that_waits_is_refused_when_it_becomes_known() {
+fn a_waiting_request_is_refused_once_it_is_quarantined() {
     let mut node = dispatcher();
     let mut head = head("/order/1", None);
     head.fingerprints = fingerprints("bad");
     node.admit(at(50), Ticket(1), &head)
         .expect("it is admitted");
     for upstream in 1..=3 {
-        let told = suspicion(fingerprints("bad").from_caller.0, upstream);
-        node.quarantine_mut().merge(at(51), told);
+        let suspicion = suspicion(fingerprints("bad").from_caller.0, upstream);
+        node.quarantine_mut().merge(at(51), suspicion);
     }
     let (reason, _) = refusal(node.poll(at(52), &directory())).expect("it is refused");
     assert_eq!(reason, RefusalReason::Quarantined);
 }
 
-/// It was at the upstreams when they ended, and is not what ended them.
+/// The request was running when the upstreams terminated, but did not cause it.
 #[test]
-fn a_request_that_was_answered_between_is_not_quarantined() {
+fn a_request_answered_in_between_is_not_quarantined() {
     let mut deployment = Deployment::new();
-    deployment.told_of_two("bystander");
+    deployment.merge_two_terminations("bystander");
     deployment.send(100, "bystander", AttemptOutcome::Answered { success: true });
-    deployment.end_under(200, "bystander");
-    assert!(forwarded(deployment.come(1_000, "bystander")).is_some());
+    deployment.terminate_during(200, "bystander");
+    assert!(forwarded(deployment.admit(1_000, "bystander")).is_some());
 }
 
-/// What reads the same from another caller may be something else.
+/// The same content may have a different effect for another caller.
 #[test]
 fn a_success_for_one_caller_does_not_clear_another() {
     let of = |caller| Fingerprints::of(&content("same"), caller);
     let mut quarantine = Quarantine::default();
     for upstream in 1..=3 {
-        for fingerprint in of(HERE).both() {
+        for fingerprint in of(CALLER).both() {
             let suspicion = Suspicion {
                 fingerprint,
                 upstream: UpstreamHash(upstream),
@@ -225,10 +224,10 @@
             quarantine.merge(at(1), suspicion);
         }
     }
-    assert!(quarantine.remaining(at(2), of(ELSEWHERE)).is_some());
+    assert!(quarantine.remaining(at(2), of(OTHER_CALLER)).is_some());
     for upstream in 1..=3 {
         let cleared = Suspicion {
-            fingerprint: of(ELSEWHERE).content,
+            fingerprint: of(OTHER_CALLER).content,
             upstream: UpstreamHash(upstream),
             attempt: AttemptHash(1),
             is_trial: false,
@@ -236,17 +235,17 @@
         };
         quarantine.merge(at(3), cleared);
     }
-    assert!(quarantine.remaining(at(4), of(ELSEWHERE)).is_none());
-    assert!(quarantine.remaining(at(4), of(HERE)).is_some());
+    assert!(quarantine.remaining(at(4), of(OTHER_CALLER)).is_none());
+    assert!(quarantine.remaining(at(4), of(CALLER)).is_some());
 }
 
 #[test]
-fn a_connection_that_breaks_off_alone_suspects_nobody() {
+fn a_closed_connection_alone_causes_no_suspicion() {
     let mut deployment = Deployment::new();
     for millis in [100, 200, 300, 400] {
         deployment.send(millis, "unlucky", BROKEN_OFF);
-        for doubted in deployment.node.take_probe_targets() {
-            let hash = UpstreamHash::of(&doubted.upstream);
+        for target in deployment.node.take_probe_targets() {
+            let hash = UpstreamHash::of(&target.upstream);
             deployment.node.quarantine_mut().upstream_alive(hash);
             deployment
                 .node
@@ -254,37 +253,31 @@
                 .upstream_terminated(at(millis + 30), hash);
         }
     }
-    assert!(
-        deployment
-            .node
-            .quarantine_mut()
-            .take_local_suspicions()
-            .is_empty()
-    );
+    assert!(deployment.node.quarantine_mut().take_local_suspicions().is_empty());
 }
 
-/// The end of its connection got lost on the way.
+/// The end of the connection got lost in the network.
 #[test]
-fn a_request_that_got_no_answer_is_suspected_if_the_upstream_ended() {
+fn an_unanswered_request_is_suspected_if_the_upstream_terminated() {
     let mut deployment = Deployment::new();
-    deployment.told_of_two("bad");
-    let silent = AttemptOutcome::Unknown(UnknownCause::TimedOut);
-    deployment.send(100, "bad", silent);
-    let doubted = deployment.node.take_probe_targets();
-    assert_eq!(doubted.len(), 1);
-    let hash = UpstreamHash::of(&doubted[0].upstream);
+    deployment.merge_two_terminations("bad");
+    let timed_out = AttemptOutcome::Unknown(UnknownCause::TimedOut);
+    deployment.send(100, "bad", timed_out);
+    let targets = deployment.node.take_probe_targets();
+    assert_eq!(targets.len(), 1);
+    let hash = UpstreamHash::of(&targets[0].upstream);
     deployment
         .node
         .quarantine_mut()
         .upstream_terminated(at(900), hash);
-    assert!(refusal(deployment.come(1_000, "bad")).is_some());
+    assert!(refusal(deployment.admit(1_000, "bad")).is_some());
 }
 
-/// An upstream that is full answers nobody; it is tried once a second.
+/// An overloaded upstream leaves all requests unanswered; it is probed once per second.
 #[test]
-fn an_upstream_that_leaves_many_unanswered_is_doubted_once_a_second() {
+fn an_upstream_with_many_unanswered_requests_is_probed_once_per_second() {
     let mut deployment = Deployment::new();
-    let mut tried = 0;
+    let mut probes = 0;
     for millis in (0..2_000).step_by(50) {
         let mut head = head("/order/1", None);
         head.fingerprints = fingerprints("slow");
@@ -292,25 +285,26 @@
         admitted.expect("it is admitted");
         let decisions = deployment.node.poll(at(millis), &deployment.directory);
         if forwarded(decisions).is_some() {
-            let silent = AttemptOutcome::Unknown(UnknownCause::TimedOut);
+            let timed_out = AttemptOutcome::Unknown(UnknownCause::TimedOut);
             deployment
                 .node
-                .attempt_ended(at(millis + 20), Ticket(millis), silent);
-            tried += deployment.node.take_probe_targets().len();
+                .attempt_ended(at(millis + 20), Ticket(millis), timed_out);
+            probes += deployment.node.take_probe_targets().len();
         }
     }
-    assert!((1..=2).contains(&tried), "{tried} times");
+    assert!((1..=2).contains(&probes), "{probes} times");
 }
 
-/// It is tried again after a while, and kept off for longer if it does the same.
+/// A quarantined request is probes again after a while, and quarantined for longer if it
+/// terminates the upstream again.
 #[test]
-fn each_further_end_doubles_the_time_for_which_it_is_quarantined() {
+fn a_further_termination_prolongs_the_quarantine() {
     let mut deployment = Deployment::new();
-    deployment.told_of_two("bad");
-    deployment.end_under(100, "bad");
-    assert!(refusal(deployment.come(119_000, "bad")).is_some());
-    deployment.end_under(121_000, "bad");
-    let (_, retry_after) = refusal(deployment.come(122_000, "bad")).expect("it is refused");
+    deployment.merge_two_terminations("bad");
+    deployment.terminate_during(100, "bad");
+    assert!(refusal(deployment.admit(119_000, "bad")).is_some());
+    deployment.terminate_during(121_000, "bad");
+    let (_, retry_after) = refusal(deployment.admit(122_000, "bad")).expect("it is refused");
     assert!(retry_after > Duration::from_secs(230), "{retry_after:?}");
 }
 
@@ -325,7 +319,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_keeps_the_most_suspected() {
+fn the_number_of_suspects_is_bounded_and_the_most_suspected_are_kept() {
     let mut quarantine = Quarantine::default();
     for upstream in 1..=3 {
         quarantine.merge(at(1), suspicion(7, upstream));
@@ -339,9 +333,9 @@
 }
 
 #[test]
-fn each_part_of_the_content_counts() {
+fn each_part_of_the_content_changes_the_fingerprint() {
     let first = content("/a");
-    let of = |content: RequestContent<'_>| Fingerprints::of(&content, HERE).content;
+    let of = |content: RequestContent<'_>| Fingerprints::of(&content, CALLER).content;
     let others = [
         RequestContent {
             method: "PUT",
@@ -372,24 +366,24 @@
     for other in others {
         assert_ne!(of(other), of(first), "{other:?}");
     }
-    let elsewhere = Fingerprints::of(&first, ELSEWHERE);
+    let elsewhere = Fingerprints::of(&first, OTHER_CALLER);
     assert_eq!(elsewhere.content, of(first));
     assert_ne!(
         elsewhere.from_caller,
-        Fingerprints::of(&first, HERE).from_caller
+        Fingerprints::of(&first, CALLER).from_caller
     );
 }
 
 quickcheck! {
-    /// In whatever order, and however often, nodes hear of things, they know the same.
-    fn what_is_known_does_not_depend_on_the_order(told: Vec<(u8, u8, u8, bool)>) -> bool {
-        let suspicions: Vec<Suspicion> = told
+    /// Nodes that merge the same suspicions in any order, and more than once, know the same.
+    fn merging_does_not_depend_on_the_order(entries: Vec<(u8, u8, u8, bool)>) -> bool {
+        let suspicions: Vec<Suspicion> = entries
             .iter()
-            .map(|(fingerprint, upstream, run, is_cleared)| Suspicion {
+            .map(|(fingerprint, upstream, attempt, is_cleared)| Suspicion {
                 fingerprint: Fingerprint(u64::from(fingerprint % 3)),
                 upstream: UpstreamHash(u32::from(upstream % 6)),
-                attempt: AttemptHash(u32::from(run % 5)),
-                is_trial: run % 5 == 4,
+                attempt: AttemptHash(u32::from(attempt % 5)),
+                is_trial: attempt % 5 == 4,
                 is_cleared: *is_cleared,
             })
             .collect();
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -1,11 +1,11 @@
-//! What a node knows of an upstream that starts again under its name.
+//! State of an upstream that restarts under the same name.
 
 mod common;
 
 use beamtray_catalog::{Birth, Directory, DirectoryPolicy, UpstreamId, UpstreamRecord};
 use beamtray_dispatch::{
-    AttemptHash, AttemptOutcome, Conclusion, Dispatcher, Fingerprint, NotExecuted, Quarantine,
-    SpeedRecord, Suspicion, Ticket, UnknownCause, UpstreamHash, UpstreamSpeed,
+    AttemptOutcome, Conclusion, Dispatcher, Fingerprint, Quarantine, AttemptHash, SpeedRecord,
+    Suspicion, Ticket, UnknownCause, NotExecuted, UpstreamHash, UpstreamSpeed,
 };
 use common::*;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }
 }
 
-/// A service with one upstream.
+/// A directory with one upstream.
 fn directory() -> Directory {
     let mut directory = Directory::new(DirectoryPolicy {
         distrust: Duration::from_millis(500),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_restart_is_not_paused_for_what_failed_before() {
+fn a_new_incarnation_is_not_paused_for_earlier_failures() {
     let mut directory = directory();
     let mut node = dispatcher();
     for millis in [100, 101, 102] {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_restart_warms_up_again_and_its_speed_is_unknown() {
+fn a_new_incarnation_warms_up_and_has_unknown_speed() {
     let mut directory = directory();
     let mut node = dispatcher();
     let (first, second) = (UpstreamHash::of(&born(1)), UpstreamHash::of(&born(2)));
@@ -76,10 +76,10 @@
     assert_eq!(restarted.warm_at, at(12_000));
 }
 
-/// A connection that breaks off leaves open whether the request ran, also when the upstream
-/// is there again by then.
+/// A connection that is closed leaves it unknown whether the request was executed, even if the
+/// upstream has already restarted.
 #[test]
-fn a_request_under_way_at_the_one_before_may_have_run() {
+fn a_request_in_flight_at_the_previous_incarnation_has_an_unknown_outcome() {
     let mut directory = directory();
     let mut node = dispatcher();
     assert_eq!(send(&mut node, &directory, 100), Some(born(1)));
@@ -92,9 +92,9 @@
     assert!(forwarded(node.poll(at(121), &directory)).is_none());
 }
 
-/// Each end counts once for each incarnation.
+/// The termination of each incarnation counts separately.
 #[test]
-fn a_request_is_suspected_of_the_end_of_each_incarnation() {
+fn a_request_is_suspected_for_each_terminated_incarnation() {
     let mut quarantine = Quarantine::default();
     let fingerprint = Fingerprint(7);
     for birth in 1..=3 {
--- a/crates/dispatch/tests/rests.rs
+++ b/crates/dispatch/tests/rests.rs
@@ -1,11 +1,9 @@
-//! Upstreams that asked this node for rest get nothing before it is over.
+//! Resting upstreams are sent nothing before the rest is over.
 
 mod common;
 
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Dispatcher, NotExecuted, RefusalReason, Ticket,
-};
+use beamtray_dispatch::{AttemptOutcome, Conclusion, Dispatcher, RefusalReason, Ticket, NotExecuted};
 use beamtray_types::Time;
 use common::*;
 use std::time::Duration;
@@ -17,7 +15,7 @@
     UpstreamId::from(name.to_owned())
 }
 
-/// Who gets a request that comes then; none if it is not sent at once.
+/// The upstream that a request is sent to at `now`; `None` if it is not sent at once.
 fn sent_to(dispatcher: &mut Dispatcher, now: Time, number: u64, path: &str) -> Option<String> {
     let key = path.starts_with("/keyed").then_some(7);
     dispatcher
@@ -27,9 +25,10 @@
     Some(forward.upstream.name.0)
 }
 
-/// Guards against a rest that the next answer ends: one without a rest, or with a shorter one.
+/// Guards against ending a rest early because of a later response without a rest or with a
+/// shorter one.
 #[test]
-fn of_several_rests_the_one_that_ends_last_counts() {
+fn the_rest_that_ends_last_counts() {
     let mut dispatcher = dispatcher();
     dispatcher.begin_rest(at(0), &upstream("near"), REST);
     dispatcher.begin_rest(at(10), &upstream("near"), Duration::from_millis(100));
@@ -43,10 +42,10 @@
     assert_eq!(to.as_deref(), Some("near"));
 }
 
-/// Guards against second attempts at a holder that rests, and against callers that are told
-/// to come back before it can take them.
+/// Guards against retries at a resting holder, and against Retry-After times that end before
+/// the holder accepts requests again.
 #[test]
-fn a_request_whose_holder_rests_is_refused_at_once_until_the_rest_is_over() {
+fn requests_for_a_resting_holder_are_refused_until_the_rest_is_over() {
     let mut dispatcher = dispatcher();
     assign(&mut dispatcher, 1, held());
     let to = sent_to(&mut dispatcher, at(0), 1, "/keyed/1");
@@ -67,16 +66,16 @@
             retry_after,
         }) = concluded(decisions)
         else {
-            panic!("it is to be refused at {millis} ms");
+            panic!("expected a refusal at {millis} ms");
         };
         assert!(at(millis) + retry_after >= at(4) + REST);
     }
 }
 
-/// Guards against rests that are told to a pool as a whole: nothing is sent anywhere, and
-/// callers come back when the first one is over.
+/// Guards against the case that all upstreams of a pool rest: nothing must be sent anywhere,
+/// and clients must be told to retry when the first rest ends.
 #[test]
-fn where_all_rest_requests_are_refused_until_the_first_is_over() {
+fn requests_are_refused_while_all_upstreams_rest() {
     let mut dispatcher = dispatcher();
     dispatcher.begin_rest(at(0), &upstream("near"), REST);
     dispatcher.begin_rest(at(0), &upstream("far"), REST / 2);
@@ -88,16 +87,17 @@
         retry_after,
     }) = concluded(dispatcher.poll(at(10), &directory()))
     else {
-        panic!("it is to be refused");
+        panic!("expected a refusal");
     };
     assert!(retry_after >= Duration::from_millis(1_490) && retry_after < REST);
     let to = sent_to(&mut dispatcher, at(1_501), 2, "/order/1");
     assert_eq!(to.as_deref(), Some("far"));
 }
 
-/// Guards against a rest that an entry's lapse ends, or that a restart inherits.
+/// Guards against a rest that ends with the lapse of the registration, or that a new
+/// incarnation inherits.
 #[test]
-fn a_rest_outlasts_the_entry_and_not_the_incarnation() {
+fn a_rest_outlasts_the_registration_but_not_the_incarnation() {
     let mut dispatcher = dispatcher();
     dispatcher.begin_rest(at(0), &upstream("near"), REST);
     let empty = beamtray_catalog::Directory::new(beamtray_catalog::DirectoryPolicy {
--- a/crates/dispatch/tests/slots.rs
+++ b/crates/dispatch/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots that a relay gives out to the nodes of its zone.
+//! Slots that a relay allocates to the nodes of its zone.
 
 mod common;
 
@@ -13,8 +13,8 @@
     UpstreamHash::of(&UpstreamId::from(id.to_owned()))
 }
 
-/// A node that asks a relay, with one request.
-fn asking() -> (Dispatcher, SlotRequest) {
+/// A node that has asked its relay about one request.
+fn node_asking_relay() -> (Dispatcher, SlotRequest) {
     let mut node = dispatcher();
     node.set_slot_relay(true);
     node.admit(at(0), Ticket(1), &head("/order/1", None))
@@ -38,24 +38,24 @@
 }
 
 #[test]
-fn a_request_goes_where_the_relay_says() {
-    let (mut node, request) = asking();
+fn a_request_goes_to_the_upstream_that_the_relay_selects() {
+    let (mut node, request) = node_asking_relay();
     node.handle_slot_reply(at(2), reply(request.ticket, Some("far")));
     let forward = forwarded(node.poll(at(2), &directory())).expect("it is sent");
     assert_eq!(forward.upstream.name.0, "far");
 }
 
 #[test]
-fn a_request_whose_relay_is_silent_is_sent_all_the_same() {
-    let (mut node, _) = asking();
+fn a_request_is_sent_if_the_relay_does_not_reply() {
+    let (mut node, _) = node_asking_relay();
     assert!(node.poll(at(20), &directory()).is_empty());
     assert_eq!(node.next_due(), Some(at(40)));
     assert!(forwarded(node.poll(at(40), &directory())).is_some());
 }
 
 #[test]
-fn a_relay_that_stays_silent_is_not_asked_for_a_while() {
-    let (mut node, _) = asking();
+fn an_unresponsive_relay_is_not_asked_for_a_while() {
+    let (mut node, _) = node_asking_relay();
     node.poll(at(40), &directory());
     let mut admit = |ticket, time| {
         node.admit(at(time), Ticket(ticket), &head("/order/1", None))
@@ -70,54 +70,54 @@
 }
 
 #[test]
-fn a_late_answer_changes_nothing() {
-    let (mut node, request) = asking();
+fn a_late_reply_is_ignored() {
+    let (mut node, request) = node_asking_relay();
     let forward = forwarded(node.poll(at(40), &directory())).expect("it is sent");
     node.handle_slot_reply(at(41), reply(request.ticket, Some("far")));
     assert!(node.poll(at(41), &directory()).is_empty());
     assert_eq!(forward.upstream.name.0, "near");
 }
 
-/// Nodes that choose by sums of a while ago all choose the same upstream.
+/// Nodes that select from outdated sums would all choose the same upstream.
 #[test]
-fn slots_given_out_at_once_go_to_different_upstreams() {
+fn slots_allocated_at_once_go_to_different_upstreams() {
     let mut relay = dispatcher();
-    let (_, request) = asking();
+    let (_, request) = node_asking_relay();
     relay.apply_load_report(at(0), &request.report);
-    let mut given = Vec::new();
+    let mut allocated = Vec::new();
     for node in 0..8 {
         let mut request = request.clone();
         request.report.node.0 += node;
         relay.apply_load_report(at(1), &request.report);
-        given.extend(relay.allocate_slot(at(1), &directory(), &request).upstream);
+        allocated.extend(relay.allocate_slot(at(1), &directory(), &request).upstream);
     }
-    let near = given.iter().filter(|one| **one == hash("near")).count();
-    assert_eq!(given.len(), 8);
+    let near = allocated.iter().filter(|one| **one == hash("near")).count();
+    assert_eq!(allocated.len(), 8);
     assert!(
         (4..=5).contains(&near),
         "{near} of 8 to the upstream of the own zone"
     );
 }
 
-/// A slot counts until the node that has it reports, and not twice after.
+/// An allocated slot counts until the node's report includes it, and only once.
 #[test]
-fn a_report_takes_the_place_of_the_slots_given_before() {
+fn a_report_replaces_the_slots_allocated_before() {
     let mut relay = dispatcher();
-    let (_, mut request) = asking();
+    let (_, mut request) = node_asking_relay();
     relay.apply_load_report(at(0), &request.report);
     relay.allocate_slot(at(1), &directory(), &request);
     assert_eq!(relay.occupancy().total(hash("near")), 1);
     request.report.sequence += 1;
     relay.apply_load_report(at(5), &request.report);
-    assert_eq!(relay.occupancy().total(hash("near")), 1, "too soon to tell");
+    assert_eq!(relay.occupancy().total(hash("near")), 1, "the report may not include the request yet");
     request.report.sequence += 1;
     relay.apply_load_report(at(30), &request.report);
     assert_eq!(relay.occupancy().total(hash("near")), 0);
 }
 
 #[test]
-fn an_upstream_that_a_node_could_not_reach_is_not_given_to_it_again() {
-    let (mut node, request) = asking();
+fn an_unreachable_upstream_is_not_allocated_to_the_same_node_again() {
+    let (mut node, request) = node_asking_relay();
     node.handle_slot_reply(at(2), reply(request.ticket, Some("near")));
     assert!(forwarded(node.poll(at(2), &directory())).is_some());
     node.attempt_ended(
@@ -136,8 +136,8 @@
 }
 
 #[test]
-fn a_request_without_a_slot_is_asked_for_again_and_refused_in_time() {
-    let (mut node, request) = asking();
+fn a_request_without_a_slot_asks_again_and_is_refused_in_time() {
+    let (mut node, request) = node_asking_relay();
     node.handle_slot_reply(at(2), reply(request.ticket, None));
     assert!(node.poll(at(10), &directory()).is_empty());
     let again = asked(node.poll(at(32), &directory())).expect("the relay is asked again");
--- a/crates/dispatch/tests/speeds.rs
+++ b/crates/dispatch/tests/speeds.rs
@@ -1,25 +1,25 @@
-//! Upstreams whose speed is learned while they are busy.
+//! Learning the speed of upstreams that are busy.
 //!
-//! Seen: a busy key stayed with an upstream that takes 1.6 times as long as others and had
-//! a queue all the time, while one that takes 0.7 times as long was idle. Cause: only
-//! requests that found a free slot taught how fast an upstream is, and at a holder that
-//! always has a queue there are none. Proof: below, without samples of those that queued it
-//! counts as 1.4, where 2.0 is true.
+//! Guards against never finding a busy holder slow. A busy key stayed with an upstream that
+//! took 1.6 times as long as others and always had a queue, while one that took 0.7 times as
+//! long was idle: speeds were learned only from requests that found a free slot, and a holder
+//! that always has a queue gets none of these. Without samples from queued requests the holder
+//! below counts as 1.4, where 2.0 is correct.
 
 mod common;
 
 use beamtray_dispatch::{AttemptOutcome, Decision, Ticket, UpstreamHash};
 use common::*;
 
-/// What the work of a request takes at an upstream of usual speed.
+/// Duration of a request at an upstream of average speed.
 const WORK_MS: u64 = 40;
 
 #[test]
-fn a_holder_that_always_has_a_queue_is_found_slow() {
+fn a_slow_holder_that_always_has_a_queue_counts_as_slow() {
     let mut node = dispatcher();
     let directory = directory();
     assign(&mut node, 1, held());
-    // A few that found it idle, from before it was slow, teach the mean of the route.
+    // The first requests find the holder idle and not yet slow; they set the mean of the route.
     for number in 0..10 {
         let sent = number * 100;
         let ticket = Ticket(number);
@@ -29,12 +29,12 @@
         let success = AttemptOutcome::Answered { success: true };
         node.attempt_ended(at(sent + WORK_MS), ticket, success);
     }
-    // Four under way at its two slots, which take twice as long now.
+    // Four requests in flight at its two slots, each taking twice as long now.
     let slow = 2 * WORK_MS;
-    let mut under_way = Vec::new();
+    let mut in_flight = Vec::new();
     for number in 10..120 {
         let now = 2_000 + (number - 10) * slow / 2;
-        let done: Vec<Ticket> = under_way
+        let done: Vec<Ticket> = in_flight
             .extract_if(.., |(ends, _)| *ends <= now)
             .map(|(_, ticket)| ticket)
             .collect();
@@ -46,7 +46,7 @@
             .expect("it is admitted");
         for decision in node.poll(at(now), &directory) {
             if let Decision::Forward(ticket, _) = decision {
-                under_way.push((now + 2 * slow, ticket));
+                in_flight.push((now + 2 * slow, ticket));
             }
         }
     }
--- a/crates/dispatch/tests/trials.rs
+++ b/crates/dispatch/tests/trials.rs
@@ -1,118 +1,123 @@
-//! Suspected requests are tried by one run at a time, by permits that one node lends.
+//! Trials of suspected requests, one at a time, with permits lent by one node.
 
 mod common;
 
 use beamtray_dispatch::{
-    AttemptHash, Fingerprint, NodeHash, Quarantine, Suspicion, TrialOutcome, TrialReport,
-    TrialRequest, UpstreamHash,
+    Fingerprint, NodeHash, Quarantine, AttemptHash, Suspicion, TrialOutcome, TrialReport, TrialRequest,
+    UpstreamHash,
 };
 use common::*;
 
-/// Two nodes and the one that lends to both.
-struct Lending {
-    lender: Quarantine,
+/// The lender of trial permits.
+struct TrialLender {
+    quarantine: Quarantine,
     numbers: u32,
 }
 
-impl Lending {
-    /// The lender knows of so many runs that ended with one upstream.
-    fn after(runs: u32) -> Self {
-        let mut lender = Quarantine::default();
-        for run in 0..runs {
-            lender.merge(at(1), ended(1, run, false));
+impl TrialLender {
+    /// The lender knows of `runs` attempts that ended with the termination of one upstream.
+    fn after(attempts: u32) -> Self {
+        let mut quarantine = Quarantine::default();
+        for attempt in 0..attempts {
+            quarantine.merge(at(1), terminated(1, attempt, false));
+        }
+        Self {
+            quarantine,
+            numbers: 0,
         }
-        Self { lender, numbers: 0 }
     }
 
-    /// Whether a node gets the permit for a trial that takes a second at most; its number.
+    /// Asks for a permit for a trial that takes at most a second; returns its number if it was
+    /// lent.
     fn ask(&mut self, millis: u64, node: &str) -> Option<u32> {
         self.numbers += 1;
         let request = TrialRequest {
-            fingerprint: BAD,
+            fingerprint: SUSPECTED,
             node: NodeHash::of(node),
             number: self.numbers,
             timeout_ms: 1_000,
-            known: vec![ended(1, 0, false)],
+            known: vec![terminated(1, 0, false)],
         };
-        let reply = self.lender.lend_permit(at(millis), &request);
+        let reply = self.quarantine.lend_permit(at(millis), &request);
         reply.is_lent.then_some(self.numbers)
     }
 
     fn report(&mut self, millis: u64, node: &str, number: u32, outcome: TrialOutcome) {
-        let is_ended = outcome == TrialOutcome::UpstreamTerminated;
-        let end = is_ended.then(|| ended(100 + number, 0, true));
+        let is_terminated = outcome == TrialOutcome::UpstreamTerminated;
+        let termination = is_terminated.then(|| terminated(100 + number, 0, true));
         let report = TrialReport {
-            fingerprint: BAD,
+            fingerprint: SUSPECTED,
             node: NodeHash::of(node),
             number,
             outcome,
-            known: end.into_iter().collect(),
+            known: termination.into_iter().collect(),
         };
-        self.lender.handle_trial_report(at(millis), &report);
+        self.quarantine.handle_trial_report(at(millis), &report);
     }
 }
 
-const BAD: Fingerprint = Fingerprint(7);
+const SUSPECTED: Fingerprint = Fingerprint(7);
 
-/// A run of the request ended with that upstream.
-fn ended(upstream: u32, run: u32, is_trial: bool) -> Suspicion {
+/// An attempt of the request that ended with the termination of an upstream.
+fn terminated(upstream: u32, attempt: u32, is_trial: bool) -> Suspicion {
     Suspicion {
-        attempt: AttemptHash(run),
+        attempt: AttemptHash(attempt),
         is_trial,
-        fingerprint: BAD,
+        fingerprint: SUSPECTED,
         upstream: UpstreamHash(upstream),
         is_cleared: false,
     }
 }
 
 #[test]
-fn a_permit_is_lent_once_until_its_outcome_is_told() {
-    let mut lending = Lending::after(1);
-    let first = lending.ask(100, "a").expect("it is lent");
-    assert_eq!(lending.ask(101, "b"), None);
-    lending.report(150, "a", first, TrialOutcome::Unused);
-    assert!(lending.ask(151, "b").is_some());
+fn a_permit_is_lent_once_until_its_outcome_is_reported() {
+    let mut lender = TrialLender::after(1);
+    let first = lender.ask(100, "a").expect("the permit is lent");
+    assert_eq!(lender.ask(101, "b"), None);
+    lender.report(150, "a", first, TrialOutcome::Unused);
+    assert!(lender.ask(151, "b").is_some());
 }
 
-/// Of the runs of one upstream none was alone, so one trial tells whether it was the cause.
+/// All suspected attempts were at one upstream and none was a trial, so a single trial tells
+/// whether the request was the cause.
 #[test]
-fn after_three_runs_a_trial_that_ends_its_upstream_is_the_last_for_a_while() {
-    let mut lending = Lending::after(3);
-    let number = lending.ask(100, "a").expect("three may be bystanders");
-    lending.report(150, "a", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lending.ask(151, "b"), None);
-    assert_eq!(lending.ask(119_000, "b"), None);
-    let number = lending.ask(121_000, "b").expect("it is tried again");
-    lending.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lending.ask(1_900_000, "a"), None);
-    let number = lending.ask(1_930_000, "a").expect("and once more");
-    lending.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lending.ask(80_000_000, "a"), None, "not within a day");
+fn a_trial_that_terminates_its_upstream_after_three_attempts_starts_a_quarantine() {
+    let mut lender = TrialLender::after(3);
+    let number = lender.ask(100, "a").expect("all three attempts may be bystanders");
+    lender.report(150, "a", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(lender.ask(151, "b"), None);
+    assert_eq!(lender.ask(119_000, "b"), None);
+    let number = lender.ask(121_000, "b").expect("a second trial is allowed");
+    lender.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(lender.ask(1_900_000, "a"), None);
+    let number = lender.ask(1_930_000, "a").expect("a third trial is allowed");
+    lender.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(lender.ask(80_000_000, "a"), None, "no trial within a day");
 }
 
 #[test]
-fn a_trial_of_which_nothing_is_heard_is_no_success() {
-    let mut lending = Lending::after(1);
-    assert!(lending.ask(100, "a").is_some());
-    assert_eq!(lending.ask(2_050, "b"), None, "its time is not over");
+fn a_trial_without_a_reported_outcome_is_not_a_success() {
+    let mut lender = TrialLender::after(1);
+    assert!(lender.ask(100, "a").is_some());
+    assert_eq!(lender.ask(2_050, "b"), None, "the trial may still be running");
     assert_eq!(
-        lending.ask(2_150, "b"),
+        lender.ask(2_150, "b"),
         None,
-        "it may have ended its upstream"
+        "the trial may have terminated its upstream"
     );
-    assert_eq!(lending.ask(3_050, "b"), None);
-    let second = lending.ask(3_200, "b").expect("after a pause");
-    lending.report(3_300, "b", second, TrialOutcome::Unknown);
-    assert_eq!(lending.ask(11_200, "a"), None, "the pause grows");
-    assert!(lending.ask(11_400, "a").is_some());
+    assert_eq!(lender.ask(3_050, "b"), None);
+    let second = lender.ask(3_200, "b").expect("a trial is allowed after the delay");
+    lender.report(3_300, "b", second, TrialOutcome::Unknown);
+    assert_eq!(lender.ask(11_200, "a"), None, "the delay grows");
+    assert!(lender.ask(11_400, "a").is_some());
 }
 
 #[test]
-fn what_is_answered_three_times_with_a_failure_is_cleared() {
-    let mut lending = Lending::after(2);
+fn three_failure_responses_to_trials_clear_a_request() {
+    let mut lender = TrialLender::after(2);
     for millis in [100, 200, 300] {
-        let number = lending.ask(millis, "a").expect("it is lent");
-        lending.report(millis + 50, "a", number, TrialOutcome::Answered);
+        let number = lender.ask(millis, "a").expect("the permit is lent");
+        lender.report(millis + 50, "a", number, TrialOutcome::Answered);
     }
-    assert_eq!(lending.lender.counts(at(400)), (0, 0));
+    assert_eq!(lender.quarantine.counts(at(400)), (0, 0));
 }
--- a/crates/dispatch/tests/unconfirmed.rs
+++ b/crates/dispatch/tests/unconfirmed.rs
@@ -1,13 +1,12 @@
 //! Upstreams whose registrations are missing without proof that they left.
 //!
-//! Seen: a request was refused after 4 ms, with 1.48 s left and four ready upstreams in the
-//! pool. How: three upstreams had ended, and others had registered at their addresses. The
-//! entries of those that ended vanished together, which proves nothing, so they counted as
-//! unconfirmed. The request was sent to one of them, which another process answered with 421,
-//! then to the next one, and with that it had been sent as often as its route allows. Cause:
-//! an unconfirmed upstream was chosen like any other. The routers' lines show it:
-//! `upstream_unconfirmed`, then two times `attempt_ended outcome=misdirected` for these,
-//! then `concluded reason=Refused arrivals=2`.
+//! Guards against choosing an unconfirmed upstream like any other. Three upstreams had
+//! terminated and other processes had registered at their addresses. The registrations of the
+//! three vanished together, which proves nothing, so they counted as unconfirmed. A request was
+//! sent to two of them, got a 421 response from the other processes both times, and had then
+//! been sent as often as its route allows: it was refused after 4 ms, with 1.48 s left and four
+//! ready upstreams in the pool. The router's log shows `upstream_unconfirmed`, then twice
+//! `attempt_ended outcome=misdirected`, then `concluded reason=Refused arrivals=2`.
 
 mod common;
 
@@ -15,11 +14,12 @@
 use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, Ticket};
 use common::*;
 
-/// The pool's upstreams of this zone are missing from then on, in doubt.
+/// When the registrations of this zone's upstreams in the pool go missing.
 const MISSING_SINCE: u64 = 100;
 
-/// An upstream of another zone, and some of this one, which would be chosen before it.
-fn missing(names: &[&str]) -> Directory {
+/// A directory with a confirmed upstream in another zone, and unconfirmed ones in this zone,
+/// which would otherwise be preferred.
+fn directory_missing(names: &[&str]) -> Directory {
     let mut directory = directory();
     for (number, name) in names.iter().enumerate() {
         let port = 9_000 + number as u16;
@@ -47,10 +47,10 @@
     sent.collect()
 }
 
-/// However many of the entries are out of date.
+/// However many registrations are missing.
 #[test]
-fn an_upstream_that_is_registered_comes_first() {
-    let directory = missing(&["a", "b", "c", "d"]);
+fn registered_upstreams_are_preferred() {
+    let directory = directory_missing(&["a", "b", "c", "d"]);
     let mut dispatcher = dispatcher();
     for ticket in 0..4 {
         admit(&mut dispatcher, ticket);
@@ -59,10 +59,10 @@
     assert_eq!(sent, ["far"; 4]);
 }
 
-/// It may be alive: its lease ran out while the store was away.
+/// The upstream may be alive: its lease may have expired while the store was unavailable.
 #[test]
-fn one_that_is_not_is_tried_where_no_other_has_room() {
-    let mut directory = missing(&[]);
+fn an_unconfirmed_upstream_is_used_if_no_other_has_room() {
+    let mut directory = directory_missing(&[]);
     directory.vanish(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
     let mut dispatcher = dispatcher();
     admit(&mut dispatcher, 1);
@@ -70,10 +70,10 @@
     assert_eq!(sent.len(), 1);
 }
 
-/// So that an entry which is out of date costs a node one try, not each request one.
+/// An outdated registration costs a node one attempt, not one per request.
 #[test]
-fn it_is_tried_with_one_request_at_a_time() {
-    let mut directory = missing(&[]);
+fn an_unconfirmed_upstream_gets_one_request_at_a_time() {
+    let mut directory = directory_missing(&[]);
     directory.vanish(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
     let mut dispatcher = dispatcher();
     for ticket in 0..6 {
@@ -84,10 +84,10 @@
     assert_eq!(sent, ["far", "near"]);
 }
 
-/// Its answer proves that it is there as well as a registration does.
+/// A response proves that the upstream is alive as well as a registration does.
 #[test]
-fn one_that_has_answered_since_is_as_good_as_any() {
-    let directory = missing(&[]);
+fn an_unconfirmed_upstream_that_responds_counts_as_confirmed() {
+    let directory = directory_missing(&[]);
     let mut dispatcher = dispatcher();
     admit(&mut dispatcher, 1);
     let sent = sent_to(dispatcher.poll(at(MISSING_SINCE), &common::directory()));
