--- a/crates/dispatch/tests/absences.rs
+++ b/crates/dispatch/tests/absences.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use beamtray_catalog::{Directory, UpstreamId};
-use beamtray_dispatch::{AttemptOutcome, Conclusion, Dispatcher, RefusalReason, Ticket, NotExecuted};
+use beamtray_dispatch::{
+    AttemptOutcome, Conclusion, Dispatcher, NotExecuted, RefusalReason, Ticket,
+};
 use beamtray_sharding::{FencingToken, SliceState};
 use common::*;
 use std::time::Duration;
@@ -120,7 +122,11 @@
     admit(&mut dispatcher, 0, 1);
     forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
     let rejected = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
-    assert!(dispatcher.attempt_ended(at(5), Ticket(1), rejected).is_none());
+    assert!(
+        dispatcher
+            .attempt_ended(at(5), Ticket(1), rejected)
+            .is_none()
+    );
     assign_at(&mut dispatcher, 10, 2, leaving());
     assert_eq!(refused(&mut dispatcher, &directory, 10), None);
 }
--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget over all nodes, while their processes are replaced.
 
-use beamtray_dispatch::{RetryBudgetConfig, RetryBudget};
+use beamtray_dispatch::{RetryBudget, RetryBudgetConfig};
 use beamtray_types::Time;
 use std::time::Duration;
 
--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -10,7 +10,7 @@
 mod common;
 
 use beamtray_catalog::{ColdStart, Directory, UpstreamRecord};
-use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, Ticket, NotExecuted};
+use beamtray_dispatch::{AttemptOutcome, Decision, Dispatcher, NodeHash, NotExecuted, Ticket};
 use beamtray_sharding::{FencingToken, SliceState};
 use beamtray_types::Time;
 use common::*;
@@ -41,7 +41,10 @@
 fn node(number: usize, rate: f64) -> Dispatcher {
     let mut configuration = configuration();
     for service in &mut configuration.services {
-        service.cold_start = Some(ColdStart { lasts: COLD_TIME, rate });
+        service.cold_start = Some(ColdStart {
+            lasts: COLD_TIME,
+            rate,
+        });
     }
     let mut dispatcher = unconfigured_as(&name(number));
     if rate < RATE {
@@ -159,7 +162,10 @@
     let most = load.max_per_second();
     assert!((3..=MAX_PER_SECOND).contains(&most), "{most}");
     let cold = load.sent.len();
-    assert!(cold >= 12, "used too little: {cold} of the 20 requests that it handles");
+    assert!(
+        cold >= 12,
+        "used too little: {cold} of the 20 requests that it handles"
+    );
     load.run(COLD_UNTIL, COLD_UNTIL + 1_000);
     assert!(
         load.sent.len() > cold + 20,
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -7,8 +7,8 @@
     ServiceConfig, UpstreamId, UpstreamRecord, UpstreamState, WeightedBackend,
 };
 use beamtray_dispatch::{
-    RetryBudgetConfig, ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints,
-    Forward, RequestHead,
+    ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints, Forward,
+    RequestHead, RetryBudgetConfig,
 };
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{UpstreamId, UpstreamState};
 use beamtray_dispatch::{
-    AdmissionError, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, Occupancy, SumSource,
-    Ticket, UnknownCause, NotExecuted, UpstreamHash,
+    AdmissionError, AttemptOutcome, Conclusion, InFlight, LoadReport, NodeHash, NotExecuted,
+    Occupancy, SumSource, Ticket, UnknownCause, UpstreamHash,
 };
 use beamtray_sharding::{FencingToken, SliceState};
 use common::*;
@@ -103,7 +103,11 @@
         .expect("admitted");
     forwarded(dispatcher.poll(at(1), &directory)).expect("sent");
     let broken = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
-    assert!(dispatcher.attempt_ended(at(10), Ticket(1), broken).is_none());
+    assert!(
+        dispatcher
+            .attempt_ended(at(10), Ticket(1), broken)
+            .is_none()
+    );
     forwarded(dispatcher.poll(at(11), &directory)).expect("sent again");
     let full = AttemptOutcome::NotExecuted(NotExecuted::Full);
     let end = dispatcher.attempt_ended(at(20), Ticket(1), full);
@@ -122,7 +126,10 @@
             .expect("admitted");
         forwarded(dispatcher.poll(now, &directory)).expect("sent");
         let broken = AttemptOutcome::Unknown(UnknownCause::WrongAnswer);
-        if dispatcher.attempt_ended(now, Ticket(ticket), broken).is_none() {
+        if dispatcher
+            .attempt_ended(now, Ticket(ticket), broken)
+            .is_none()
+        {
             repeats += 1;
             forwarded(dispatcher.poll(now, &directory)).expect("sent again");
             dispatcher.attempt_ended(
@@ -217,7 +224,11 @@
     let first = forwarded(dispatcher.poll(at(0), &directory)).expect("sent");
     assert_eq!(first.upstream.name.0, "near");
     let unconnected = AttemptOutcome::NotExecuted(NotExecuted::Unconnected);
-    assert!(dispatcher.attempt_ended(at(10), Ticket(1), unconnected).is_none());
+    assert!(
+        dispatcher
+            .attempt_ended(at(10), Ticket(1), unconnected)
+            .is_none()
+    );
     let second = forwarded(dispatcher.poll(at(10), &directory)).expect("sent again");
     assert_eq!(second.upstream.name.0, "far");
     // The first attempt never reached the upstream, so this is still attempt 1.
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -10,8 +10,8 @@
 
 use beamtray_catalog::{RateWord, RequestRate};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Decision, Dispatcher, RateLimitUpdate, NodeHash, PermitReply,
-    PermitRequest, RefusalReason, Ticket, UpstreamHash,
+    AttemptOutcome, Conclusion, Decision, Dispatcher, NodeHash, PermitReply, PermitRequest,
+    RateLimitUpdate, RefusalReason, Ticket, UpstreamHash,
 };
 use common::*;
 use quickcheck::{QuickCheck, TestResult};
@@ -324,7 +324,10 @@
         }
         assert_rate_kept(&world, rate);
         let used = used_fraction(&world, rate);
-        assert!(used >= 0.8, "without lender {lost}: {used:.2} of the rate used");
+        assert!(
+            used >= 0.8,
+            "without lender {lost}: {used:.2} of the rate used"
+        );
     }
 }
 
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{Directory, UpstreamId};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints, Quarantine,
-    RefusalReason, RequestContent, AttemptHash, Suspicion, Ticket, UnknownCause, UpstreamHash,
+    AttemptHash, AttemptOutcome, Conclusion, Decision, Dispatcher, Fingerprint, Fingerprints,
+    Quarantine, RefusalReason, RequestContent, Suspicion, Ticket, UnknownCause, UpstreamHash,
 };
 use beamtray_sharding::ShardKey;
 use common::*;
@@ -91,7 +91,8 @@
     fn send(&mut self, millis: u64, target: &str, outcome: AttemptOutcome) {
         let decisions = self.admit(millis, target);
         assert!(forwarded(decisions).is_some(), "{target} is sent");
-        self.node.attempt_ended(at(millis + 20), Ticket(millis), outcome);
+        self.node
+            .attempt_ended(at(millis + 20), Ticket(millis), outcome);
     }
 
     /// Sends a request during which the upstream terminates.
@@ -163,7 +164,9 @@
     }
     assert!(deployment.decide(1_002).is_empty());
     let success = AttemptOutcome::Answered { success: true };
-    deployment.node.attempt_ended(at(1_050), Ticket(1_000), success);
+    deployment
+        .node
+        .attempt_ended(at(1_050), Ticket(1_000), success);
     let sent = deployment.decide(1_051);
     assert_eq!(sent.len(), 2);
     assert!(matches!(sent[1], Decision::Forward(..)));
@@ -253,7 +256,13 @@
                 .upstream_terminated(at(millis + 30), hash);
         }
     }
-    assert!(deployment.node.quarantine_mut().take_local_suspicions().is_empty());
+    assert!(
+        deployment
+            .node
+            .quarantine_mut()
+            .take_local_suspicions()
+            .is_empty()
+    );
 }
 
 /// The end of the connection got lost in the network.
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -4,8 +4,8 @@
 
 use beamtray_catalog::{Birth, Directory, DirectoryPolicy, UpstreamId, UpstreamRecord};
 use beamtray_dispatch::{
-    AttemptOutcome, Conclusion, Dispatcher, Fingerprint, Quarantine, AttemptHash, SpeedRecord,
-    Suspicion, Ticket, UnknownCause, NotExecuted, UpstreamHash, UpstreamSpeed,
+    AttemptHash, AttemptOutcome, Conclusion, Dispatcher, Fingerprint, NotExecuted, Quarantine,
+    SpeedRecord, Suspicion, Ticket, UnknownCause, UpstreamHash, UpstreamSpeed,
 };
 use common::*;
 use std::time::Duration;
--- a/crates/dispatch/tests/rests.rs
+++ b/crates/dispatch/tests/rests.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{AttemptOutcome, Conclusion, Dispatcher, RefusalReason, Ticket, NotExecuted};
+use beamtray_dispatch::{
+    AttemptOutcome, Conclusion, Dispatcher, NotExecuted, RefusalReason, Ticket,
+};
 use beamtray_types::Time;
 use common::*;
 use std::time::Duration;
--- a/crates/dispatch/tests/slots.rs
+++ b/crates/dispatch/tests/slots.rs
@@ -109,7 +109,11 @@
     assert_eq!(relay.occupancy().total(hash("near")), 1);
     request.report.sequence += 1;
     relay.apply_load_report(at(5), &request.report);
-    assert_eq!(relay.occupancy().total(hash("near")), 1, "the report may not include the request yet");
+    assert_eq!(
+        relay.occupancy().total(hash("near")),
+        1,
+        "the report may not include the request yet"
+    );
     request.report.sequence += 1;
     relay.apply_load_report(at(30), &request.report);
     assert_eq!(relay.occupancy().total(hash("near")), 0);
--- a/crates/dispatch/tests/trials.rs
+++ b/crates/dispatch/tests/trials.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use beamtray_dispatch::{
-    Fingerprint, NodeHash, Quarantine, AttemptHash, Suspicion, TrialOutcome, TrialReport, TrialRequest,
-    UpstreamHash,
+    AttemptHash, Fingerprint, NodeHash, Quarantine, Suspicion, TrialOutcome, TrialReport,
+    TrialRequest, UpstreamHash,
 };
 use common::*;
 
@@ -83,14 +83,18 @@
 #[test]
 fn a_trial_that_terminates_its_upstream_after_three_attempts_starts_a_quarantine() {
     let mut lender = TrialLender::after(3);
-    let number = lender.ask(100, "a").expect("all three attempts may be bystanders");
+    let number = lender
+        .ask(100, "a")
+        .expect("all three attempts may be bystanders");
     lender.report(150, "a", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lender.ask(151, "b"), None);
     assert_eq!(lender.ask(119_000, "b"), None);
     let number = lender.ask(121_000, "b").expect("a second trial is allowed");
     lender.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lender.ask(1_900_000, "a"), None);
-    let number = lender.ask(1_930_000, "a").expect("a third trial is allowed");
+    let number = lender
+        .ask(1_930_000, "a")
+        .expect("a third trial is allowed");
     lender.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
     assert_eq!(lender.ask(80_000_000, "a"), None, "no trial within a day");
 }
@@ -99,14 +103,20 @@
 fn a_trial_without_a_reported_outcome_is_not_a_success() {
     let mut lender = TrialLender::after(1);
     assert!(lender.ask(100, "a").is_some());
-    assert_eq!(lender.ask(2_050, "b"), None, "the trial may still be running");
+    assert_eq!(
+        lender.ask(2_050, "b"),
+        None,
+        "the trial may still be running"
+    );
     assert_eq!(
         lender.ask(2_150, "b"),
         None,
         "the trial may have terminated its upstream"
     );
     assert_eq!(lender.ask(3_050, "b"), None);
-    let second = lender.ask(3_200, "b").expect("a trial is allowed after the delay");
+    let second = lender
+        .ask(3_200, "b")
+        .expect("a trial is allowed after the delay");
     lender.report(3_300, "b", second, TrialOutcome::Unknown);
     assert_eq!(lender.ask(11_200, "a"), None, "the delay grows");
     assert!(lender.ask(11_400, "a").is_some());
