--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Restores what an earlier process stored, except where this process already has a value of its own.
+    /// Restores what an earlier process stored, except where this process already has a value of
+    /// its own.
     pub fn restore(&mut self, record: &SpeedRecord) {
         for row in &record.upstreams {
             let known = Samples {
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -371,7 +371,8 @@
         .filter(|one| one.standing == Standing::Ready)
         .collect();
     let count = ready.len();
-    let rests = |one: &&mut Candidate| dispatcher.rests_for_any_node(now, UpstreamHash::of(&one.id));
+    let rests =
+        |one: &&mut Candidate| dispatcher.rests_for_any_node(now, UpstreamHash::of(&one.id));
     let resting: Vec<&mut Candidate> = ready.into_iter().filter(rests).collect();
     if resting.len() * 2 > count {
         return;
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -5,9 +5,10 @@
 use crate::core::views::{Snapshot, ViewHeads, ViewName, ViewNotice, ViewRequest};
 use beamtray_catalog::{ClientLimits, RateWord, UpstreamId};
 use beamtray_dispatch::{
-    AdmissionError, AnswerStats, AttemptOutcome, ProbeTarget, ConcludedRequest, Forward, KeyReport, RateLimitEvent,
-    RateLimitUpdate, LoadReport, LoadSum, PermitReply, PermitRequest, QuarantineEvent, RequestHead,
-    SlotReply, SlotRequest, Suspicion, Ticket, TrialReply, TrialReport, TrialRequest, UpstreamHash,
+    AdmissionError, AnswerStats, AttemptOutcome, ConcludedRequest, Forward, KeyReport, LoadReport,
+    LoadSum, PermitReply, PermitRequest, ProbeTarget, QuarantineEvent, RateLimitEvent,
+    RateLimitUpdate, RequestHead, SlotReply, SlotRequest, Suspicion, Ticket, TrialReply,
+    TrialReport, TrialRequest, UpstreamHash,
 };
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_sharding::{DoubtNotice, FenceNotice, GrantOrder, GrantReply, OwnedAgain, ShardKey};
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -22,7 +22,7 @@
 use beamtray_catalog::{DirectoryPolicy, UpstreamId};
 use beamtray_dialect::Dialect;
 use beamtray_dispatch::{
-    AttemptOutcome, Decision, DispatchConfig, Dispatcher, NodeHash, SumSource, NotExecuted,
+    AttemptOutcome, Decision, DispatchConfig, Dispatcher, NodeHash, NotExecuted, SumSource,
 };
 use beamtray_metastore::StoreEra;
 use beamtray_sharding::{GrantReply, StandbyId};
@@ -234,7 +234,8 @@
         match datagram {
             Datagram::Load(report) => self.take_load(now, report),
             Datagram::ZoneLoad(zone, sum) => {
-                self.dispatcher.apply_load_sum(now, SumSource::Zone(*zone), sum);
+                self.dispatcher
+                    .apply_load_sum(now, SumSource::Zone(*zone), sum);
                 self.take_zone_word(now, from, datagram);
             }
             Datagram::AllLoad(sum) => self.take_all_load(now, from, sum),
@@ -294,7 +295,8 @@
         }
         for service in self.views.take_assigned() {
             if let Some(assignment) = self.views.assignments.get(&service) {
-                self.dispatcher.apply_assignment(now, service, assignment.clone());
+                self.dispatcher
+                    .apply_assignment(now, service, assignment.clone());
             }
         }
         let notices = self.views.take_notices();
--- a/crates/router/src/core/node/load.rs
+++ b/crates/router/src/core/node/load.rs
@@ -232,7 +232,8 @@
         let near = self.membership.count(Audience::Near);
         self.reports.sum_pause = sum_pause(near, sum.parts.into());
         if !self.is_relay() {
-            self.dispatcher.apply_load_sum(now, SumSource::OwnRelay, sum);
+            self.dispatcher
+                .apply_load_sum(now, SumSource::OwnRelay, sum);
         }
     }
 
--- a/crates/router/src/core/node/quarantine.rs
+++ b/crates/router/src/core/node/quarantine.rs
@@ -116,7 +116,9 @@
     /// Suspects the requests whose connections to an upstream broke off, since it ended.
     pub(super) fn upstream_ended(&mut self, now: Time, upstream: &UpstreamId) {
         let hash = UpstreamHash::of(upstream);
-        self.dispatcher.quarantine_mut().upstream_terminated(now, hash);
+        self.dispatcher
+            .quarantine_mut()
+            .upstream_terminated(now, hash);
     }
 
     /// Takes restarts of upstreams under their names as proof that the incarnations before
@@ -140,7 +142,10 @@
             self.suspicion_news.hurry(now);
         }
         for suspicion in found {
-            let known = self.dispatcher.quarantine().suspicions_of(suspicion.fingerprint);
+            let known = self
+                .dispatcher
+                .quarantine()
+                .suspicions_of(suspicion.fingerprint);
             let is_urgent = known.len() >= URGENT_FROM;
             let audience = NewsAudience::Collectors;
             self.suspicion_news.add(suspicion, audience, is_urgent);
@@ -158,7 +163,10 @@
             return;
         }
         for suspicion in news {
-            let known = self.dispatcher.quarantine().suspicions_of(suspicion.fingerprint);
+            let known = self
+                .dispatcher
+                .quarantine()
+                .suspicions_of(suspicion.fingerprint);
             let is_urgent = known.len() >= URGENT_FROM;
             let audience = NewsAudience::Zone;
             self.suspicion_news.add(suspicion, audience, is_urgent);
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -8,7 +8,7 @@
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{RateLimitUpdate, PermitRequest, UpstreamHash};
+use beamtray_dispatch::{PermitRequest, RateLimitUpdate, UpstreamHash};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/router/src/core/node/trials.rs
+++ b/crates/router/src/core/node/trials.rs
@@ -35,7 +35,9 @@
 
     /// Takes the lender's answer.
     pub(super) fn trial_answered(&mut self, now: Time, reply: &TrialReply) {
-        self.dispatcher.quarantine_mut().handle_trial_reply(now, reply);
+        self.dispatcher
+            .quarantine_mut()
+            .handle_trial_reply(now, reply);
     }
 
     /// As the lender: takes the outcome of a trial.
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -3,7 +3,7 @@
 use super::NodeSettings;
 use crate::core::{ControlConfig, CoreConfig, GRANT_TIMEOUT, NodeRecord, Timing};
 use beamtray_catalog::DirectoryPolicy;
-use beamtray_dispatch::{RetryBudgetConfig, ColdStartBound, DispatchConfig};
+use beamtray_dispatch::{ColdStartBound, DispatchConfig, RetryBudgetConfig};
 use beamtray_metastore::LeaseTiming;
 use beamtray_sharding::{BalanceLimits, GranterGuards, GranterTiming};
 use std::time::Duration;
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -5,7 +5,7 @@
 use crate::shell::connections::{Answer, CallFailure, CallProgress};
 use crate::shell::handle::{AnswerBody, Shared, Step};
 use beamtray_catalog::{LeaveWord, RateWord, RestWord};
-use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, Ticket, UnknownCause, NotExecuted};
+use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, NotExecuted, Ticket, UnknownCause};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -14,8 +14,8 @@
 use crate::shell::rate::{LineKind, LineRate};
 use beamtray_catalog::{DirectoryChange, UpstreamId};
 use beamtray_dispatch::{
-    AdmissionError, AssignmentNumber, AttemptOutcome, Conclusion, ConcludedRequest, Fingerprints, Forward,
-    RefusalReason, UnknownCause,
+    AdmissionError, AssignmentNumber, AttemptOutcome, ConcludedRequest, Conclusion, Fingerprints,
+    Forward, RefusalReason, UnknownCause,
 };
 use beamtray_metastore::{StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantReply, OrderKind, ShardKey};
--- a/crates/router/src/shell/observer/names.rs
+++ b/crates/router/src/shell/observer/names.rs
@@ -1,7 +1,7 @@
 //! Names of outcomes, in lines and labels.
 
 use crate::core::StoreTask;
-use beamtray_dispatch::{AttemptOutcome, UnknownCause, NotExecuted};
+use beamtray_dispatch::{AttemptOutcome, NotExecuted, UnknownCause};
 use beamtray_metastore::StoreOutcome;
 use beamtray_sharding::{GrantReply, LossCause};
 
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -3,7 +3,7 @@
 use super::Observer;
 use crate::shell::rate::LineKind;
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{RateLimitState, RateLimitEvent};
+use beamtray_dispatch::{RateLimitEvent, RateLimitState};
 use slog::{Record, info, warn};
 
 /// The rate that a request was refused for.
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -7,7 +7,7 @@
 use crate::check::Sender;
 use crate::fault::CutFrom;
 use beamtray_catalog::{Birth, RateWord, RequestRate, UpstreamId, UpstreamState as Announced};
-use beamtray_dispatch::{AttemptOutcome, Forward, Ticket, UnknownCause, NotExecuted};
+use beamtray_dispatch::{AttemptOutcome, Forward, NotExecuted, Ticket, UnknownCause};
 use beamtray_emulator::{
     Arrival, FullPolicy, Run as WorkRun, RunId, UpstreamConfig, UpstreamEmulator, WorkRequest,
 };
