--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -82,6 +82,7 @@
 const CLIENT_RETRY_RATIO: f64 = 0.93;
 /// Time reserved before the deadline for delivering the response to the client.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+
 #[derive(Clone, Debug)]
 struct Attempt {
     upstream: UpstreamId,
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -8,8 +8,8 @@
 //! time, and only after that is another upstream risked for it.
 //!
 //! What is known of a fingerprint is a set of attempts, each with its upstream and a flag for
-//! whether it was cleared. Sets of different nodes are merged by a union, so neither the order
-//! nor the repetition of updates makes a difference.
+//! whether it was cleared. Sets of different nodes are merged by a union in which cleared
+//! flags win, so neither the order nor the repetition of updates makes a difference.
 
 mod lender;
 mod status;
@@ -47,6 +47,7 @@
 /// How long it may take to learn whether an upstream terminated after a connection to it was
 /// closed: at the latest its registration lapses within this time.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
+
 /// Suspicions, as kept in the store across processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspicionRecord {
@@ -182,9 +183,9 @@
     }
 
     fn take_unconfirmed(&mut self, upstream: UpstreamHash) -> Vec<SuspectAttempt> {
-        let is_meant =
+        let is_at_upstream =
             |unconfirmed: &mut UnconfirmedTermination| unconfirmed.attempt.upstream == upstream;
-        let taken = self.unconfirmed.extract_if(.., is_meant);
+        let taken = self.unconfirmed.extract_if(.., is_at_upstream);
         taken.map(|unconfirmed| unconfirmed.attempt).collect()
     }
 
