--- a/crates/grantsearch/src/scope.rs
+++ b/crates/grantsearch/src/scope.rs
@@ -105,15 +105,15 @@
     GranterTiming {
         hold: Duration::from_millis(3_000),
         renewal: Duration::from_millis(750),
-        order_pause: Duration::from_millis(1),
-        longest_renewal: Duration::from_millis(750),
+        min_order_interval: Duration::from_millis(1),
+        max_renewal: Duration::from_millis(750),
         drift_percent: 2,
         transit: Duration::from_millis(300),
-        order_wait: Duration::from_millis(500),
+        order_timeout: Duration::from_millis(500),
         order_lifetime: Duration::from_secs(12),
-        silence: Duration::from_millis(1_200),
-        settle: Duration::from_millis(1_300),
-        notice: Duration::from_millis(20),
+        silence_timeout: Duration::from_millis(1_200),
+        quiet_period: Duration::from_millis(1_300),
+        release_delay: Duration::from_millis(20),
         guards: GranterGuards::default(),
     }
 }
--- a/crates/grantsearch/src/standby.rs
+++ b/crates/grantsearch/src/standby.rs
@@ -5,8 +5,8 @@
 //! store does not answer it, so it never declines.
 
 use beamtray_sharding::{
-    AssignmentRecord, CallId, GrantOrder, Granter, KeyRange, OrderKind, RecordNumber, STANDBY_SPAN,
-    SliceState, StandbyAnswer, StandbyId,
+    AssignmentRecord, CallId, GrantOrder, Granter, KeyRange, OrderKind, RecordNumber,
+    STANDBY_AUTHORIZATION, SliceState, StandbyId, StandbyStatus,
 };
 use beamtray_types::Time;
 use std::collections::BTreeMap;
@@ -44,10 +44,17 @@
         let knows: Option<RecordNumber> = self.knows.as_ref().map(AssignmentRecord::number);
         let prolonged = self.prolonged_at.map(|at| now.since(at));
         let id = standby_id();
-        granter.standby_answered(now, &id, StandbyAnswer { knows, prolonged });
-        if granter.standby_words(now).contains(&id) {
-            granter.standby_word_sent(now, &id);
-            self.word_until = now + STANDBY_SPAN;
+        granter.standby_reported(
+            now,
+            &id,
+            StandbyStatus {
+                known_record: knows,
+                prolonged,
+            },
+        );
+        if granter.standbys_to_authorize(now).contains(&id) {
+            granter.standby_authorized(now, &id);
+            self.word_until = now + STANDBY_AUTHORIZATION;
             self.word_heard = Some(now);
         }
     }
--- a/crates/grantsearch/src/world/orders.rs
+++ b/crates/grantsearch/src/world/orders.rs
@@ -57,13 +57,13 @@
             process.connected[index] = false;
             process
                 .granter
-                .handle(self.now, order.call, GrantReply::Undelivered);
+                .handle_reply(self.now, order.call, GrantReply::Undelivered);
             return false;
         }
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
         if self.scope.asks_first && is_grant && (path.is_cut || path.is_still) {
             // The question gets no answer, so the grant is not written.
-            let wait = self.scope.timing.order_wait;
+            let wait = self.scope.timing.order_timeout;
             self.wait(order, wait, NoAnswer::Undelivered);
             return false;
         }
@@ -144,7 +144,7 @@
             place,
         });
         let wait = match order.kind {
-            OrderKind::Grant { .. } => self.scope.timing.order_wait,
+            OrderKind::Grant { .. } => self.scope.timing.order_timeout,
             OrderKind::Release => RELEASE_WAIT,
         };
         let without_answer = match place {
@@ -184,7 +184,7 @@
         );
         let happened = before != floors(self) || reply != GrantReply::Granted;
         if let Some(process) = &mut self.process {
-            process.granter.handle(self.now, order.call, reply);
+            process.granter.handle_reply(self.now, order.call, reply);
         }
         happened
     }
@@ -269,7 +269,9 @@
         let mut waiting = waiting.map(|call| call.order.call);
         if let Some(position) = waiting.position(|call| call == copy.order.call) {
             process.calls.remove(position);
-            process.granter.handle(self.now, copy.order.call, reply);
+            process
+                .granter
+                .handle_reply(self.now, copy.order.call, reply);
         }
     }
 
@@ -312,7 +314,9 @@
         };
         if let Some(process) = &mut self.process {
             process.connected[index] = false;
-            process.granter.handle(self.now, call.order.call, reply);
+            process
+                .granter
+                .handle_reply(self.now, call.order.call, reply);
             let term = process.term;
             self.bound_copies(term, Some(call), self.scope.transport.after_give_up);
         }
--- a/crates/grantsearch/src/world/start.rs
+++ b/crates/grantsearch/src/world/start.rs
@@ -9,7 +9,8 @@
 use beamtray_catalog::UpstreamId;
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    AssignmentRecord, Candidate, FencingToken, Granter, KeyRange, SliceRecord, SliceState, Standing,
+    AssignmentRecord, Candidate, CandidateState, FencingToken, Granter, KeyRange, SliceRecord,
+    SliceState,
 };
 use beamtray_types::Time;
 use std::collections::VecDeque;
@@ -78,7 +79,7 @@
             is_frozen: false,
         };
         if self.scope.standby {
-            process.granter.want_standbys(self.now, &[standby_id()]);
+            process.granter.set_standbys(self.now, &[standby_id()]);
         }
         self.process = Some(process);
         self.successor_at = None;
@@ -99,14 +100,14 @@
 
 fn candidate(id: UpstreamId, is_draining: bool) -> Candidate {
     let standing = match is_draining {
-        true => Standing::Draining,
-        false => Standing::Ready,
+        true => CandidateState::Draining,
+        false => CandidateState::Ready,
     };
     Candidate {
         id,
-        standing,
+        state: standing,
         capacity: CAPACITY,
-        heard: None,
+        last_answered: None,
     }
 }
 
@@ -120,10 +121,12 @@
         .map(|upstream| candidate(upstream.id.clone(), false));
     granter.set_candidates(Time::ZERO, all);
     if scope.standby {
-        granter.want_standbys(Time::ZERO, &[standby_id()]);
+        granter.set_standbys(Time::ZERO, &[standby_id()]);
     }
-    granter.poll(Time::ZERO + scope.timing.settle);
-    let mut record = granter.record().expect("keys are divided once settled");
+    granter.poll(Time::ZERO + scope.timing.quiet_period);
+    let mut record = granter
+        .take_record()
+        .expect("keys are divided once settled");
     let held = ranges.iter().zip(upstreams).enumerate();
     let slices = held.map(|(index, (range, upstream))| SliceRecord {
         range: *range,
--- a/crates/grantsearch/src/world/time.rs
+++ b/crates/grantsearch/src/world/time.rs
@@ -85,7 +85,7 @@
         let is_apart = self.paths.iter().any(|path| path.is_cut);
         let running = self.process.as_mut().filter(|process| !process.is_frozen);
         if let Some(process) = running.filter(|_| !is_apart) {
-            process.granter.want_standbys(self.now, &[standby_id()]);
+            process.granter.set_standbys(self.now, &[standby_id()]);
             standby.meets(self.now, &mut process.granter, &self.record);
         }
         let timing = self.scope.timing;
@@ -118,10 +118,10 @@
         let Some(process) = &mut self.process else {
             return false;
         };
-        let Some(record) = process.granter.record() else {
+        let Some(record) = process.granter.take_record() else {
             return false;
         };
-        process.granter.written(self.now, record.sequence);
+        process.granter.mark_durable(self.now, record.sequence);
         let changed = record.slices != self.record.slices;
         self.record = record;
         if changed {
--- a/crates/grantsearch/tests/transport.rs
+++ b/crates/grantsearch/tests/transport.rs
@@ -80,6 +80,6 @@
     let latest = Duration::from_secs(12);
     scope.timing.transit = latest;
     assert_kept(&scope, 14);
-    scope.timing.transit = latest - scope.timing.order_wait - SLACK;
+    scope.timing.transit = latest - scope.timing.order_timeout - SLACK;
     find(&scope, 14);
 }
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -288,7 +288,7 @@
                 tasks.push(OrderTask {
                     service: service.clone(),
                     address: self.addresses.get(&order.holder).copied(),
-                    asks_about: granter.key_of_others(&order.holder),
+                    asks_about: granter.key_held_by_other(&order.holder),
                     order,
                     until: authority.until,
                 });
@@ -366,7 +366,7 @@
         }
         let grants = term.grants.as_mut().and_then(|all| all.get_mut(service));
         if let Some(grants) = grants {
-            grants.granter.handle(now, order.call, reply);
+            grants.granter.handle_reply(now, order.call, reply);
         }
     }
 
@@ -374,7 +374,7 @@
     pub fn proved_gone(&mut self, id: &UpstreamId) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         for grants in all.into_iter().flat_map(|all| all.values_mut()) {
-            grants.granter.proved_dead(id);
+            grants.granter.mark_ended(id);
         }
     }
 
--- a/crates/router/src/core/control/term.rs
+++ b/crates/router/src/core/control/term.rs
@@ -230,9 +230,9 @@
     for (service, record) in last {
         let assignment = all.entry(service.clone()).or_default();
         let assignment = Rc::make_mut(assignment);
-        assignment.take_head(record.head());
+        assignment.apply_head(record.head());
         for part in record.parts() {
-            assignment.take_part(part);
+            assignment.apply_part(part);
         }
     }
     all
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -7,8 +7,8 @@
 use beamtray_dispatch::{Dispatcher, UpstreamHash};
 use beamtray_metastore::{Condition, Epoch, Item, Revision, StoreCall, Transaction, Write};
 use beamtray_sharding::{
-    Assignment, AssignmentHead, AssignmentPart, Candidate, Granter, GranterTiming, KeyRange, Part,
-    SliceRecord, Standing,
+    Assignment, AssignmentHead, AssignmentPart, Candidate, CandidateState, Granter, GranterTiming,
+    KeyRange, Part, SliceRecord,
 };
 use beamtray_types::{ServiceName, Time};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -99,7 +99,7 @@
 
     /// The parts of the next record that differ from what stands in the store.
     fn changes(&mut self) -> Option<Unwritten> {
-        let record = self.granter.record()?;
+        let record = self.granter.take_record()?;
         let differs = |part: &AssignmentPart| {
             let stored = self.stored.get(&part.part);
             let slices = stored.and_then(|stored| stored.slices.as_ref());
@@ -164,7 +164,7 @@
         if let Some(head) = writing.head {
             items.push(item(OwnKeys::assignment_head(service), encode(&head)));
             self.head_revision = revision;
-            self.granter.written(now, head.number.sequence);
+            self.granter.mark_durable(now, head.number.sequence);
         }
         items
     }
@@ -180,7 +180,7 @@
             self.stored.entry(part.part).or_insert(unknown).slices = None;
         }
         self.unwritten = None;
-        self.granter.not_written();
+        self.granter.mark_dirty();
     }
 
     /// Takes what the store has in place of a write that failed its conditions: an
@@ -264,7 +264,7 @@
                 read.head_revision = item.revision;
                 match AssignmentHead::try_from_slice(&item.value) {
                     Ok(head) => {
-                        read.assignment.take_head(head);
+                        read.assignment.apply_head(head);
                     }
                     Err(_) => read.lacks_head = true,
                 }
@@ -278,7 +278,7 @@
                 read.stored.insert(part, stored);
                 match decode_part(part, &item.value) {
                     Ok(part) => {
-                        read.assignment.take_part(part);
+                        read.assignment.apply_part(part);
                     }
                     Err(_) => read.unreadable.push(part),
                 }
@@ -288,13 +288,13 @@
     }
     let read = read.into_iter();
     read.map(|(service, read)| {
-        let record = read.assignment.whole();
+        let record = read.assignment.to_record();
         let mut granter = Granter::new(now, timing, epoch, record.as_ref());
         for part in &read.unreadable {
             granter.withhold(now, part.range());
         }
         if read.lacks_head {
-            granter.standbys_unknown(now);
+            granter.adopt_unknown_standbys(now);
         }
         let epoch = read.assignment.number().map_or(Epoch(0), |one| one.epoch);
         if epoch < trust.proven_from {
@@ -303,7 +303,7 @@
                 granter.withhold(now, KeyRange::ALL);
             }
         }
-        granter.not_written();
+        granter.mark_dirty();
         let grants = Grants {
             granter,
             head_revision: read.head_revision,
@@ -350,9 +350,9 @@
             let rates = cold_rate.into_iter().chain(named_rate);
             Candidate {
                 id: record.id.clone(),
-                standing: standing(directory, registration, cold_rate.is_some()),
+                state: standing(directory, registration, cold_rate.is_some()),
                 capacity: rates.fold(capacity, f64::min),
-                heard: dispatcher.heard(hash),
+                last_answered: dispatcher.heard(hash),
             }
         })
         .collect();
@@ -368,7 +368,7 @@
 fn relieve_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
     let ready = candidates.iter_mut();
     let ready: Vec<&mut Candidate> = ready
-        .filter(|one| one.standing == Standing::Ready)
+        .filter(|one| one.state == CandidateState::Ready)
         .collect();
     let count = ready.len();
     let rests = |one: &&mut Candidate| dispatcher.rests_for_any(now, UpstreamHash::of(&one.id));
@@ -377,18 +377,18 @@
         return;
     }
     for candidate in resting {
-        candidate.standing = Standing::Draining;
+        candidate.state = CandidateState::Draining;
     }
 }
 
 /// What an upstream is to the granter. One whose zone is evacuated is to lose its keys.
-fn standing(directory: &Directory, registration: &Registration, is_cold: bool) -> Standing {
+fn standing(directory: &Directory, registration: &Registration, is_cold: bool) -> CandidateState {
     let is_evacuated = directory.evacuated_since(registration).is_some();
     match registration.record.state {
-        _ if is_evacuated => Standing::Draining,
-        UpstreamState::Ready if is_cold => Standing::Cold,
-        UpstreamState::Ready => Standing::Ready,
-        UpstreamState::Draining => Standing::Draining,
+        _ if is_evacuated => CandidateState::Draining,
+        UpstreamState::Ready if is_cold => CandidateState::Cold,
+        UpstreamState::Ready => CandidateState::Ready,
+        UpstreamState::Draining => CandidateState::Draining,
     }
 }
 
@@ -402,6 +402,6 @@
     }
     let contested = claims.values().filter(|ids| ids.len() > 1);
     for id in contested.flatten() {
-        granter.probe(now, id);
+        granter.probe_holder(now, id);
     }
 }
--- a/crates/router/src/core/standby.rs
+++ b/crates/router/src/core/standby.rs
@@ -1,6 +1,6 @@
 //! This node as a standby: it prolongs recorded holds while there is no granter.
 //!
-//! See [`beamtray_sharding::STANDBY_SPAN`] for what a standby may do and what its
+//! See [`beamtray_sharding::STANDBY_AUTHORIZATION`] for what a standby may do and what its
 //! granter relies on. Here is the standby's side of it:
 //!
 //! - It acts by the newest record that it knows, if that names it, and never by
@@ -18,7 +18,7 @@
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::{
     Assignment, CallId, Contact, GrantOrder, GrantPace, GrantReply, GranterTiming, OrderKind,
-    RecordNumber, STANDBY_SPAN, ShardKey, SliceRecord, SliceState, StandbyId,
+    RecordNumber, STANDBY_AUTHORIZATION, ShardKey, SliceRecord, SliceState, StandbyId,
 };
 use beamtray_types::{ServiceName, Time};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -150,7 +150,7 @@
             return;
         }
         self.word_heard = Some(now);
-        self.word_until = self.word_until.max(word.echo + STANDBY_SPAN);
+        self.word_until = self.word_until.max(word.echo + STANDBY_AUTHORIZATION);
     }
 
     /// Whether this node declines to be a standby.
@@ -295,7 +295,7 @@
             .entry((service.clone(), slice.range.first))
             .or_default();
         let contact = self.contacts.entry(holder.clone()).or_default();
-        if now < *due || !contact.takes_grants(now, None) {
+        if now < *due || !contact.may_send_grant(now, None) {
             return None;
         }
         *due = now + pace.renewal;
--- a/crates/router/src/core/standby_words.rs
+++ b/crates/router/src/core/standby_words.rs
@@ -4,7 +4,7 @@
 use crate::core::records::NodeRecord;
 use crate::core::standby::{StandbyReport, StandbyWord};
 use crate::core::views::Views;
-use beamtray_sharding::{Granter, StandbyAnswer, StandbyId};
+use beamtray_sharding::{Granter, StandbyId, StandbyStatus};
 use beamtray_types::{ServiceName, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,13 +45,13 @@
         }
         let mut meant: BTreeSet<StandbyId> = BTreeSet::new();
         for granter in granters.iter_mut() {
-            granter.want_standbys(now, wanted);
-            meant.extend(granter.standby_words(now));
+            granter.set_standbys(now, wanted);
+            meant.extend(granter.standbys_to_authorize(now));
         }
         let mut words = Vec::new();
         for id in meant {
             for granter in granters.iter_mut() {
-                granter.standby_word_sent(now, &id);
+                granter.standby_authorized(now, &id);
             }
             let word = StandbyWord {
                 epoch,
@@ -83,11 +83,11 @@
             .map(Duration::from_millis);
         for (service, grants) in all {
             let known = report.known.iter().find(|known| known.service == *service);
-            let answer = StandbyAnswer {
-                knows: known.map(|known| known.number),
+            let answer = StandbyStatus {
+                known_record: known.map(|known| known.number),
                 prolonged,
             };
-            grants.granter.standby_answered(now, &id, answer);
+            grants.granter.standby_reported(now, &id, answer);
         }
     }
 }
--- a/crates/router/src/core/views/apply.rs
+++ b/crates/router/src/core/views/apply.rs
@@ -247,7 +247,7 @@
     fn take_head(&mut self, service: ServiceName, head: AssignmentHead) {
         let number = head.number;
         let assignment = self.assignments.entry(service.clone()).or_default();
-        if Rc::make_mut(assignment).take_head(head) {
+        if Rc::make_mut(assignment).apply_head(head) {
             self.assigned.insert(service.clone());
             self.notices.push(ViewNotice::Assigned {
                 service,
@@ -259,7 +259,7 @@
 
     fn take_part(&mut self, service: ServiceName, part: AssignmentPart) {
         let assignment = self.assignments.entry(service.clone()).or_default();
-        if Rc::make_mut(assignment).take_part(part) {
+        if Rc::make_mut(assignment).apply_part(part) {
             self.assigned.insert(service);
         }
     }
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -147,28 +147,28 @@
             grants: GranterTiming {
                 hold,
                 renewal,
-                order_pause: ORDER_PAUSE
+                min_order_interval: ORDER_PAUSE
                     .div_f64(self.limits.processor_share.min(1.0))
                     .min(LONGEST_ORDER_PAUSE),
-                longest_renewal: renewal + (longest - hold).min(LONGEST_RENEWAL - renewal),
+                max_renewal: renewal + (longest - hold).min(LONGEST_RENEWAL - renewal),
                 drift_percent: CLOCK_DRIFT_PERCENT,
                 transit: TRANSIT,
-                order_wait: GRANT_TIMEOUT,
+                order_timeout: GRANT_TIMEOUT,
                 order_lifetime: ORDER_LIFETIME,
-                silence: SILENCE,
-                settle: heartbeat,
-                notice: NOTICE,
+                silence_timeout: SILENCE,
+                quiet_period: heartbeat,
+                release_delay: NOTICE,
                 guards: GranterGuards::default(),
             },
             balance: BalanceLimits {
-                moves: 8,
-                moves_share: 0.25,
-                overloaded: 1.0,
-                busy: 0.45,
-                difference: 0.3,
-                least_requests: 2.0,
-                rest: Duration::from_millis(700),
-                window: 1.8,
+                max_moves: 8,
+                max_overload_moves_share: 0.25,
+                overload_utilization: 1.0,
+                busy_utilization: 0.45,
+                min_utilization_gap: 0.3,
+                min_requests: 2.0,
+                move_cooldown: Duration::from_millis(700),
+                load_window_secs: 1.8,
             },
         }
     }
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -107,7 +107,7 @@
     }
     let is_grant = matches!(task.order.kind, OrderKind::Grant { .. });
     if let Some(key) = task.asks_about.filter(|_| is_grant) {
-        let question = task.order.question(key);
+        let question = task.order.liveness_probe(key);
         match exchange(shared, address, &question, GRANT_TIMEOUT, task.until).await {
             GrantReply::Replaced => return GrantReply::Replaced,
             // The grant itself was not written.
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -381,6 +381,6 @@
         }
         // Whatever was taken can be reckoned with.
         let known = views.assignments.get(&service);
-        known.is_none_or(|known| known.held_share() <= 1.0 && known.whole().is_some())
+        known.is_none_or(|known| known.held_share() <= 1.0 && known.to_record().is_some())
     }
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a node: read, checked, refused with file, line and field.
 
 use beamtray_router::settings::{NodeSettings, NodeSettingsError};
-use beamtray_sharding::STANDBY_SPAN;
+use beamtray_sharding::STANDBY_AUTHORIZATION;
 use std::time::Duration;
 
 const VALID: &str = r#"
@@ -44,7 +44,7 @@
     let left = grants.hold - grants.renewal;
     let lease = core.control.granter_lease.ttl;
     assert!(left > lease);
-    assert!(STANDBY_SPAN >= lease + Duration::from_secs(9));
+    assert!(STANDBY_AUTHORIZATION >= lease + Duration::from_secs(9));
     assert!(grants.hold > lease && grants.renewal * 3 < grants.hold);
     // A leaver is let alone before the drain time is over.
     assert!(core.dispatch.leaver_grace < Duration::from_millis(2_000));
--- a/crates/sharding/src/balance.rs
+++ b/crates/sharding/src/balance.rs
@@ -10,25 +10,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BalanceLimits {
     /// Most slices on the move at once for the sake of a better balance.
-    pub moves: usize,
+    pub max_moves: usize,
     /// The same for slices of upstreams that have more than they can do, as a part of
     /// all upstreams: busy keys that lie close together are to be with many of them
     /// within a second or two.
-    pub moves_share: f64,
+    pub max_overload_moves_share: f64,
     /// Utilization from which an upstream has more than it can do: chance alone brings
     /// none there, so that what many upstreams have by chance moves nothing.
-    pub overloaded: f64,
+    pub overload_utilization: f64,
     /// Utilization below which an upstream is left alone.
-    pub busy: f64,
+    pub busy_utilization: f64,
     /// Least difference in utilization between giver and taker.
-    pub difference: f64,
+    pub min_utilization_gap: f64,
     /// Least count of requests that a move takes along: what chance explains
     /// is left alone.
-    pub least_requests: f64,
+    pub min_requests: f64,
     /// How long a slice rests after a move.
-    pub rest: Duration,
+    pub move_cooldown: Duration,
     /// Seconds of requests that the load counts, to turn counts to rates.
-    pub window: f64,
+    pub load_window_secs: f64,
 }
 
 /// An upstream that may take slices.
@@ -146,9 +146,9 @@
     let mut steps = balance.hot_steps(room.usual);
     while steps.len() < room.usual.max(room.urgent) {
         let least = if steps.len() < room.usual {
-            limits.busy
+            limits.busy_utilization
         } else {
-            limits.overloaded
+            limits.overload_utilization
         };
         let Some(step) = balance.next_step(least) else {
             break;
@@ -204,7 +204,7 @@
     fn hot_keys(&self) -> Vec<HotKey> {
         let mut hot = Vec::new();
         for (holder, planner) in self.planners.iter().enumerate() {
-            let least = planner.capacity * HOT_SHARE * self.limits.window;
+            let least = planner.capacity * HOT_SHARE * self.limits.load_window_secs;
             let holdings = planner.holdings.iter().enumerate();
             for (holding, planned) in holdings.filter(|(_, planned)| planned.load >= least) {
                 let keys = self.load.keys(planned.range);
@@ -235,7 +235,7 @@
     }
 
     fn utilization(&self, index: usize) -> f64 {
-        self.planners[index].utilization(self.limits.window)
+        self.planners[index].utilization(self.limits.load_window_secs)
     }
 
     /// Upstreams from the busiest to the idlest.
@@ -254,7 +254,7 @@
         for giver in ranked {
             let used = self.utilization(giver);
             let worthwhile =
-                used >= least && used - self.utilization(taker) >= self.limits.difference;
+                used >= least && used - self.utilization(taker) >= self.limits.min_utilization_gap;
             if !worthwhile {
                 return None;
             }
@@ -281,7 +281,7 @@
                 let (range, load) = part(self.load, planned.range, wanted)?;
                 Some((index, range, load))
             })
-            .filter(|(_, _, load)| *load >= self.limits.least_requests)
+            .filter(|(_, _, load)| *load >= self.limits.min_requests)
             .max_by(|one, other| one.2.total_cmp(&other.2))?;
         self.split_off(giver, index, range, taker);
         Some(MoveStep {
--- a/crates/sharding/src/granter.rs
+++ b/crates/sharding/src/granter.rs
@@ -59,26 +59,26 @@
     pub renewal: Duration,
     /// Least time between two orders of a granter, on average: many slices are
     /// renewed less often and held for as much longer.
-    pub order_pause: Duration,
+    pub min_order_interval: Duration,
     /// Longest time between renewals that comes of this.
-    pub longest_renewal: Duration,
+    pub max_renewal: Duration,
     /// How much longer a holder may count a hold by its own clock, in percent.
     pub drift_percent: u32,
     /// How long an order may still be on its way after it was given up on.
     pub transit: Duration,
     /// How long an answer to an order is waited for before it is given up on.
-    pub order_wait: Duration,
+    pub order_timeout: Duration,
     /// How long an upstream that has an order and does not answer it may take to carry it out.
     pub order_lifetime: Duration,
     /// How long a holder may leave grants unanswered before its slices are
     /// taken back.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// How long no upstream must have appeared before keys are divided for the
     /// first time.
-    pub settle: Duration,
+    pub quiet_period: Duration,
     /// How long nodes may take to hear that a slice is leaving; the release
     /// waits for that.
-    pub notice: Duration,
+    pub release_delay: Duration,
     /// Protections in force.
     pub guards: GranterGuards,
 }
@@ -96,8 +96,8 @@
     /// The pace for so many slices.
     pub fn pace(&self, slices: usize) -> GrantPace {
         let slices = u32::try_from(slices).unwrap_or(u32::MAX);
-        let needed = self.order_pause.saturating_mul(slices);
-        let renewal = needed.clamp(self.renewal, self.longest_renewal);
+        let needed = self.min_order_interval.saturating_mul(slices);
+        let renewal = needed.clamp(self.renewal, self.max_renewal);
         GrantPace {
             hold: self.hold + (renewal - self.renewal),
             renewal,
@@ -106,8 +106,8 @@
 
     /// Most slices that are renewed in time, each at the slowest pace.
     pub(crate) fn renewable(&self) -> u32 {
-        let pause = self.order_pause.as_nanos().max(1);
-        let renewable = self.longest_renewal.as_nanos() / pause;
+        let pause = self.min_order_interval.as_nanos().max(1);
+        let renewable = self.max_renewal.as_nanos() / pause;
         u32::try_from(renewable).unwrap_or(u32::MAX)
     }
 
@@ -123,13 +123,13 @@
 
     /// The longest time for which keys are granted.
     fn longest_hold(&self) -> Duration {
-        self.hold + (self.longest_renewal - self.renewal)
+        self.hold + (self.max_renewal - self.renewal)
     }
 }
 
 /// What the directory says of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum CandidateState {
     /// It takes new keys.
     Ready,
     /// It keeps its keys and gets no others while there are upstreams that are ready: it is
@@ -145,11 +145,11 @@
     /// The upstream.
     pub id: UpstreamId,
     /// What the directory says of it.
-    pub standing: Standing,
+    pub state: CandidateState,
     /// Requests a second that it can work on.
     pub capacity: f64,
     /// When it last answered a request of any node, as far as known.
-    pub heard: Option<Time>,
+    pub last_answered: Option<Time>,
 }
 
 /// Protections that a test can switch off one by one to see what each is for.
@@ -273,7 +273,7 @@
             unanswered_grants: UnansweredGrants::default(),
             standbys: Standbys::new(StandbyBounds {
                 hold: timing.longest_bound(),
-                transit: timing.transit + timing.order_wait,
+                transit: timing.transit + timing.order_timeout,
             }),
             lost_holders: LostHolders::default(),
             departed: BTreeMap::new(),
@@ -367,7 +367,7 @@
     }
 
     /// Notes that an upstream has ended, so that it holds nothing.
-    pub fn proved_dead(&mut self, id: &UpstreamId) {
+    pub fn mark_ended(&mut self, id: &UpstreamId) {
         if !self.dead.contains(id) {
             self.dead.push(id.clone());
         }
@@ -376,7 +376,7 @@
 
     /// Lets one grant of a holder be due soon, to see whether it still has its
     /// address.
-    pub fn probe(&mut self, now: Time, id: &UpstreamId) {
+    pub fn probe_holder(&mut self, now: Time, id: &UpstreamId) {
         let due = self.probed.get(id).is_none_or(|at| now.since(*at) >= PROBE);
         if !due {
             return;
@@ -391,7 +391,7 @@
     }
 
     /// The record to write, when it has changed since the last one.
-    pub fn record(&mut self) -> Option<AssignmentRecord> {
+    pub fn take_record(&mut self) -> Option<AssignmentRecord> {
         if !self.dirty {
             return None;
         }
@@ -414,8 +414,8 @@
     }
 
     /// Notes that the record of that sequence is durable.
-    pub fn written(&mut self, now: Time, sequence: u64) {
-        let notice = self.timing.notice;
+    pub fn mark_durable(&mut self, now: Time, sequence: u64) {
+        let notice = self.timing.release_delay;
         for slice in self.slices.values_mut() {
             let told = slice.told_in > self.durable && slice.told_in <= sequence;
             if told && matches!(slice.phase, Phase::Leaving { .. }) {
@@ -426,7 +426,7 @@
     }
 
     /// Notes that a record was not written, so that the next one is due.
-    pub fn not_written(&mut self) {
+    pub fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
--- a/crates/sharding/src/granter/contact.rs
+++ b/crates/sharding/src/granter/contact.rs
@@ -42,16 +42,17 @@
 }
 
 impl Contact {
-    /// Whether a grant may be sent. `heard` is when the holder last answered a
+    /// Whether a grant may be sent. `last_answered` is when the holder last answered a
     /// request, as far as known.
-    pub fn takes_grants(&self, now: Time, heard: Option<Time>) -> bool {
+    pub fn may_send_grant(&self, now: Time, last_answered: Option<Time>) -> bool {
         if self.silent_since.is_some() {
             return self.under_way.is_empty() && now >= self.retry_at;
         }
         let Some(oldest) = self.under_way.values().min() else {
             return true;
         };
-        now.since(*oldest) < ANSWER_PATIENCE || heard.is_some_and(|heard| heard > *oldest)
+        now.since(*oldest) < ANSWER_PATIENCE
+            || last_answered.is_some_and(|last_answered| last_answered > *oldest)
     }
 
     /// Notes that a grant is sent.
@@ -89,11 +90,12 @@
     /// Whether it left grants unanswered for so long, and no node was answered by it
     /// since. A holder that answers nodes is there: what is late is the granter or its
     /// path to the holder, and taking the keys back would make it later still.
-    pub fn is_silent(&self, now: Time, for_time: Duration, heard: Option<Time>) -> bool {
+    pub fn is_silent(&self, now: Time, for_time: Duration, last_answered: Option<Time>) -> bool {
         let Some(since) = self.silent_since else {
             return false;
         };
-        now.since(since) >= for_time && heard.is_none_or(|heard| heard <= since + HEARD_LATE)
+        now.since(since) >= for_time
+            && last_answered.is_none_or(|last_answered| last_answered <= since + HEARD_LATE)
     }
 
     /// How long no grant has been answered.
--- a/crates/sharding/src/granter/doubt.rs
+++ b/crates/sharding/src/granter/doubt.rs
@@ -21,7 +21,7 @@
 //! Not covered: an upstream that keeps an order for longer than the lifetime of orders, and
 //! one that left a grant lying whose granter ended before it gave that up and wrote so.
 
-use super::{Call, Granter, GranterTiming, Standing};
+use super::{Call, CandidateState, Granter, GranterTiming};
 use crate::range::{KeyRange, ShardKey};
 use crate::record::DoubtedKeys;
 use crate::slice::{Doubt, Phase, Slice};
@@ -103,7 +103,7 @@
         for (first, upstream) in doubted {
             let mut candidates = self.candidates.values();
             let last = candidates.find(|one| {
-                let stays = one.standing != Standing::Draining && !self.dead.contains(&one.id);
+                let stays = one.state != CandidateState::Draining && !self.dead.contains(&one.id);
                 stays && one.id.name == upstream
             });
             match last.map(|one| one.id.clone()) {
--- a/crates/sharding/src/granter/holders.rs
+++ b/crates/sharding/src/granter/holders.rs
@@ -2,7 +2,7 @@
 //! slices that are free.
 
 use super::seats::Seats;
-use super::{AVOID, Candidate, Contact, DoubtNotice, Granter, Standing, new_slice};
+use super::{AVOID, Candidate, CandidateState, Contact, DoubtNotice, Granter, new_slice};
 use crate::part::Part;
 use crate::range::{KeyRange, ShardKey};
 use crate::record::RecordNumber;
@@ -51,23 +51,23 @@
         let Some(first) = self.first_seen else {
             return false;
         };
-        now.since(self.last_seen) >= self.timing.settle
-            || now.since(first) >= self.timing.settle * LONGEST_SETTLE
+        now.since(self.last_seen) >= self.timing.quiet_period
+            || now.since(first) >= self.timing.quiet_period * LONGEST_SETTLE
     }
 
     /// Upstreams that take keys: those that are ready, or the cold ones when none is.
     pub(super) fn ready(&self) -> impl Iterator<Item = &Candidate> {
-        let has_ready = self.takers_of(Standing::Ready).next().is_some();
+        let has_ready = self.takers_of(CandidateState::Ready).next().is_some();
         self.takers_of(match has_ready {
-            true => Standing::Ready,
-            false => Standing::Cold,
+            true => CandidateState::Ready,
+            false => CandidateState::Cold,
         })
     }
 
-    fn takers_of(&self, standing: Standing) -> impl Iterator<Item = &Candidate> {
+    fn takers_of(&self, state: CandidateState) -> impl Iterator<Item = &Candidate> {
         self.candidates
             .values()
-            .filter(move |one| one.standing == standing && !self.dead.contains(&one.id))
+            .filter(move |one| one.state == state && !self.dead.contains(&one.id))
             .filter(|one| !self.lost_holders.is_unfenced(&one.id))
     }
 
@@ -89,7 +89,7 @@
 
     /// Starts to take slices back from holders that are to lose them.
     pub(super) fn take_from_leavers(&mut self, now: Time) {
-        let silence = self.timing.silence;
+        let silence = self.timing.silence_timeout;
         let leaving: Vec<ShardKey> = self
             .slices
             .values()
@@ -98,10 +98,10 @@
                     return false;
                 };
                 let candidate = self.candidates.get(holder);
-                let stays = candidate.is_some_and(|one| one.standing != Standing::Draining);
-                let heard = candidate.and_then(|one| one.heard);
+                let stays = candidate.is_some_and(|one| one.state != CandidateState::Draining);
+                let last_answered = candidate.and_then(|one| one.last_answered);
                 let contact = self.contacts.get(holder);
-                let silent = contact.is_some_and(|one| one.is_silent(now, silence, heard));
+                let silent = contact.is_some_and(|one| one.is_silent(now, silence, last_answered));
                 !stays || silent || self.dead.contains(holder)
             })
             .map(|slice| slice.range.first)
--- a/crates/sharding/src/granter/lost_holders.rs
+++ b/crates/sharding/src/granter/lost_holders.rs
@@ -76,10 +76,10 @@
             return;
         };
         if *reply == GrantReply::Replaced {
-            self.proved_dead(&upstream);
+            self.mark_ended(&upstream);
             return;
         }
-        self.lost_holders.handle(now, &upstream, call, reply);
+        self.lost_holders.handle_reply(now, &upstream, call, reply);
         self.settle_lost_holders(now);
     }
 
--- a/crates/sharding/src/granter/moves.rs
+++ b/crates/sharding/src/granter/moves.rs
@@ -13,11 +13,11 @@
         if self.withholds_any() {
             return 0;
         }
-        let most = (self.candidates.len() as f64 * limits.moves_share) as usize;
+        let most = (self.candidates.len() as f64 * limits.max_overload_moves_share) as usize;
         let moving = self.slices.values().filter(|slice| slice.next().is_some());
         let moving = moving.count();
         let room = MoveRoom {
-            usual: limits.moves.saturating_sub(moving),
+            usual: limits.max_moves.saturating_sub(moving),
             urgent: most.saturating_sub(moving),
         };
         if room.usual.max(room.urgent) == 0 {
@@ -59,7 +59,7 @@
             && slice
                 .holder()
                 .is_some_and(|holder| self.silence(now, holder).is_none())
-            && now.since(slice.settled_at) >= limits.rest
+            && now.since(slice.settled_at) >= limits.move_cooldown
     }
 
     pub(super) fn start_move(&mut self, now: Time, step: MoveStep) {
--- a/crates/sharding/src/granter/orders.rs
+++ b/crates/sharding/src/granter/orders.rs
@@ -170,9 +170,12 @@
         let call = CallId(self.next_call);
         let is_grant = matches!(kind, OrderKind::Grant { .. });
         if is_grant {
-            let heard = self.candidates.get(&holder).and_then(|one| one.heard);
+            let last_answered = self
+                .candidates
+                .get(&holder)
+                .and_then(|one| one.last_answered);
             let contact = self.contacts.entry(holder.clone()).or_default();
-            if !contact.takes_grants(now, heard) {
+            if !contact.may_send_grant(now, last_answered) {
                 return None;
             }
             contact.sent(now, call);
@@ -200,7 +203,7 @@
     }
 
     /// A key that another upstream holds, if there is one.
-    pub fn key_of_others(&self, holder: &UpstreamId) -> Option<ShardKey> {
+    pub fn key_held_by_other(&self, holder: &UpstreamId) -> Option<ShardKey> {
         let of_others = |slice: &&Slice| {
             let other = slice.holder();
             other.is_some_and(|other| other.name != holder.name)
@@ -249,7 +252,7 @@
             return;
         }
         // Orders that were given before the last cut tell nothing new.
-        let wait = self.timing.order_wait;
+        let wait = self.timing.order_timeout;
         let is_new = window.cut_at.is_none_or(|at| now.since(at) >= wait);
         if gave_up_first && is_new {
             window.size = (window.size.min(needed) * KEPT).max(LEAST);
@@ -259,6 +262,6 @@
 
     /// How long an answer may take where the machine keeps pace.
     fn in_time(&self) -> Duration {
-        self.timing.order_wait / 2
+        self.timing.order_timeout / 2
     }
 }
--- a/crates/sharding/src/granter/replies.rs
+++ b/crates/sharding/src/granter/replies.rs
@@ -1,6 +1,6 @@
 //! What a reply to an order changes.
 
-use super::{AVOID, Call, Granter, Standing};
+use super::{AVOID, Call, CandidateState, Granter};
 use crate::order::{CallId, GrantReply, Handover};
 use crate::range::ShardKey;
 use crate::slice::{OwnedAgain, Phase, Slice};
@@ -21,13 +21,13 @@
     /// Invariant: an answer concerns the holder that the order went to. The
     /// slice may be another's by then, when the first one was found dead while
     /// the order was on its way.
-    pub fn handle(&mut self, now: Time, call: CallId, reply: GrantReply) {
+    pub fn handle_reply(&mut self, now: Time, call: CallId, reply: GrantReply) {
         let Some(sent) = self.calls.remove(&call) else {
             self.fence_answered(now, call, &reply);
             return;
         };
         if reply == GrantReply::Replaced {
-            self.proved_dead(&sent.holder);
+            self.mark_ended(&sent.holder);
         }
         if sent.hold.is_some() {
             let was_silent = self.silence(now, &sent.holder).is_some();
@@ -68,7 +68,10 @@
     }
 
     fn note_contact(&mut self, now: Time, call: CallId, holder: &UpstreamId, reply: &GrantReply) {
-        let heard = self.candidates.get(holder).and_then(|one| one.heard);
+        let last_answered = self
+            .candidates
+            .get(holder)
+            .and_then(|one| one.last_answered);
         let contact = self.contacts.entry(holder.clone()).or_default();
         match reply {
             GrantReply::Granted | GrantReply::Outdated => contact.answered(call),
@@ -80,7 +83,7 @@
             | GrantReply::Replaced
             | GrantReply::Released(_) => {
                 let sent = contact.unanswered(now, call);
-                if heard > Some(sent) {
+                if last_answered > Some(sent) {
                     self.unanswered_grants.serving += 1;
                 } else {
                     self.unanswered_grants.silent += 1;
@@ -204,7 +207,7 @@
         let ready = |id: &UpstreamId| {
             self.candidates
                 .get(id)
-                .is_some_and(|candidate| candidate.standing != Standing::Draining)
+                .is_some_and(|candidate| candidate.state != CandidateState::Draining)
                 && !self.lost_holders.is_unfenced(id)
         };
         let is_withheld = self
--- a/crates/sharding/src/granter/standbys.rs
+++ b/crates/sharding/src/granter/standbys.rs
@@ -1,12 +1,12 @@
 //! The granter's dealings with its standbys.
 
 use super::Granter;
-use crate::standby::{StandbyAnswer, StandbyId};
+use crate::standby::{StandbyId, StandbyStatus};
 use beamtray_types::Time;
 
 impl Granter {
     /// States which nodes are to be standbys.
-    pub fn want_standbys(&mut self, now: Time, wanted: &[StandbyId]) {
+    pub fn set_standbys(&mut self, now: Time, wanted: &[StandbyId]) {
         self.dirty |= self.standbys.want(now, wanted, self.next_sequence);
     }
 
@@ -17,18 +17,18 @@
 
     /// Standbys that are to be sent a word, which lets them prolong holds for a
     /// while.
-    pub fn standby_words(&self, now: Time) -> Vec<StandbyId> {
+    pub fn standbys_to_authorize(&self, now: Time) -> Vec<StandbyId> {
         self.standbys.words(now, self.durable)
     }
 
     /// Notes that a standby is sent a word. To be called only with authority to
     /// grant, and for every service.
-    pub fn standby_word_sent(&mut self, now: Time, id: &StandbyId) {
+    pub fn standby_authorized(&mut self, now: Time, id: &StandbyId) {
         self.standbys.word_sent(now, id);
     }
 
     /// Takes what a standby tells.
-    pub fn standby_answered(&mut self, now: Time, id: &StandbyId, answer: StandbyAnswer) {
+    pub fn standby_reported(&mut self, now: Time, id: &StandbyId, answer: StandbyStatus) {
         self.standbys.answered(now, id, answer);
     }
 
--- a/crates/sharding/src/granter/withheld.rs
+++ b/crates/sharding/src/granter/withheld.rs
@@ -79,7 +79,7 @@
     /// Takes over at `now` keys whose standbys the record does not tell, since its head can't
     /// be read: a holder that does not answer keeps its keys until the last word of any
     /// standby has run out, 15 s at most.
-    pub fn standbys_unknown(&mut self, now: Time) {
+    pub fn adopt_unknown_standbys(&mut self, now: Time) {
         if self.timing.guards.respects_predecessor {
             self.standbys.adopt_unknown(now);
         }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -18,8 +18,8 @@
 
 pub use balance::{BalanceLimits, Holding, MoveRoom, MoveStep, Seat, plan_moves};
 pub use granter::{
-    Candidate, Contact, DoubtNotice, GrantPace, Granter, GranterGuards, GranterTiming, Standing,
-    UnansweredGrants,
+    Candidate, CandidateState, Contact, DoubtNotice, GrantPace, Granter, GranterGuards,
+    GranterTiming, UnansweredGrants,
 };
 pub use load::LoadMap;
 pub use lost_holders::{FenceNotice, UnfencedUpstream};
@@ -30,4 +30,4 @@
     AssignmentRecord, DoubtedKeys, FencingToken, RecordNumber, SliceRecord, SliceState,
 };
 pub use slice::{LossCause, OwnedAgain};
-pub use standby::{STANDBY_SPAN, StandbyAnswer, StandbyId};
+pub use standby::{STANDBY_AUTHORIZATION, StandbyId, StandbyStatus};
--- a/crates/sharding/src/lost_holders.rs
+++ b/crates/sharding/src/lost_holders.rs
@@ -275,7 +275,13 @@
     }
 
     /// Takes the answer to a release.
-    pub fn handle(&mut self, now: Time, upstream: &UpstreamId, call: CallId, reply: &GrantReply) {
+    pub fn handle_reply(
+        &mut self,
+        now: Time,
+        upstream: &UpstreamId,
+        call: CallId,
+        reply: &GrantReply,
+    ) {
         let Some(holder) = self.holders.get_mut(upstream) else {
             return;
         };
--- a/crates/sharding/src/order.rs
+++ b/crates/sharding/src/order.rs
@@ -46,7 +46,7 @@
 impl GrantOrder {
     /// A question to the holder of a grant: the release of a key that it does not hold. Its
     /// answer tells that the process reads orders now, and it gives nothing.
-    pub fn question(&self, key_of_others: ShardKey) -> Self {
+    pub fn liveness_probe(&self, key_of_others: ShardKey) -> Self {
         Self {
             call: self.call,
             holder: self.holder.clone(),
--- a/crates/sharding/src/part.rs
+++ b/crates/sharding/src/part.rs
@@ -244,7 +244,7 @@
 
 impl Assignment {
     /// Takes a head; whether it is newer.
-    pub fn take_head(&mut self, head: AssignmentHead) -> bool {
+    pub fn apply_head(&mut self, head: AssignmentHead) -> bool {
         let known = self.head.as_ref().map(|known| known.number);
         let is_newer = known < Some(head.number);
         if is_newer {
@@ -254,7 +254,7 @@
     }
 
     /// Takes a part; whether it is newer.
-    pub fn take_part(&mut self, part: AssignmentPart) -> bool {
+    pub fn apply_part(&mut self, part: AssignmentPart) -> bool {
         let known = self.parts.get(&part.part).map(|known| known.number);
         let is_newer = known < Some(part.number);
         if is_newer {
@@ -315,7 +315,7 @@
 
     /// The newest record with all parts. One that was never written, since the first
     /// granter was lost on the way, has no holder.
-    pub fn whole(&self) -> Option<AssignmentRecord> {
+    pub fn to_record(&self) -> Option<AssignmentRecord> {
         let newest = self.parts.values().map(|part| part.number).max();
         let number = newest.max(self.number())?;
         let slices = Part::all().flat_map(|part| match self.parts.get(&part) {
@@ -339,9 +339,9 @@
 impl From<AssignmentRecord> for Assignment {
     fn from(record: AssignmentRecord) -> Self {
         let mut assignment = Self::default();
-        assignment.take_head(record.head());
+        assignment.apply_head(record.head());
         for part in record.parts() {
-            assignment.take_part(part);
+            assignment.apply_part(part);
         }
         assignment
     }
--- a/crates/sharding/src/standby.rs
+++ b/crates/sharding/src/standby.rs
@@ -7,7 +7,7 @@
 //! move keys nor grant anything that no record names.
 //!
 //! A granter names its standbys in its records and sends them words; a word lets
-//! a standby prolong holds for [`STANDBY_SPAN`]. A standby tells which record
+//! a standby prolong holds for [`STANDBY_AUTHORIZATION`]. A standby tells which record
 //! it knows.
 //!
 //! Invariant: keys of a holder that does not answer go to another only when each
@@ -25,7 +25,7 @@
 
 /// How long a standby may prolong holds after the granter's last word: the
 /// longest outage of the store that is to be bridged, and an election.
-pub const STANDBY_SPAN: Duration = Duration::from_secs(11);
+pub const STANDBY_AUTHORIZATION: Duration = Duration::from_secs(11);
 /// How much slower a standby's clock may run than the granter's, in percent.
 const DRIFT_PERCENT: u32 = 2;
 /// A standby that told nothing for this long gets no further words.
@@ -44,16 +44,16 @@
 
 /// What a standby tells the granter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandbyAnswer {
+pub struct StandbyStatus {
     /// The record that it knows.
-    pub knows: Option<RecordNumber>,
+    pub known_record: Option<RecordNumber>,
     /// How long ago it last ordered a holder to hold on.
     pub prolonged: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Standby {
-    knows: Option<RecordNumber>,
+    known_record: Option<RecordNumber>,
     /// Until when it may prolong holds.
     word_until: Time,
     /// Until when holds may be in force that it prolonged, as far as it told.
@@ -100,7 +100,7 @@
             self.named.insert(
                 *id,
                 Standby {
-                    knows: None,
+                    known_record: None,
                     word_until: self.word_end(now),
                     holds_until: now,
                     heard: now,
@@ -120,7 +120,7 @@
     /// The end of a word. The standby counts from before the answer of its own
     /// that the word echoes, so the way of neither of them matters.
     fn word_end(&self, sent: Time) -> Time {
-        sent + STANDBY_SPAN * (100 + DRIFT_PERCENT) / 100
+        sent + STANDBY_AUTHORIZATION * (100 + DRIFT_PERCENT) / 100
     }
 
     fn order_end(&self, sent: Time) -> Time {
@@ -144,7 +144,7 @@
         let word_until = self.word_end(now);
         for id in wanted {
             self.named.entry(*id).or_insert(Standby {
-                knows: None,
+                known_record: None,
                 // It may have a word because of another service.
                 word_until,
                 holds_until: now,
@@ -178,13 +178,13 @@
     }
 
     /// Takes what a standby tells.
-    pub fn answered(&mut self, now: Time, id: &StandbyId, answer: StandbyAnswer) {
+    pub fn answered(&mut self, now: Time, id: &StandbyId, answer: StandbyStatus) {
         let holds_until = answer.prolonged.map(|ago| self.order_end(now - ago));
         let Some(standby) = self.named.get_mut(id) else {
             return;
         };
         standby.heard = now;
-        standby.knows = standby.knows.max(answer.knows);
+        standby.known_record = standby.known_record.max(answer.known_record);
         standby.holds_until = standby.holds_until.max(holds_until.unwrap_or_default());
     }
 
@@ -204,7 +204,7 @@
     /// standby.
     pub fn hold_until(&self, record: RecordNumber) -> Time {
         let ends = self.named.values().map(|standby| {
-            if standby.knows >= Some(record) {
+            if standby.known_record >= Some(record) {
                 standby.holds_until
             } else {
                 let last_order = self.last_order_end(standby.word_until);
--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -78,7 +78,7 @@
         now += 50;
         for order in granter.poll(at(now)) {
             if dark.contains(&order.holder) {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 answer(&mut granter, at(now), &order);
             }
@@ -89,7 +89,7 @@
         granter.load.add(ShardKey(key), 0.5);
     }
     let few = BalanceLimits {
-        moves_share: 0.0,
+        max_overload_moves_share: 0.0,
         ..LIMITS
     };
     assert!(granter.rebalance(at(now), &few) > 0);
@@ -104,7 +104,7 @@
     let renewals = granter.poll(at(2_800));
     for order in renewals {
         if order.holder == dark {
-            granter.handle(at(2_810), order.call, GrantReply::Unanswered);
+            granter.handle_reply(at(2_810), order.call, GrantReply::Unanswered);
         } else {
             // All others have something to do.
             granter.load.add(order.range.first, 1.0);
@@ -139,5 +139,5 @@
         random ^= random << 17;
         granter.load.add(ShardKey((random >> 32) as u16), 0.9);
     }
-    assert!(granter.rebalance(at(3_500), &LIMITS) <= LIMITS.moves);
+    assert!(granter.rebalance(at(3_500), &LIMITS) <= LIMITS.max_moves);
 }
--- a/crates/sharding/tests/common/mod.rs
+++ b/crates/sharding/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use beamtray_catalog::UpstreamId;
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    AssignmentRecord, BalanceLimits, Candidate, GrantOrder, GrantReply, Granter, GranterGuards,
-    GranterTiming, OrderKind, SliceState, Standing,
+    AssignmentRecord, BalanceLimits, Candidate, CandidateState, GrantOrder, GrantReply, Granter,
+    GranterGuards, GranterTiming, OrderKind, SliceState,
 };
 use beamtray_types::Time;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 
 /// The product's limits of the balance.
 pub const LIMITS: BalanceLimits = BalanceLimits {
-    moves: 8,
-    moves_share: 0.25,
-    overloaded: 1.0,
-    busy: 0.45,
-    difference: 0.3,
-    least_requests: 2.0,
-    rest: Duration::from_millis(700),
-    window: 1.8,
+    max_moves: 8,
+    max_overload_moves_share: 0.25,
+    overload_utilization: 1.0,
+    busy_utilization: 0.45,
+    min_utilization_gap: 0.3,
+    min_requests: 2.0,
+    move_cooldown: Duration::from_millis(700),
+    load_window_secs: 1.8,
 };
 
 /// The product's timing, with one pace for any number of slices.
@@ -31,15 +31,15 @@
     GranterTiming {
         hold: HOLD,
         renewal: Duration::from_millis(750),
-        order_pause: Duration::from_millis(5),
-        longest_renewal: Duration::from_millis(750),
+        min_order_interval: Duration::from_millis(5),
+        max_renewal: Duration::from_millis(750),
         drift_percent: 2,
         transit: Duration::from_millis(300),
-        order_wait: Duration::from_millis(500),
+        order_timeout: Duration::from_millis(500),
         order_lifetime: Duration::from_secs(12),
-        silence: Duration::from_millis(1_200),
-        settle: Duration::from_millis(1_300),
-        notice: Duration::from_millis(12),
+        silence_timeout: Duration::from_millis(1_200),
+        quiet_period: Duration::from_millis(1_300),
+        release_delay: Duration::from_millis(12),
         guards: GranterGuards::default(),
     }
 }
@@ -53,18 +53,18 @@
 }
 
 /// An upstream that takes keys and was last heard then.
-pub fn ready(name: &str, heard: Option<Time>) -> Candidate {
+pub fn ready(name: &str, last_answered: Option<Time>) -> Candidate {
     Candidate {
         id: id(name),
-        standing: Standing::Ready,
+        state: CandidateState::Ready,
         capacity: 20.0,
-        heard,
+        last_answered,
     }
 }
 
 pub fn write_record(granter: &mut Granter, now: Time) -> Option<AssignmentRecord> {
-    let record = granter.record()?;
-    granter.written(now, record.sequence);
+    let record = granter.take_record()?;
+    granter.mark_durable(now, record.sequence);
     Some(record)
 }
 
@@ -73,7 +73,7 @@
         OrderKind::Grant { .. } => GrantReply::Granted,
         OrderKind::Release => GrantReply::Released(None),
     };
-    granter.handle(now, order.call, reply);
+    granter.handle_reply(now, order.call, reply);
 }
 
 /// Takes and answers orders until none is due: not all are given at once.
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -5,8 +5,8 @@
 use beamtray_catalog::{Birth, UpstreamId};
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    AssignmentRecord, Candidate, GrantOrder, GrantReply, Granter, KeyRange, OrderKind, SliceState,
-    Standing,
+    AssignmentRecord, Candidate, CandidateState, GrantOrder, GrantReply, Granter, KeyRange,
+    OrderKind, SliceState,
 };
 use common::*;
 
@@ -29,12 +29,12 @@
             } else if lying.is_none() {
                 lying = Some(order);
             } else {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             }
         }
         if let Some(lying) = lying {
             let given_up = now + 500;
-            granter.handle(at(given_up), lying.call, GrantReply::InDoubt);
+            granter.handle_reply(at(given_up), lying.call, GrantReply::InDoubt);
             let record = write_record(granter, at(given_up)).expect("the doubt is told");
             return (lying, given_up, record);
         }
@@ -47,7 +47,7 @@
     for now in (begin..begin + 40_000).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(granter, at(now), &order),
             }
         }
@@ -80,7 +80,7 @@
     for now in (given_up..7_000).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(&mut granter, at(now), &order),
             }
         }
@@ -103,7 +103,7 @@
     for now in (given_up..begin).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(granter, at(now), &order),
             }
         }
@@ -127,7 +127,7 @@
     let mut granter = granted();
     let (lying, given_up, _) = left_lying(&mut granter);
     let leaver = Candidate {
-        standing: Standing::Draining,
+        state: CandidateState::Draining,
         ..ready("a", None)
     };
     let (holder, after) = goes_back(&lying, &mut granter, given_up, Some(leaver));
@@ -180,7 +180,7 @@
     for now in (2_010..4_000).step_by(10) {
         for order in granter.poll(at(now)) {
             if order.holder == born(1).id && lying.is_none() {
-                granter.handle(at(now), order.call, GrantReply::InDoubt);
+                granter.handle_reply(at(now), order.call, GrantReply::InDoubt);
                 lying = Some(order);
             } else {
                 answer(&mut granter, at(now), &order);
@@ -228,14 +228,16 @@
     let grants = granter.poll(at(2_700)).into_iter().filter(is_grant);
     let grants: Vec<GrantOrder> = grants.collect();
     assert!(!grants.is_empty());
-    granter.not_written();
-    let record = granter.record().expect("a record");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("a record");
     for grant in grants {
-        let key = granter.key_of_others(&grant.holder).expect("there are two");
+        let key = granter
+            .key_held_by_other(&grant.holder)
+            .expect("there are two");
         let slice = record.slice(key).expect("a slice");
         let holds = |state: &SliceState| matches!(state, SliceState::Held { holder, .. } if *holder == grant.holder);
         assert!(!holds(&slice.state));
-        let question = grant.question(key);
+        let question = grant.liveness_probe(key);
         assert_eq!(question.kind, OrderKind::Release);
         assert_eq!(question.range.len(), 1);
         assert!(question.token < grant.token);
@@ -249,7 +251,7 @@
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
     give_all(&mut granter, at(2_000));
-    assert_eq!(granter.key_of_others(&id("a")), None);
+    assert_eq!(granter.key_held_by_other(&id("a")), None);
 }
 
 /// Each successor began the wait anew, and keys of an upstream that had ended were without an
@@ -263,11 +265,11 @@
         begin += 4_000;
         let mut successor = Granter::new(at(begin), timing(), Epoch(term), Some(&record));
         successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-        successor.not_written();
+        successor.mark_dirty();
         for now in (begin..begin + 3_000).step_by(10) {
             for order in successor.poll(at(now)) {
                 match order.holder == id("a") {
-                    true => successor.handle(at(now), order.call, GrantReply::Undelivered),
+                    true => successor.handle_reply(at(now), order.call, GrantReply::Undelivered),
                     false => answer(&mut successor, at(now), &order),
                 }
             }
@@ -285,13 +287,13 @@
 #[test]
 fn keys_that_go_to_nobody_go_to_nobody_at_a_successor() {
     let mut granter = granted();
-    granter.not_written();
-    let record = granter.record().expect("a record");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("a record");
     let mut doubting = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     doubting.doubt_record(at(5_000));
     doubting.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
     for order in doubting.poll(at(5_010)) {
-        doubting.handle(at(5_020), order.call, GrantReply::Outdated);
+        doubting.handle_reply(at(5_020), order.call, GrantReply::Outdated);
     }
     let record = write_record(&mut doubting, at(5_030)).expect("the keys are nobody's");
     assert!(
--- a/crates/sharding/tests/granter.rs
+++ b/crates/sharding/tests/granter.rs
@@ -3,9 +3,9 @@
 use beamtray_catalog::UpstreamId;
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    Assignment, AssignmentPart, AssignmentRecord, BalanceLimits, Candidate, FencingToken,
-    GrantOrder, GrantReply, Granter, GranterGuards, GranterTiming, Handover, KeyRange, OrderKind,
-    Part, ShardKey, SliceRecord, SliceState, Standing,
+    Assignment, AssignmentPart, AssignmentRecord, BalanceLimits, Candidate, CandidateState,
+    FencingToken, GrantOrder, GrantReply, Granter, GranterGuards, GranterTiming, Handover,
+    KeyRange, OrderKind, Part, ShardKey, SliceRecord, SliceState,
 };
 use beamtray_types::Time;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 const TIMING: GranterTiming = GranterTiming {
     hold: HOLD,
     renewal: Duration::from_millis(2_000),
-    order_pause: Duration::from_millis(5),
-    longest_renewal: Duration::from_millis(2_000),
+    min_order_interval: Duration::from_millis(5),
+    max_renewal: Duration::from_millis(2_000),
     drift_percent: 2,
     transit: Duration::from_millis(300),
-    order_wait: Duration::from_millis(500),
+    order_timeout: Duration::from_millis(500),
     order_lifetime: Duration::from_secs(12),
-    silence: Duration::from_millis(1_500),
-    settle: Duration::from_millis(1_300),
-    notice: Duration::from_millis(12),
+    silence_timeout: Duration::from_millis(1_500),
+    quiet_period: Duration::from_millis(1_300),
+    release_delay: Duration::from_millis(12),
     guards: GranterGuards {
         records_first: true,
         waits_for_lapse: true,
@@ -36,14 +36,14 @@
     },
 };
 const LIMITS: BalanceLimits = BalanceLimits {
-    moves: 8,
-    moves_share: 0.0,
-    overloaded: 1.0,
-    busy: 0.45,
-    difference: 0.3,
-    least_requests: 2.0,
-    rest: Duration::from_millis(700),
-    window: 1.8,
+    max_moves: 8,
+    max_overload_moves_share: 0.0,
+    overload_utilization: 1.0,
+    busy_utilization: 0.45,
+    min_utilization_gap: 0.3,
+    min_requests: 2.0,
+    move_cooldown: Duration::from_millis(700),
+    load_window_secs: 1.8,
 };
 
 fn at(millis: u64) -> Time {
@@ -57,15 +57,15 @@
 fn ready(name: &str, capacity: f64) -> Candidate {
     Candidate {
         id: id(name),
-        standing: Standing::Ready,
+        state: CandidateState::Ready,
         capacity,
-        heard: None,
+        last_answered: None,
     }
 }
 
 fn write_record(granter: &mut Granter, now: Time) -> Option<AssignmentRecord> {
-    let record = granter.record()?;
-    granter.written(now, record.sequence);
+    let record = granter.take_record()?;
+    granter.mark_durable(now, record.sequence);
     Some(record)
 }
 
@@ -75,7 +75,7 @@
             OrderKind::Grant { .. } => GrantReply::Granted,
             OrderKind::Release => GrantReply::Released(Some(Handover("left".to_owned()))),
         };
-        granter.handle(now, order.call, reply);
+        granter.handle_reply(now, order.call, reply);
     }
 }
 
@@ -112,7 +112,7 @@
     granter.poll(at(1_400));
     assert_eq!(granter.slice_count(), 0);
     granter.poll(at(2_600));
-    let record = granter.record().expect("the keys are divided");
+    let record = granter.take_record().expect("the keys are divided");
     let of = |name: &str| {
         let holds = |slice: &&SliceRecord| matches!(&slice.state, SliceState::Held { holder, .. } if *holder == id(name));
         record.slices.iter().filter(holds).count()
@@ -125,9 +125,9 @@
     let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", 20.0)]);
     assert!(granter.poll(at(1_500)).is_empty());
-    let record = granter.record().expect("the keys were divided");
+    let record = granter.take_record().expect("the keys were divided");
     assert!(granter.poll(at(1_600)).is_empty());
-    granter.written(at(1_700), record.sequence);
+    granter.mark_durable(at(1_700), record.sequence);
     assert!(!granter.poll(at(1_700)).is_empty());
 }
 
@@ -135,7 +135,7 @@
 fn a_leaver_gets_no_release_before_nodes_had_time_to_hear() {
     let mut granter = granted();
     let mut leaver = ready("a", 20.0);
-    leaver.standing = Standing::Draining;
+    leaver.state = CandidateState::Draining;
     granter.set_candidates(at(2_100), [leaver, ready("b", 20.0)]);
     granter.poll(at(2_100));
     write_record(&mut granter, at(2_110));
@@ -187,7 +187,7 @@
                 OrderKind::Grant { .. } => GrantReply::Granted,
                 OrderKind::Release => GrantReply::Released(None),
             };
-            granter.handle(at(now), order.call, reply);
+            granter.handle_reply(at(now), order.call, reply);
         }
         let Some(record) = write_record(&mut granter, at(now)) else {
             continue;
@@ -215,9 +215,9 @@
 #[test]
 fn a_holder_that_was_replaced_loses_its_slices_at_once() {
     let mut granter = granted();
-    granter.proved_dead(&id("a"));
+    granter.mark_ended(&id("a"));
     granter.poll(at(2_100));
-    let record = granter.record().expect("new holders are told");
+    let record = granter.take_record().expect("new holders are told");
     let with_b = record
         .slices
         .iter()
@@ -228,8 +228,8 @@
 #[test]
 fn a_successor_renews_the_same_holders_under_the_same_tokens() {
     let mut first = granted();
-    first.not_written();
-    let record = first.record().expect("a record");
+    first.mark_dirty();
+    let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", 20.0), ready("b", 20.0)]);
     let orders = give_all(&mut second, at(5_000));
@@ -248,8 +248,8 @@
 #[test]
 fn a_successor_that_knows_no_upstream_yet_takes_nothing_back() {
     let mut first = granted();
-    first.not_written();
-    let record = first.record().expect("a record");
+    first.mark_dirty();
+    let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&record));
     assert!(second.poll(at(5_000)).is_empty());
     second.set_candidates(at(5_050), [ready("a", 20.0), ready("b", 20.0)]);
@@ -267,7 +267,7 @@
     let mut granter = granted();
     let orders = granter.poll(at(4_100));
     let refused = &orders[0];
-    granter.handle(at(4_110), refused.call, GrantReply::Outdated);
+    granter.handle_reply(at(4_110), refused.call, GrantReply::Outdated);
     write_record(&mut granter, at(4_120)).expect("the new token is told");
     let again = granter.poll(at(4_130));
     assert!(again[0].token > refused.token);
@@ -296,7 +296,7 @@
     assert_eq!(hot.range.len(), 1);
     let releases = granter.poll(at(3_600));
     answer_all(&mut granter, at(3_600), &releases);
-    let record = granter.record().expect("the new holder is told");
+    let record = granter.take_record().expect("the new holder is told");
     let hot = record.slice(ShardKey(24_716)).expect("a slice");
     assert!(matches!(&hot.state, SliceState::Held { holder, .. } if *holder == id("fast")));
 }
@@ -310,7 +310,7 @@
     granter.set_candidates(at(2_100), [ready("a", 5.0), ready("b", 50.0)]);
     let moved = granter.rebalance(at(3_500), &LIMITS);
     assert!(moved > 0, "{:?}", granter.load.total());
-    let record = granter.record().expect("moves are told");
+    let record = granter.take_record().expect("moves are told");
     let mut next = 0;
     for slice in &record.slices {
         assert_eq!(u32::from(slice.range.first.0), next);
@@ -326,17 +326,17 @@
     granter.set_candidates(at(2_100), [ready("a", 20.0), ready("fast", 40.0)]);
     granter.rebalance(at(3_500), &LIMITS);
     granter.poll(at(3_500));
-    let record = granter.record().expect("moves are told");
+    let record = granter.take_record().expect("moves are told");
     let bytes = borsh::to_vec(&record.head()).expect("it can be written");
     let mut read = Assignment::default();
-    read.take_head(borsh::from_slice(&bytes).expect("it can be read"));
+    read.apply_head(borsh::from_slice(&bytes).expect("it can be read"));
     for part in record.parts() {
         let bytes = borsh::to_vec(&part).expect("it can be written");
         let part: AssignmentPart = borsh::from_slice(&bytes).expect("it can be read");
         assert!(borsh::from_slice::<AssignmentPart>(&bytes[..bytes.len() - 1]).is_err());
-        read.take_part(part);
+        read.apply_part(part);
     }
-    assert_eq!(read.whole(), Some(record));
+    assert_eq!(read.to_record(), Some(record));
 }
 
 /// A record of parts whose slices reached over their ends could not be put together.
@@ -347,7 +347,7 @@
         let names: Vec<String> = (0..upstreams).map(|number| format!("u{number}")).collect();
         granter.set_candidates(at(0), names.iter().map(|name| ready(name, 20.0)));
         granter.poll(at(1_500));
-        let record = granter.record().expect("the keys are divided");
+        let record = granter.take_record().expect("the keys are divided");
         let mut next = 0;
         for slice in &record.slices {
             assert_eq!(u32::from(slice.range.first.0), next);
@@ -362,13 +362,13 @@
 #[test]
 fn parts_that_were_never_written_have_no_holder() {
     let mut granter = granted();
-    granter.not_written();
-    let record = granter.record().expect("a record");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("a record");
     let mut read = Assignment::default();
     for part in record.parts().into_iter().take(3) {
-        read.take_part(part);
+        read.apply_part(part);
     }
-    let whole = read.whole().expect("what is known");
+    let whole = read.to_record().expect("what is known");
     let free = whole
         .slices
         .iter()
@@ -377,7 +377,7 @@
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&whole));
     second.set_candidates(at(5_000), [ready("a", 20.0), ready("b", 20.0)]);
     second.poll(at(5_000));
-    let record = second.record().expect("all keys are given");
+    let record = second.take_record().expect("all keys are given");
     assert!(
         record
             .slices
@@ -396,13 +396,13 @@
         .iter()
         .find(|order| order.holder == id("a"))
         .expect("a is renewed");
-    granter.proved_dead(&id("a"));
+    granter.mark_ended(&id("a"));
     granter.poll(at(4_200));
     write_record(&mut granter, at(4_210)).expect("new holders are told");
-    granter.handle(at(4_300), asked.call, GrantReply::Replaced);
+    granter.handle_reply(at(4_300), asked.call, GrantReply::Replaced);
     granter.set_candidates(at(4_400), [ready("b", 20.0), ready("c", 20.0)]);
     granter.poll(at(4_400));
-    let record = granter.record();
+    let record = granter.take_record();
     let moved = record.is_some_and(|record| {
         let leaves = |slice: &SliceRecord| !matches!(slice.state, SliceState::Held { .. });
         record.slices.iter().any(leaves)
@@ -434,10 +434,10 @@
 fn a_cold_upstream_gets_no_keys_while_another_is_ready() {
     let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
     let mut cold = ready("cold", 10.0);
-    cold.standing = Standing::Cold;
+    cold.state = CandidateState::Cold;
     granter.set_candidates(at(0), [cold.clone(), ready("warm", 10.0)]);
     granter.poll(at(1_500));
-    let record = granter.record().expect("the keys were divided");
+    let record = granter.take_record().expect("the keys were divided");
     let holders = |record: &AssignmentRecord| -> Vec<String> {
         let held = record.slices.iter().filter_map(|slice| match &slice.state {
             SliceState::Held { holder, .. } => Some(holder.name.0.clone()),
@@ -446,10 +446,10 @@
         held.collect()
     };
     assert!(holders(&record).iter().all(|holder| holder == "warm"));
-    granter.proved_dead(&"warm".into());
+    granter.mark_ended(&"warm".into());
     granter.set_candidates(at(1_600), [cold, ready("warm", 10.0)]);
     granter.poll(at(1_600));
-    let record = granter.record().expect("the keys are given away");
+    let record = granter.take_record().expect("the keys are given away");
     let holders = holders(&record);
     assert!(!holders.is_empty());
     assert!(holders.iter().all(|holder| holder == "cold"));
@@ -459,11 +459,11 @@
 /// its holders; the orders.
 fn takes_over_doubted() -> (Granter, Vec<GrantOrder>) {
     let mut before = granted();
-    before.not_written();
-    let record = before.record().expect("a record");
+    before.mark_dirty();
+    let record = before.take_record().expect("a record");
     let mut granter = Granter::new(at(10_000), TIMING, Epoch(2), Some(&record));
     granter.doubt_record(at(10_000));
-    granter.not_written();
+    granter.mark_dirty();
     granter.set_candidates(at(10_000), [ready("a", 20.0), ready("b", 20.0)]);
     let mut orders = granter.poll(at(10_010));
     write_record(&mut granter, at(10_020));
@@ -478,9 +478,9 @@
     let (mut granter, orders) = takes_over_doubted();
     let outdated = orders.first().expect("an order").clone();
     assert!(outdated.token < FencingToken::new(Epoch(2), 0));
-    granter.handle(at(10_110), outdated.call, GrantReply::Outdated);
+    granter.handle_reply(at(10_110), outdated.call, GrantReply::Outdated);
     for order in &orders[1..] {
-        granter.handle(at(10_110), order.call, GrantReply::Granted);
+        granter.handle_reply(at(10_110), order.call, GrantReply::Granted);
     }
     let given = |granter: &mut Granter, millis: u64| {
         write_record(granter, at(millis));
@@ -505,15 +505,15 @@
 #[test]
 fn an_outdated_token_of_a_record_that_is_not_doubted_is_raised() {
     let mut before = granted();
-    before.not_written();
-    let record = before.record().expect("a record");
+    before.mark_dirty();
+    let record = before.take_record().expect("a record");
     let mut granter = Granter::new(at(10_000), TIMING, Epoch(2), Some(&record));
-    granter.not_written();
+    granter.mark_dirty();
     granter.set_candidates(at(10_000), [ready("a", 20.0), ready("b", 20.0)]);
     let orders = granter.poll(at(10_010));
     write_record(&mut granter, at(10_020));
     let outdated = orders.first().expect("an order").clone();
-    granter.handle(at(10_110), outdated.call, GrantReply::Outdated);
+    granter.handle_reply(at(10_110), outdated.call, GrantReply::Outdated);
     answer_all(&mut granter, at(10_110), &orders[1..]);
     write_record(&mut granter, at(10_120));
     let again = give_all(&mut granter, at(10_300));
--- a/crates/sharding/tests/holds.rs
+++ b/crates/sharding/tests/holds.rs
@@ -32,7 +32,7 @@
                 } else {
                     GrantReply::Undelivered
                 };
-                granter.handle(at(now), order.call, reply);
+                granter.handle_reply(at(now), order.call, reply);
                 has_connection = false;
             }
             *due > now
@@ -79,7 +79,7 @@
     for now in (2_010..6_500).step_by(10) {
         for order in granter.poll(at(now)) {
             if order.holder == id("a") {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 answer(&mut granter, at(now), &order);
             }
@@ -114,8 +114,8 @@
 #[test]
 fn a_successor_counts_a_whole_hold_for_a_silent_holder() {
     let mut first = granted();
-    first.not_written();
-    let record = first.record().expect("a record");
+    first.mark_dirty();
+    let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
     let lost = lost_at(&mut second, 5_000, Silence::Unreachable);
@@ -128,8 +128,8 @@
 #[test]
 fn an_answer_never_brings_the_end_of_a_hold_forward() {
     let mut first = granted();
-    first.not_written();
-    let record = first.record().expect("a record");
+    first.mark_dirty();
+    let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
     give_all(&mut second, at(5_010));
@@ -146,7 +146,7 @@
     for now in (2_010..20_000).step_by(10) {
         for order in granter.poll(at(now)) {
             if now < 9_000 {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut granter, at(now), &order);
             }
@@ -164,7 +164,7 @@
 #[test]
 fn many_slices_are_renewed_less_often_and_held_longer() {
     let timing = GranterTiming {
-        longest_renewal: Duration::from_millis(2_000),
+        max_renewal: Duration::from_millis(2_000),
         ..timing()
     };
     let few = timing.pace(100);
@@ -172,5 +172,5 @@
     let many = timing.pace(300);
     assert_eq!(many.renewal, Duration::from_millis(1_500));
     assert_eq!(many.hold - many.renewal, few.hold - few.renewal);
-    assert_eq!(timing.pace(100_000).renewal, timing.longest_renewal);
+    assert_eq!(timing.pace(100_000).renewal, timing.max_renewal);
 }
--- a/crates/sharding/tests/many_upstreams.rs
+++ b/crates/sharding/tests/many_upstreams.rs
@@ -32,10 +32,10 @@
 }
 
 /// A granter that gives an order each so often, and renews a slice within 2 s.
-fn granter(order_pause: Duration) -> Granter {
+fn granter(min_order_interval: Duration) -> Granter {
     let timing = GranterTiming {
-        order_pause,
-        longest_renewal: Duration::from_secs(2),
+        min_order_interval,
+        max_renewal: Duration::from_secs(2),
         ..timing()
     };
     let mut granter = Granter::new(at(0), timing, Epoch(1), None);
@@ -76,7 +76,7 @@
         for order in orders {
             let number = u32::from_str_radix(&order.holder.name.0[2..], 16).expect("a number");
             if number.is_multiple_of(3) {
-                granter.handle(now, order.call, beamtray_sharding::GrantReply::Undelivered);
+                granter.handle_reply(now, order.call, beamtray_sharding::GrantReply::Undelivered);
             } else {
                 answer(&mut granter, now, &order);
             }
--- a/crates/sharding/tests/old_grants.rs
+++ b/crates/sharding/tests/old_grants.rs
@@ -57,7 +57,7 @@
                 true => GrantReply::Unanswered,
                 false => GrantReply::Undelivered,
             };
-            self.granter.handle(at(now), order.call, reply);
+            self.granter.handle_reply(at(now), order.call, reply);
         }
         let mut to_a = Vec::new();
         for order in self.granter.poll(at(now)) {
@@ -226,7 +226,7 @@
 #[test]
 fn a_holder_of_other_keys_is_told_of_those_that_it_lost_alone() {
     let mut granter = granted();
-    granter.not_written();
+    granter.mark_dirty();
     let record = write_record(&mut granter, at(2_000)).expect("a record");
     let SliceState::Held { holder, .. } = record.slices[0].state.clone() else {
         panic!("{:?}", record.slices[0]);
@@ -242,7 +242,7 @@
     for now in (2_800..12_000).step_by(10) {
         for order in granter.poll(at(now)) {
             if order.kind == OrderKind::Release && order.holder == holder {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
                 releases.push(order);
             } else {
                 answer(&mut granter, at(now), &order);
@@ -310,7 +310,7 @@
     for now in (0..20_000).step_by(10) {
         pending.retain(|(due, order)| {
             if *due <= now {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             }
             *due > now
         });
--- a/crates/sharding/tests/restarts.rs
+++ b/crates/sharding/tests/restarts.rs
@@ -104,7 +104,7 @@
             if order.holder == born(2) {
                 assert_eq!(order.range, KeyRange::ALL);
                 asked += 1;
-                granter.handle(at(millis), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(millis), order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut granter, at(millis), &order);
             }
@@ -123,7 +123,7 @@
         now = now + Duration::from_millis(50);
         for order in granter.poll(now) {
             if order.holder == born(1) {
-                granter.handle(now, order.call, GrantReply::Undelivered);
+                granter.handle_reply(now, order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut granter, now, &order);
             }
@@ -144,8 +144,8 @@
 #[test]
 fn a_successor_fences_a_restart_too() {
     let (mut granter, _) = granted();
-    granter.not_written();
-    let record = granter.record().expect("it is due");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("it is due");
     let mut successor = Granter::new(at(3_000), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(3_000), [candidate(born(2)), ready("other", None)]);
     let orders = successor.poll(at(3_000));
@@ -163,7 +163,7 @@
     for millis in (2_100..8_000).step_by(100) {
         for order in granter.poll(at(millis)) {
             if order.holder == born(1) {
-                granter.handle(at(millis), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(millis), order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut granter, at(millis), &order);
             }
@@ -195,7 +195,7 @@
         now = now + Duration::from_millis(50);
         for order in granter.poll(now) {
             if order.holder == born(1) {
-                granter.handle(now, order.call, GrantReply::Unanswered);
+                granter.handle_reply(now, order.call, GrantReply::Unanswered);
             } else {
                 answer(&mut granter, now, &order);
             }
@@ -203,7 +203,7 @@
         write_record(&mut granter, now);
     }
     granter.set_candidates(now, [candidate(born(2)), ready("other", None)]);
-    granter.proved_dead(&id("other"));
+    granter.mark_ended(&id("other"));
     for _ in 0..10 {
         now = now + Duration::from_millis(20);
         for order in granter.poll(now) {
--- a/crates/sharding/tests/slow_granter.rs
+++ b/crates/sharding/tests/slow_granter.rs
@@ -43,14 +43,14 @@
 
 fn successor(now: u64) -> Granter {
     let mut timing = timing();
-    timing.longest_renewal = Duration::from_millis(2_000);
+    timing.max_renewal = Duration::from_millis(2_000);
     Granter::new(at(now), timing, Epoch(2), Some(&record()))
 }
 
-/// All holders, each heard at `heard` by the nodes that send it requests.
-fn holders(heard: Option<u64>) -> Vec<Candidate> {
+/// All holders, each heard at `last_answered` by the nodes that send it requests.
+fn holders(last_answered: Option<u64>) -> Vec<Candidate> {
     let all = 0..HOLDERS;
-    all.map(|number| ready(&holder(number), heard.map(at)))
+    all.map(|number| ready(&holder(number), last_answered.map(at)))
         .collect()
 }
 
@@ -91,7 +91,7 @@
             self.queue.pop_front();
             if read > given_up {
                 self.unanswered += 1;
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 self.granted += usize::from(matches!(order.kind, OrderKind::Grant { .. }));
                 answer(granter, at(now), &order);
@@ -158,11 +158,11 @@
     for now in (10_000..14_000).step_by(10) {
         machine.answers(now, &mut granter);
         let mut candidates = holders(Some(now));
-        candidates[3].heard = Some(at(9_900));
+        candidates[3].last_answered = Some(at(9_900));
         granter.set_candidates(at(now), candidates);
         for order in granter.poll(at(now)) {
             if order.holder == dark {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 machine.give(now, order);
             }
--- a/crates/sharding/tests/standbys.rs
+++ b/crates/sharding/tests/standbys.rs
@@ -4,8 +4,8 @@
 
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    AssignmentRecord, GrantReply, Granter, RecordNumber, STANDBY_SPAN, SliceState, StandbyAnswer,
-    StandbyId,
+    AssignmentRecord, GrantReply, Granter, RecordNumber, STANDBY_AUTHORIZATION, SliceState,
+    StandbyId, StandbyStatus,
 };
 use common::{answer, at, id, ready, slices_of, timing, write_record};
 use std::time::Duration;
@@ -39,13 +39,13 @@
     for now in (0..25_000).step_by(10) {
         let has_ended = conduct == Conduct::Ends && now >= 3_000;
         let wanted: &[StandbyId] = if has_ended { &[] } else { &[STANDBY] };
-        granter.want_standbys(at(now), wanted);
-        for word in granter.standby_words(at(now)) {
-            granter.standby_word_sent(at(now), &word);
+        granter.set_standbys(at(now), wanted);
+        for word in granter.standbys_to_authorize(at(now)) {
+            granter.standby_authorized(at(now), &word);
         }
         for order in granter.poll(at(now)) {
             if order.holder == id("a") && now > 2_000 {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut granter, at(now), &order);
             }
@@ -61,7 +61,14 @@
             let prolonged = (conduct == Conduct::Prolonged && now >= 4_000)
                 .then(|| Duration::from_millis(now - 4_000));
             let knows: Option<RecordNumber> = newest;
-            granter.standby_answered(at(now), &STANDBY, StandbyAnswer { knows, prolonged });
+            granter.standby_reported(
+                at(now),
+                &STANDBY,
+                StandbyStatus {
+                    known_record: knows,
+                    prolonged,
+                },
+            );
         }
         if has_ended {
             granter.standby_ended(at(now), &STANDBY);
@@ -79,7 +86,7 @@
 #[test]
 fn a_silent_standby_is_waited_for_until_its_last_word_has_run_out() {
     let lost = lost_at(Conduct::FallsSilent);
-    let span = STANDBY_SPAN.as_millis() as u64;
+    let span = STANDBY_AUTHORIZATION.as_millis() as u64;
     // The last word is sent between 2,000 ms and the end of the patience.
     assert!(lost >= 2_000 + span + 3_060, "lost at {lost}");
     assert!(lost <= 3_200 + span + span / 50 + 4_000, "lost at {lost}");
@@ -103,18 +110,18 @@
 fn a_successor_waits_for_the_standbys_of_its_predecessor() {
     let mut first = Granter::new(at(0), timing(), Epoch(1), None);
     first.set_candidates(at(0), [ready("a", None), ready("b", None)]);
-    first.want_standbys(at(1_500), &[STANDBY]);
+    first.set_standbys(at(1_500), &[STANDBY]);
     first.poll(at(1_500));
     let record = write_record(&mut first, at(1_510)).expect("the keys are divided");
     assert_eq!(record.standbys, [STANDBY]);
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("b", None)]);
-    let span = STANDBY_SPAN.as_millis() as u64;
+    let span = STANDBY_AUTHORIZATION.as_millis() as u64;
     let mut freed = 0;
     for now in (5_000..25_000).step_by(10) {
         for order in second.poll(at(now)) {
             if order.holder == id("a") {
-                second.handle(at(now), order.call, GrantReply::Undelivered);
+                second.handle_reply(at(now), order.call, GrantReply::Undelivered);
             } else {
                 answer(&mut second, at(now), &order);
             }
