--- a/crates/router/src/core/records.rs
+++ b/crates/router/src/core/records.rs
@@ -52,7 +52,7 @@
             return Some(AssignmentKey::Head(service.into()));
         }
         let (number, service) = key.strip_prefix(Self::ASSIGNMENTS)?.split_once('/')?;
-        let part = Part::numbered(number.parse().ok()?)?;
+        let part = Part::from_number(number.parse().ok()?)?;
         Some(AssignmentKey::Part(service.into(), part))
     }
 }
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -123,7 +123,7 @@
 
 #[test]
 fn keys_of_an_unreadable_part_go_to_nobody_before_their_grants_have_run_out() {
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     let orders = orders_with_unreadable(part, WITHIN_HOLD);
     let other = |order: &&GrantOrder| {
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
@@ -135,7 +135,7 @@
 
 #[test]
 fn keys_of_an_unreadable_part_are_granted_once_their_grants_have_run_out() {
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     let orders = orders_with_unreadable(part, AFTER_HOLD);
     let is_granted = |order: &GrantOrder| {
         matches!(order.kind, OrderKind::Grant { .. }) && order.range.overlaps(part.range())
@@ -147,7 +147,7 @@
 /// was lost before it had written its record whole, so nobody was granted what is missing.
 #[test]
 fn keys_that_no_record_of_the_first_era_names_are_granted_at_once() {
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
     let service = KEYED.into();
@@ -256,7 +256,7 @@
 /// Keys of the router's own records, each with the view that takes it.
 fn own_keys() -> Vec<(ViewName, String)> {
     let service = ServiceName::from(KEYED);
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     vec![
         (ViewName::Members, OwnKeys::node("other")),
         (ViewName::Members, OwnKeys::GRANTER.to_owned()),
--- a/crates/sharding/src/balance.rs
+++ b/crates/sharding/src/balance.rs
@@ -33,7 +33,7 @@
 
 /// An upstream that may take slices.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct UpstreamCapacity {
     /// The upstream.
     pub id: UpstreamId,
     /// Requests a second that it can work on.
@@ -42,7 +42,7 @@
 
 /// A slice and its holder.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct SliceHolding {
     /// The keys.
     pub range: KeyRange,
     /// The holder.
@@ -53,7 +53,7 @@
 
 /// One move.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MoveStep {
+pub struct SliceMove {
     /// The keys: a slice or a part of one.
     pub range: KeyRange,
     /// Who gets them.
@@ -67,7 +67,7 @@
 
 /// A holding while moves are planned.
 #[derive(Clone, Debug)]
-struct Planned {
+struct PlannedHolding {
     range: KeyRange,
     load: f64,
     movable: bool,
@@ -75,14 +75,14 @@
 
 /// An upstream while moves are planned.
 #[derive(Clone, Debug)]
-struct Planner<'a> {
+struct PlannedUpstream<'a> {
     id: &'a UpstreamId,
     capacity: f64,
     load: f64,
-    holdings: Vec<Planned>,
+    holdings: Vec<PlannedHolding>,
 }
 
-impl Planner<'_> {
+impl PlannedUpstream<'_> {
     fn utilization(&self, window: f64) -> f64 {
         self.load / window / self.capacity
     }
@@ -93,64 +93,64 @@
 struct Balance<'a> {
     load: &'a LoadMap,
     limits: &'a BalanceLimits,
-    planners: Vec<Planner<'a>>,
+    planned_upstreams: Vec<PlannedUpstream<'a>>,
 }
 
 /// How many more slices may move now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MoveRoom {
+pub struct MoveBudget {
     /// For the sake of a better balance.
-    pub usual: usize,
+    pub balancing: usize,
     /// From upstreams that have more than they can do, those above included.
-    pub urgent: usize,
+    pub overload: usize,
 }
 
 /// Plans moves until the busiest upstream that can be relieved is close enough
 /// to the idlest, or there is no room for more.
 pub fn plan_moves(
-    seats: &[Seat],
-    holdings: &[Holding],
+    upstreams: &[UpstreamCapacity],
+    holdings: &[SliceHolding],
     load: &LoadMap,
     limits: &BalanceLimits,
-    room: MoveRoom,
-) -> Vec<MoveStep> {
-    let planners = seats.iter().map(|seat| Planner {
-        id: &seat.id,
-        capacity: seat.capacity.max(f64::MIN_POSITIVE),
+    budget: MoveBudget,
+) -> Vec<SliceMove> {
+    let planned_upstreams = upstreams.iter().map(|upstream| PlannedUpstream {
+        id: &upstream.id,
+        capacity: upstream.capacity.max(f64::MIN_POSITIVE),
         load: 0.0,
         holdings: Vec::new(),
     });
-    let mut planners: Vec<Planner> = planners.collect();
-    let indices: HashMap<&UpstreamId, usize> = seats
+    let mut planned_upstreams: Vec<PlannedUpstream> = planned_upstreams.collect();
+    let indices: HashMap<&UpstreamId, usize> = upstreams
         .iter()
         .enumerate()
-        .map(|(index, seat)| (&seat.id, index))
+        .map(|(index, upstream)| (&upstream.id, index))
         .collect();
     for holding in holdings {
         let Some(index) = indices.get(&holding.holder) else {
             continue;
         };
-        let planned = Planned {
+        let planned = PlannedHolding {
             range: holding.range,
-            load: load.of(holding.range),
+            load: load.of_range(holding.range),
             movable: holding.movable,
         };
-        planners[*index].load += planned.load;
-        planners[*index].holdings.push(planned);
+        planned_upstreams[*index].load += planned.load;
+        planned_upstreams[*index].holdings.push(planned);
     }
     let mut balance = Balance {
         load,
         limits,
-        planners,
+        planned_upstreams,
     };
-    let mut steps = balance.hot_steps(room.usual);
-    while steps.len() < room.usual.max(room.urgent) {
-        let least = if steps.len() < room.usual {
+    let mut steps = balance.plan_hot_key_moves(budget.balancing);
+    while steps.len() < budget.balancing.max(budget.overload) {
+        let threshold = if steps.len() < budget.balancing {
             limits.busy_utilization
         } else {
             limits.overload_utilization
         };
-        let Some(step) = balance.next_step(least) else {
+        let Some(step) = balance.next_move(threshold) else {
             break;
         };
         steps.push(step);
@@ -170,23 +170,26 @@
     /// Moves for keys that no split can relieve: each goes to the upstream
     /// that can do most, one such key to an upstream. What else that upstream
     /// holds is moved by the ordinary steps.
-    fn hot_steps(&mut self, most: usize) -> Vec<MoveStep> {
+    fn plan_hot_key_moves(&mut self, limit: usize) -> Vec<SliceMove> {
         let mut hot = self.hot_keys();
         hot.sort_by(|one, other| other.load.total_cmp(&one.load));
-        let mut ablest: Vec<usize> = (0..self.planners.len()).collect();
-        ablest.sort_by(|one, other| {
-            let (one, other) = (&self.planners[*one], &self.planners[*other]);
+        let mut by_capacity: Vec<usize> = (0..self.planned_upstreams.len()).collect();
+        by_capacity.sort_by(|one, other| {
+            let (one, other) = (
+                &self.planned_upstreams[*one],
+                &self.planned_upstreams[*other],
+            );
             other.capacity.total_cmp(&one.capacity)
         });
-        let mut is_taken = vec![false; self.planners.len()];
+        let mut is_taken = vec![false; self.planned_upstreams.len()];
         let mut moves = Vec::new();
         for hot in hot {
-            let free = ablest.iter().copied();
+            let free = by_capacity.iter().copied();
             let Some(best) = free.clone().find(|index| !is_taken[*index]) else {
                 break;
             };
-            let holder = &self.planners[hot.holder];
-            let gain = self.planners[best].capacity / holder.capacity;
+            let holder = &self.planned_upstreams[hot.holder];
+            let gain = self.planned_upstreams[best].capacity / holder.capacity;
             if gain < HOT_GAIN || !holder.holdings[hot.holding].movable {
                 is_taken[hot.holder] = true;
                 continue;
@@ -196,20 +199,20 @@
         }
         moves
             .into_iter()
-            .take(most)
+            .take(limit)
             .map(|(hot, to)| self.move_key(&hot, to))
             .collect()
     }
 
     fn hot_keys(&self) -> Vec<HotKey> {
         let mut hot = Vec::new();
-        for (holder, planner) in self.planners.iter().enumerate() {
-            let least = planner.capacity * HOT_SHARE * self.limits.load_window_secs;
-            let holdings = planner.holdings.iter().enumerate();
-            for (holding, planned) in holdings.filter(|(_, planned)| planned.load >= least) {
+        for (holder, upstream) in self.planned_upstreams.iter().enumerate() {
+            let threshold = upstream.capacity * HOT_SHARE * self.limits.load_window_secs;
+            let holdings = upstream.holdings.iter().enumerate();
+            for (holding, planned) in holdings.filter(|(_, planned)| planned.load >= threshold) {
                 let keys = self.load.keys(planned.range);
                 let busiest = keys.max_by(|one, other| one.1.total_cmp(&other.1));
-                if let Some((key, load)) = busiest.filter(|(_, load)| *load >= least) {
+                if let Some((key, load)) = busiest.filter(|(_, load)| *load >= threshold) {
                     hot.push(HotKey {
                         holder,
                         holding,
@@ -222,25 +225,25 @@
         hot
     }
 
-    fn move_key(&mut self, hot: &HotKey, to: usize) -> MoveStep {
+    fn move_key(&mut self, hot: &HotKey, to: usize) -> SliceMove {
         let range = KeyRange {
             first: hot.key,
             last: hot.key,
         };
         self.split_off(hot.holder, hot.holding, range, to);
-        MoveStep {
+        SliceMove {
             range,
-            to: self.planners[to].id.clone(),
+            to: self.planned_upstreams[to].id.clone(),
         }
     }
 
     fn utilization(&self, index: usize) -> f64 {
-        self.planners[index].utilization(self.limits.load_window_secs)
+        self.planned_upstreams[index].utilization(self.limits.load_window_secs)
     }
 
     /// Upstreams from the busiest to the idlest.
     fn ranked(&self) -> Vec<usize> {
-        let mut ranked: Vec<(f64, usize)> = (0..self.planners.len())
+        let mut ranked: Vec<(f64, usize)> = (0..self.planned_upstreams.len())
             .map(|index| (self.utilization(index), index))
             .collect();
         ranked.sort_by(|one, other| other.0.total_cmp(&one.0));
@@ -248,17 +251,17 @@
     }
 
     /// One move from an upstream that is utilized that much at least.
-    fn next_step(&mut self, least: f64) -> Option<MoveStep> {
+    fn next_move(&mut self, threshold: f64) -> Option<SliceMove> {
         let ranked = self.ranked();
-        let taker = *ranked.last()?;
-        for giver in ranked {
-            let used = self.utilization(giver);
-            let worthwhile =
-                used >= least && used - self.utilization(taker) >= self.limits.min_utilization_gap;
+        let target = *ranked.last()?;
+        for source in ranked {
+            let used = self.utilization(source);
+            let worthwhile = used >= threshold
+                && used - self.utilization(target) >= self.limits.min_utilization_gap;
             if !worthwhile {
                 return None;
             }
-            if let Some(step) = self.step(giver, taker) {
+            if let Some(step) = self.plan_move(source, target) {
                 return Some(step);
             }
         }
@@ -266,34 +269,37 @@
     }
 
     /// The load whose move makes both equally utilized.
-    fn wanted(&self, giver: usize, taker: usize) -> f64 {
-        let (giver, taker) = (&self.planners[giver], &self.planners[taker]);
-        (giver.load * taker.capacity - taker.load * giver.capacity)
-            / (giver.capacity + taker.capacity)
+    fn load_to_move(&self, source: usize, target: usize) -> f64 {
+        let (source, target) = (
+            &self.planned_upstreams[source],
+            &self.planned_upstreams[target],
+        );
+        (source.load * target.capacity - target.load * source.capacity)
+            / (source.capacity + target.capacity)
     }
 
-    fn step(&mut self, giver: usize, taker: usize) -> Option<MoveStep> {
-        let wanted = self.wanted(giver, taker);
-        let holdings = self.planners[giver].holdings.iter().enumerate();
+    fn plan_move(&mut self, source: usize, target: usize) -> Option<SliceMove> {
+        let load_to_move = self.load_to_move(source, target);
+        let holdings = self.planned_upstreams[source].holdings.iter().enumerate();
         let (index, range, _) = holdings
             .filter(|(_, planned)| planned.movable)
             .filter_map(|(index, planned)| {
-                let (range, load) = part(self.load, planned.range, wanted)?;
+                let (range, load) = movable_part(self.load, planned.range, load_to_move)?;
                 Some((index, range, load))
             })
             .filter(|(_, _, load)| *load >= self.limits.min_requests)
             .max_by(|one, other| one.2.total_cmp(&other.2))?;
-        self.split_off(giver, index, range, taker);
-        Some(MoveStep {
+        self.split_off(source, index, range, target);
+        Some(SliceMove {
             range,
-            to: self.planners[taker].id.clone(),
+            to: self.planned_upstreams[target].id.clone(),
         })
     }
 
     /// Gives a part of a holding to another upstream; what is left of it stays. Other
     /// holdings keep their places.
-    fn split_off(&mut self, giver: usize, index: usize, moved: KeyRange, taker: usize) {
-        let whole = self.planners[giver].holdings[index].range;
+    fn split_off(&mut self, source: usize, index: usize, moved: KeyRange, target: usize) {
+        let whole = self.planned_upstreams[source].holdings[index].range;
         let below = (moved.first > whole.first).then(|| KeyRange {
             first: whole.first,
             last: ShardKey(moved.first.0 - 1),
@@ -303,43 +309,43 @@
             last: whole.last,
         });
         // A split slice is moved once a plan at most.
-        let planned = |range: KeyRange| Planned {
+        let planned = |range: KeyRange| PlannedHolding {
             range,
-            load: self.load.of(range),
+            load: self.load.of_range(range),
             movable: false,
         };
-        let given = planned(moved);
-        let empty = Planned {
+        let transferred = planned(moved);
+        let empty = PlannedHolding {
             range: moved,
             load: 0.0,
             movable: false,
         };
-        let rest: Vec<Planned> = below.into_iter().chain(above).map(planned).collect();
-        let from = &mut self.planners[giver];
-        from.load -= given.load;
+        let rest: Vec<PlannedHolding> = below.into_iter().chain(above).map(planned).collect();
+        let from = &mut self.planned_upstreams[source];
+        from.load -= transferred.load;
         from.holdings[index] = empty;
         from.holdings.extend(rest);
-        let to = &mut self.planners[taker];
-        to.load += given.load;
-        to.holdings.push(given);
+        let to = &mut self.planned_upstreams[target];
+        to.load += transferred.load;
+        to.holdings.push(transferred);
     }
 }
 
-/// The whole range if its load is at most `wanted`, or the end of it that
+/// The whole range if its load is at most `load_to_move`, or the end of it that
 /// comes closest. `None` when a single key is more than can be moved with
 /// gain.
-fn part(load: &LoadMap, range: KeyRange, wanted: f64) -> Option<(KeyRange, f64)> {
-    let total = load.of(range);
-    if total <= wanted {
+fn movable_part(load: &LoadMap, range: KeyRange, load_to_move: f64) -> Option<(KeyRange, f64)> {
+    let total = load.of_range(range);
+    if total <= load_to_move {
         return Some((range, total));
     }
     let keys: Vec<(ShardKey, f64)> = load.keys(range).collect();
-    let lower = prefix(&keys, wanted).map(|(last, sum)| {
+    let lower = prefix(&keys, load_to_move).map(|(last, sum)| {
         let first = range.first;
         (KeyRange { first, last }, sum)
     });
     let reversed: Vec<(ShardKey, f64)> = keys.into_iter().rev().collect();
-    let upper = prefix(&reversed, wanted).map(|(first, sum)| {
+    let upper = prefix(&reversed, load_to_move).map(|(first, sum)| {
         let last = range.last;
         (KeyRange { first, last }, sum)
     });
@@ -349,12 +355,12 @@
     }
 }
 
-/// The longest run of keys from the begin whose load is at most `wanted`.
-fn prefix(keys: &[(ShardKey, f64)], wanted: f64) -> Option<(ShardKey, f64)> {
+/// The longest run of keys from the begin whose load is at most `load_to_move`.
+fn prefix(keys: &[(ShardKey, f64)], load_to_move: f64) -> Option<(ShardKey, f64)> {
     let mut sum = 0.0;
     let mut end = None;
     for (key, count) in keys {
-        if sum + count > wanted {
+        if sum + count > load_to_move {
             break;
         }
         sum += count;
--- a/crates/sharding/src/granter.rs
+++ b/crates/sharding/src/granter.rs
@@ -17,12 +17,12 @@
 mod contact;
 mod doubt;
 mod holders;
+mod least_loaded;
 mod lost_holders;
 mod moves;
 mod orders;
 mod replies;
 mod restarts;
-mod seats;
 mod standbys;
 mod tokens;
 mod withheld;
@@ -45,9 +45,9 @@
 use withheld::WithheldKeys;
 
 /// How long an upstream that lost keys for its silence gets none.
-const AVOID: Duration = Duration::from_secs(4);
+const EXCLUSION_PERIOD: Duration = Duration::from_secs(4);
 /// Between two questions to a holder whose address is contested.
-const PROBE: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Timing of grants.
 #[derive(Clone, Copy, Debug)]
@@ -207,20 +207,20 @@
 pub struct Granter {
     timing: GranterTiming,
     epoch: Epoch,
-    blocks: u64,
+    token_blocks: u64,
     slices: BTreeMap<ShardKey, Slice>,
     candidates: BTreeMap<UpstreamId, Candidate>,
     /// Whether it was ever stated which upstreams there are. Before that a holder
     /// that is not among them has not left.
     knows_candidates: bool,
-    dead: Vec<UpstreamId>,
+    ended: Vec<UpstreamId>,
     withheld: Vec<WithheldKeys>,
     /// Until when grants may be in force that the record which was taken over does not tell.
     record_doubted_until: Time,
     /// When holders whose address is contested were last asked.
-    probed: BTreeMap<UpstreamId, Time>,
+    probed_at: BTreeMap<UpstreamId, Time>,
     /// Upstreams that lost keys for their silence, until when they get none.
-    avoided: BTreeMap<UpstreamId, Time>,
+    excluded_until: BTreeMap<UpstreamId, Time>,
     calls: BTreeMap<CallId, Call>,
     window: OrderWindow,
     contacts: BTreeMap<UpstreamId, Contact>,
@@ -228,21 +228,21 @@
     standbys: Standbys,
     lost_holders: LostHolders,
     /// Upstreams that are not registered any more, by when they were last.
-    departed: BTreeMap<UpstreamId, Time>,
+    departed_at: BTreeMap<UpstreamId, Time>,
     owned_again: Vec<OwnedAgain>,
     doubt_notices: Vec<DoubtNotice>,
     /// When records last told for how long keys are in doubt.
-    doubt_told_at: Time,
+    doubt_recorded_at: Time,
     polled_at: Time,
     next_call: u64,
     /// Sequence of the next record.
     next_sequence: u64,
     /// Sequence of the newest record that is durable.
-    durable: u64,
+    durable_sequence: u64,
     dirty: bool,
     /// When an upstream was first seen, and when the last one appeared.
-    first_seen: Option<Time>,
-    last_seen: Time,
+    first_appeared: Option<Time>,
+    last_appeared: Time,
     /// Load by key.
     pub load: LoadMap,
 }
@@ -258,15 +258,15 @@
         let mut granter = Self {
             timing,
             epoch,
-            blocks: 0,
+            token_blocks: 0,
             slices: BTreeMap::new(),
             candidates: BTreeMap::new(),
             knows_candidates: false,
-            dead: Vec::new(),
+            ended: Vec::new(),
             withheld: Vec::new(),
             record_doubted_until: Time::ZERO,
-            probed: BTreeMap::new(),
-            avoided: BTreeMap::new(),
+            probed_at: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             calls: BTreeMap::new(),
             window: OrderWindow::default(),
             contacts: BTreeMap::new(),
@@ -276,17 +276,17 @@
                 transit: timing.transit + timing.order_timeout,
             }),
             lost_holders: LostHolders::default(),
-            departed: BTreeMap::new(),
+            departed_at: BTreeMap::new(),
             owned_again: Vec::new(),
             doubt_notices: Vec::new(),
-            doubt_told_at: now,
+            doubt_recorded_at: now,
             polled_at: now,
             next_call: 0,
             next_sequence: 1,
-            durable: 0,
+            durable_sequence: 0,
             dirty: false,
-            first_seen: None,
-            last_seen: now,
+            first_appeared: None,
+            last_appeared: now,
             load: LoadMap::default(),
         };
         if let Some(record) = record {
@@ -299,14 +299,14 @@
     /// force until one hold after its authority ended, which was before `now`.
     fn adopt(&mut self, now: Time, record: &AssignmentRecord) {
         self.standbys.adopt(now, &record.standbys);
-        let lapses = if self.timing.guards.respects_predecessor {
+        let expires_at = if self.timing.guards.respects_predecessor {
             now + self.timing.longest_bound() + self.timing.transit
         } else {
             now
         };
         for slice in &record.slices {
             let release = self.next_token();
-            let (phase, lapses) = match &slice.state {
+            let (phase, expires_at) = match &slice.state {
                 SliceState::Free => (Phase::Free { handover: None }, now),
                 SliceState::Held { holder, token } => (
                     Phase::Held {
@@ -314,7 +314,7 @@
                         token: *token,
                         handover: None,
                     },
-                    lapses,
+                    expires_at,
                 ),
                 SliceState::Leaving { holder, token } => (
                     Phase::Leaving {
@@ -323,10 +323,10 @@
                         release,
                         next: None,
                     },
-                    lapses,
+                    expires_at,
                 ),
             };
-            let mut slice = new_slice(now, slice.range, phase, lapses);
+            let mut slice = new_slice(now, slice.range, phase, expires_at);
             self.inherit_doubt(now, &mut slice, &record.doubted);
             self.slices.insert(slice.range.first, slice);
         }
@@ -342,25 +342,28 @@
             .map(|candidate| (candidate.id.clone(), candidate))
             .collect();
         if next.keys().any(|id| !self.candidates.contains_key(id)) {
-            self.first_seen.get_or_insert(now);
-            self.last_seen = now;
+            self.first_appeared.get_or_insert(now);
+            self.last_appeared = now;
         }
         self.knows_candidates = true;
         self.lost_holders
             .set_registered(now, |id| next.contains_key(id));
-        self.note_departed(now, &next);
+        self.record_departures(now, &next);
         self.fence_restarts(now, &next);
         let same = next.keys().eq(self.candidates.keys());
         self.candidates = next;
         if !same {
-            self.forget_contacts();
+            self.prune_contacts();
         }
     }
 
     /// Forgets contacts of upstreams that are gone and hold nothing.
-    fn forget_contacts(&mut self) {
-        let holders: BTreeSet<&UpstreamId> =
-            self.slices.values().filter_map(Slice::current).collect();
+    fn prune_contacts(&mut self) {
+        let holders: BTreeSet<&UpstreamId> = self
+            .slices
+            .values()
+            .filter_map(Slice::current_holder)
+            .collect();
         let candidates = &self.candidates;
         self.contacts
             .retain(|id, _| candidates.contains_key(id) || holders.contains(id));
@@ -368,25 +371,30 @@
 
     /// Notes that an upstream has ended, so that it holds nothing.
     pub fn mark_ended(&mut self, id: &UpstreamId) {
-        if !self.dead.contains(id) {
-            self.dead.push(id.clone());
+        if !self.ended.contains(id) {
+            self.ended.push(id.clone());
         }
-        self.lost_holders.ended(id);
+        self.lost_holders.mark_ended(id);
     }
 
     /// Lets one grant of a holder be due soon, to see whether it still has its
     /// address.
     pub fn probe_holder(&mut self, now: Time, id: &UpstreamId) {
-        let due = self.probed.get(id).is_none_or(|at| now.since(*at) >= PROBE);
+        let due = self
+            .probed_at
+            .get(id)
+            .is_none_or(|at| now.since(*at) >= PROBE_INTERVAL);
         if !due {
             return;
         }
         let held = self.slices.values_mut().find(|slice| {
-            slice.holder() == Some(id) && slice.call.is_none() && slice.told_in <= self.durable
+            slice.holder() == Some(id)
+                && slice.pending_call.is_none()
+                && slice.recorded_in <= self.durable_sequence
         });
         if let Some(slice) = held {
-            slice.due = slice.due.min(now);
-            self.probed.insert(id.clone(), now);
+            slice.due_at = slice.due_at.min(now);
+            self.probed_at.insert(id.clone(), now);
         }
     }
 
@@ -417,12 +425,13 @@
     pub fn mark_durable(&mut self, now: Time, sequence: u64) {
         let notice = self.timing.release_delay;
         for slice in self.slices.values_mut() {
-            let told = slice.told_in > self.durable && slice.told_in <= sequence;
-            if told && matches!(slice.phase, Phase::Leaving { .. }) {
-                slice.due = slice.due.max(now + notice);
+            let is_recorded =
+                slice.recorded_in > self.durable_sequence && slice.recorded_in <= sequence;
+            if is_recorded && matches!(slice.phase, Phase::Leaving { .. }) {
+                slice.due_at = slice.due_at.max(now + notice);
             }
         }
-        self.durable = self.durable.max(sequence);
+        self.durable_sequence = self.durable_sequence.max(sequence);
     }
 
     /// Notes that a record was not written, so that the next one is due.
@@ -448,23 +457,23 @@
     /// How many slices are held under a grant at `now`.
     pub fn held_count(&self, now: Time) -> usize {
         let held = self.slices.values();
-        held.filter(|slice| slice.holder().is_some() && now < slice.lapses)
+        held.filter(|slice| slice.holder().is_some() && now < slice.expires_at)
             .count()
     }
 }
 
-fn new_slice(now: Time, range: KeyRange, phase: Phase, lapses: Time) -> Slice {
+fn new_slice(now: Time, range: KeyRange, phase: Phase, expires_at: Time) -> Slice {
     Slice {
         range,
         phase,
-        told_in: 0,
+        recorded_in: 0,
         tokens: BlockUse::Inherited,
-        lapses,
-        call: None,
-        due: now,
-        settled_at: now,
+        expires_at,
+        pending_call: None,
+        due_at: now,
+        changed_at: now,
         unowned: None,
         doubt: None,
-        waits_in_doubt: false,
+        awaits_doubt_end: false,
     }
 }
--- a/crates/sharding/src/granter/contact.rs
+++ b/crates/sharding/src/granter/contact.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 /// How long a grant may be under way before further ones wait for its answer.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(100);
+const PROMPT_ANSWER: Duration = Duration::from_millis(100);
 /// Pause after a grant that was not answered.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long after an answer to a request the granter may hear of it: nodes tell their
 /// relay every 0.5 s of the answers that they had, which passes them on.
-const HEARD_LATE: Duration = Duration::from_millis(600);
+const REPORT_DELAY: Duration = Duration::from_millis(600);
 
 /// Grants that were left unanswered, by what the nodes know of their holders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
     /// Grants under way, and when they were sent.
-    under_way: BTreeMap<CallId, Time>,
+    pending: BTreeMap<CallId, Time>,
     /// Since when no grant was answered.
     silent_since: Option<Time>,
     /// When the first grant was sent that was not answered.
@@ -46,39 +46,38 @@
     /// request, as far as known.
     pub fn may_send_grant(&self, now: Time, last_answered: Option<Time>) -> bool {
         if self.silent_since.is_some() {
-            return self.under_way.is_empty() && now >= self.retry_at;
+            return self.pending.is_empty() && now >= self.retry_at;
         }
-        let Some(oldest) = self.under_way.values().min() else {
+        let Some(oldest) = self.pending.values().min() else {
             return true;
         };
-        now.since(*oldest) < ANSWER_PATIENCE
-            || last_answered.is_some_and(|last_answered| last_answered > *oldest)
+        now.since(*oldest) < PROMPT_ANSWER || last_answered.is_some_and(|at| at > *oldest)
     }
 
     /// Notes that a grant is sent.
     pub fn sent(&mut self, now: Time, call: CallId) {
-        self.under_way.insert(call, now);
+        self.pending.insert(call, now);
     }
 
     /// Notes that the holder answered a grant, whatever it said.
     pub fn answered(&mut self, call: CallId) {
-        self.under_way.remove(&call);
-        self.forgive();
+        self.pending.remove(&call);
+        self.clear_silence();
     }
 
     /// Forgets its silence: it answered a release, or gets new keys, whose first
     /// grant it must have the time to answer.
-    pub fn forgive(&mut self) {
+    pub fn clear_silence(&mut self) {
         self.silent_since = None;
         self.unanswered_since = None;
     }
 
     /// Notes that a grant was given up on; when it was sent.
     pub fn unanswered(&mut self, now: Time, call: CallId) -> Time {
-        let sent = self.under_way.remove(&call).unwrap_or(now);
+        let sent = self.pending.remove(&call).unwrap_or(now);
         self.unanswered_since.get_or_insert(sent);
         self.silent_since.get_or_insert(now);
-        self.retry_at = now + RETRY;
+        self.retry_at = now + RETRY_DELAY;
         sent
     }
 
@@ -90,16 +89,15 @@
     /// Whether it left grants unanswered for so long, and no node was answered by it
     /// since. A holder that answers nodes is there: what is late is the granter or its
     /// path to the holder, and taking the keys back would make it later still.
-    pub fn is_silent(&self, now: Time, for_time: Duration, last_answered: Option<Time>) -> bool {
+    pub fn is_silent(&self, now: Time, timeout: Duration, last_answered: Option<Time>) -> bool {
         let Some(since) = self.silent_since else {
             return false;
         };
-        now.since(since) >= for_time
-            && last_answered.is_none_or(|last_answered| last_answered <= since + HEARD_LATE)
+        now.since(since) >= timeout && last_answered.is_none_or(|at| at <= since + REPORT_DELAY)
     }
 
     /// How long no grant has been answered.
-    pub fn silence(&self, now: Time) -> Option<Duration> {
+    pub fn unanswered_for(&self, now: Time) -> Option<Duration> {
         self.silent_since.map(|since| now.since(since))
     }
 }
--- a/crates/sharding/src/granter/doubt.rs
+++ b/crates/sharding/src/granter/doubt.rs
@@ -30,9 +30,9 @@
 use std::time::Duration;
 
 /// How long an upstream that has given keys back in doubt and left the directory is waited for.
-const RETURN_WAIT: Duration = Duration::from_secs(4);
+const REREGISTRATION_WAIT: Duration = Duration::from_secs(4);
 /// How often records tell how much doubt is left.
-const TELL_AGAIN: Duration = Duration::from_secs(2);
+const DOUBT_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Keys are without an owner for longer than a hold, since their last holder may have left
 /// a grant lying.
@@ -74,7 +74,7 @@
 
     /// Ends the doubt of slices of which no grant can lie any more, and has records tell again
     /// how much of it is left: a successor waits for what the last one told.
-    pub(super) fn end_doubts(&mut self, now: Time) {
+    pub(super) fn expire_doubts(&mut self, now: Time) {
         let mut is_any = self.withholds_any();
         for slice in self.slices.values_mut() {
             if slice.doubt.as_ref().is_some_and(|doubt| now >= doubt.until) {
@@ -83,15 +83,15 @@
             }
             is_any |= slice.doubt.is_some();
         }
-        if is_any && now.since(self.doubt_told_at) >= TELL_AGAIN {
-            self.doubt_told_at = now;
+        if is_any && now.since(self.doubt_recorded_at) >= DOUBT_RECORD_INTERVAL {
+            self.doubt_recorded_at = now;
             self.dirty = true;
         }
     }
 
     /// Gives free keys of which a grant may lie back to the upstream that has it, under its
     /// next token: a restart of it that takes the old grant then takes it from nobody else.
-    pub(super) fn return_doubted(&mut self, now: Time) {
+    pub(super) fn reassign_doubted(&mut self, now: Time) {
         let slices = self.slices.values();
         let free = slices.filter(|slice| matches!(slice.phase, Phase::Free { .. }));
         let free = free.filter(|slice| !self.is_withheld(slice.range));
@@ -103,14 +103,14 @@
         for (first, upstream) in doubted {
             let mut candidates = self.candidates.values();
             let last = candidates.find(|one| {
-                let stays = one.state != CandidateState::Draining && !self.dead.contains(&one.id);
+                let stays = one.state != CandidateState::Draining && !self.ended.contains(&one.id);
                 stays && one.id.name == upstream
             });
             match last.map(|one| one.id.clone()) {
                 Some(id) if self.lost_holders.is_unfenced(&id) => {}
-                Some(id) => self.give(now, first, id),
+                Some(id) => self.assign(now, first, id),
                 None if self.may_return(now, &upstream) => {}
-                None => self.forget_doubt(first),
+                None => self.clear_doubt(first),
             }
         }
     }
@@ -118,11 +118,11 @@
     /// Whether an upstream that is not registered may be so again soon: the entry of a process
     /// before it ran out and took its own with it.
     fn may_return(&self, now: Time, upstream: &UpstreamName) -> bool {
-        let mut departed = self.departed.iter();
-        departed.any(|(id, at)| id.name == *upstream && now.since(*at) < RETURN_WAIT)
+        let mut departed = self.departed_at.iter();
+        departed.any(|(id, at)| id.name == *upstream && now.since(*at) < REREGISTRATION_WAIT)
     }
 
-    fn forget_doubt(&mut self, first: ShardKey) {
+    fn clear_doubt(&mut self, first: ShardKey) {
         if let Some(slice) = self.slices.get_mut(&first) {
             slice.doubt = None;
             self.dirty = true;
@@ -156,7 +156,7 @@
             return;
         };
         let until = now + Duration::from_millis(left.into());
-        match slice.current() {
+        match slice.current_holder() {
             Some(holder) if guards.waits_for_doubt => {
                 slice.doubt = Some(Doubt {
                     upstream: holder.name.clone(),
@@ -176,6 +176,6 @@
     /// How many slices wait for that.
     pub fn doubted_count(&self) -> usize {
         let slices = self.slices.values();
-        slices.filter(|slice| slice.waits_in_doubt).count()
+        slices.filter(|slice| slice.awaits_doubt_end).count()
     }
 }
--- a/crates/sharding/src/granter/holders.rs
+++ b/crates/sharding/src/granter/holders.rs
@@ -1,8 +1,10 @@
 //! Who is to hold which slice: the first division, slices that are taken back,
 //! slices that are free.
 
-use super::seats::Seats;
-use super::{AVOID, Candidate, CandidateState, Contact, DoubtNotice, Granter, new_slice};
+use super::least_loaded::LeastLoadedQueue;
+use super::{
+    Candidate, CandidateState, Contact, DoubtNotice, EXCLUSION_PERIOD, Granter, new_slice,
+};
 use crate::part::Part;
 use crate::range::{KeyRange, ShardKey};
 use crate::record::RecordNumber;
@@ -13,7 +15,7 @@
 use std::time::Duration;
 
 /// Longest wait for upstreams to appear, as a multiple of the quiet asked for.
-const LONGEST_SETTLE: u32 = 4;
+const MAX_QUIET_PERIODS: u32 = 4;
 /// Most slices made for each upstream at the first start.
 const SLICES_PER_UPSTREAM: u32 = 8;
 /// Most slices made altogether, if there are no more upstreams than that: each
@@ -21,24 +23,24 @@
 /// than the granter renews in time; the balance splits busy ones, which go to others. A
 /// granter with a fifth of a core that gave one to each of 1,660 served 0.968 of the requests
 /// at 300 machines, and 0.981 with 400 slices.
-const MOST_SLICES: u32 = 400;
+const MAX_SLICES: u32 = 400;
 /// Weight of a share of the keys next to counted requests, so that idle slices
 /// are spread too.
 const IDLE_WEIGHT: f64 = 4.0;
 
 /// Slices of a holder that lapse within this time are freed together.
-const TOGETHER: Duration = Duration::from_millis(120);
+const EXPIRY_GROUPING: Duration = Duration::from_millis(120);
 
 impl Granter {
     /// Divides the keys at the very first start.
-    pub(super) fn found(&mut self, now: Time) {
-        let ready = self.ready().count() as u32;
-        if !self.slices.is_empty() || ready == 0 || !self.has_settled(now) {
+    pub(super) fn create_slices(&mut self, now: Time) {
+        let ready = self.assignable().count() as u32;
+        if !self.slices.is_empty() || ready == 0 || !self.discovery_settled(now) {
             return;
         }
-        let each = (MOST_SLICES / ready).clamp(1, SLICES_PER_UPSTREAM);
-        let most = self.timing.renewable().max(MOST_SLICES);
-        for range in divide((ready * each).min(most)) {
+        let slices_per_upstream = (MAX_SLICES / ready).clamp(1, SLICES_PER_UPSTREAM);
+        let max_slices = self.timing.renewable().max(MAX_SLICES);
+        for range in divide((ready * slices_per_upstream).min(max_slices)) {
             let phase = Phase::Free { handover: None };
             self.slices
                 .insert(range.first, new_slice(now, range, phase, now));
@@ -47,48 +49,48 @@
 
     /// Whether upstreams had time to appear: the first one is not to get all
     /// keys.
-    pub(super) fn has_settled(&self, now: Time) -> bool {
-        let Some(first) = self.first_seen else {
+    pub(super) fn discovery_settled(&self, now: Time) -> bool {
+        let Some(first) = self.first_appeared else {
             return false;
         };
-        now.since(self.last_seen) >= self.timing.quiet_period
-            || now.since(first) >= self.timing.quiet_period * LONGEST_SETTLE
+        now.since(self.last_appeared) >= self.timing.quiet_period
+            || now.since(first) >= self.timing.quiet_period * MAX_QUIET_PERIODS
     }
 
     /// Upstreams that take keys: those that are ready, or the cold ones when none is.
-    pub(super) fn ready(&self) -> impl Iterator<Item = &Candidate> {
-        let has_ready = self.takers_of(CandidateState::Ready).next().is_some();
-        self.takers_of(match has_ready {
+    pub(super) fn assignable(&self) -> impl Iterator<Item = &Candidate> {
+        let has_ready = self.candidates_in(CandidateState::Ready).next().is_some();
+        self.candidates_in(match has_ready {
             true => CandidateState::Ready,
             false => CandidateState::Cold,
         })
     }
 
-    fn takers_of(&self, state: CandidateState) -> impl Iterator<Item = &Candidate> {
+    fn candidates_in(&self, state: CandidateState) -> impl Iterator<Item = &Candidate> {
         self.candidates
             .values()
-            .filter(move |one| one.state == state && !self.dead.contains(&one.id))
+            .filter(move |one| one.state == state && !self.ended.contains(&one.id))
             .filter(|one| !self.lost_holders.is_unfenced(&one.id))
     }
 
     /// Upstreams that may get keys: those that are ready and answer, or all
     /// that are ready when none answers.
-    pub(super) fn takers(&self, now: Time) -> Vec<&Candidate> {
+    pub(super) fn eligible_holders(&self, now: Time) -> Vec<&Candidate> {
         let answers = |one: &&Candidate| {
-            let until = self.avoided.get(&one.id);
-            let is_avoided = until.is_some_and(|until| now < *until);
-            !is_avoided && self.silence(now, &one.id).is_none()
+            let until = self.excluded_until.get(&one.id);
+            let is_excluded = until.is_some_and(|until| now < *until);
+            !is_excluded && self.unanswered_for(now, &one.id).is_none()
         };
-        let answering: Vec<&Candidate> = self.ready().filter(answers).collect();
+        let answering: Vec<&Candidate> = self.assignable().filter(answers).collect();
         if answering.is_empty() {
-            self.ready().collect()
+            self.assignable().collect()
         } else {
             answering
         }
     }
 
     /// Starts to take slices back from holders that are to lose them.
-    pub(super) fn take_from_leavers(&mut self, now: Time) {
+    pub(super) fn revoke_from_leavers(&mut self, now: Time) {
         let silence = self.timing.silence_timeout;
         let leaving: Vec<ShardKey> = self
             .slices
@@ -102,23 +104,23 @@
                 let last_answered = candidate.and_then(|one| one.last_answered);
                 let contact = self.contacts.get(holder);
                 let silent = contact.is_some_and(|one| one.is_silent(now, silence, last_answered));
-                !stays || silent || self.dead.contains(holder)
+                !stays || silent || self.ended.contains(holder)
             })
             .map(|slice| slice.range.first)
             .collect();
         for first in leaving {
-            let loss = self.loss(now, first);
-            self.avoid_silent(now, first);
-            self.take_back(now, first, None, loss);
+            let loss = self.loss_of(now, first);
+            self.exclude_unresponsive(now, first);
+            self.begin_release(now, first, None, loss);
         }
     }
 
     /// Why the holder of a slice loses it, and since when it may not serve it.
-    fn loss(&self, now: Time, first: ShardKey) -> Unowned {
+    fn loss_of(&self, now: Time, first: ShardKey) -> Unowned {
         let holder = self.slices.get(&first).and_then(Slice::holder);
         let contact = holder.and_then(|holder| self.contacts.get(holder));
         let unanswered = contact.and_then(Contact::unanswered_since);
-        let has_ended = holder.is_some_and(|holder| self.dead.contains(holder));
+        let has_ended = holder.is_some_and(|holder| self.ended.contains(holder));
         let cause = match unanswered {
             _ if has_ended => LossCause::Ended,
             Some(_) => LossCause::Silent,
@@ -131,20 +133,20 @@
     }
 
     /// A holder that loses keys for its silence gets no others for a while.
-    pub(super) fn avoid_silent(&mut self, now: Time, first: ShardKey) {
+    pub(super) fn exclude_unresponsive(&mut self, now: Time, first: ShardKey) {
         let holder = self.slices.get(&first).and_then(Slice::holder);
-        let silent = holder.filter(|holder| self.silence(now, holder).is_some());
+        let silent = holder.filter(|holder| self.unanswered_for(now, holder).is_some());
         if let Some(holder) = silent.cloned() {
-            self.avoided.insert(holder, now + AVOID);
+            self.excluded_until.insert(holder, now + EXCLUSION_PERIOD);
         }
     }
 
     /// How long a holder has answered no grant.
-    pub(super) fn silence(&self, now: Time, holder: &UpstreamId) -> Option<Duration> {
-        self.contacts.get(holder)?.silence(now)
+    pub(super) fn unanswered_for(&self, now: Time, holder: &UpstreamId) -> Option<Duration> {
+        self.contacts.get(holder)?.unanswered_for(now)
     }
 
-    pub(super) fn take_back(
+    pub(super) fn begin_release(
         &mut self,
         now: Time,
         first: ShardKey,
@@ -152,7 +154,7 @@
         loss: Unowned,
     ) {
         let release = self.next_token();
-        let told_in = self.next_sequence;
+        let recorded_in = self.next_sequence;
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
         };
@@ -166,18 +168,18 @@
             next,
         };
         slice.set_phase(phase);
-        slice.told_in = told_in;
-        slice.due = now;
-        slice.settled_at = now;
+        slice.recorded_in = recorded_in;
+        slice.due_at = now;
+        slice.changed_at = now;
         slice.unowned = Some(loss);
         self.dirty = true;
     }
 
     /// Frees slices that nobody can hold any more.
-    pub(super) fn free_lapsed(&mut self, now: Time) {
-        let durable = self.durable;
+    pub(super) fn free_expired(&mut self, now: Time) {
+        let durable = self.durable_sequence;
         let waits = self.timing.guards.waits_for_lapse;
-        let last_lapses = self.lapse_together(now);
+        let grouped_expiries = self.grouped_expiries(now);
         let epoch = self.epoch;
         let standbys = &self.standbys;
         let waits_for_standbys = self.timing.guards.waits_for_standbys;
@@ -186,22 +188,25 @@
             let Phase::Leaving { holder, .. } = &slice.phase else {
                 continue;
             };
-            let grant_under_way = slice
-                .call
+            let grant_pending = slice
+                .pending_call
                 .and_then(|call| self.calls.get(&call))
                 .is_some_and(|call| call.hold.is_some());
-            let lapses = last_lapses.get(holder).copied().unwrap_or(slice.lapses);
-            let lapsed = now >= slice.lapses.max(lapses) || !waits;
-            let sequence = slice.told_in;
+            let expires_at = grouped_expiries
+                .get(holder)
+                .copied()
+                .unwrap_or(slice.expires_at);
+            let lapsed = now >= slice.expires_at.max(expires_at) || !waits;
+            let sequence = slice.recorded_in;
             let prolonged = standbys.hold_until(RecordNumber { epoch, sequence });
             let lapsed = lapsed && (now >= prolonged || !waits_for_standbys);
-            let lapsed = lapsed && !grant_under_way && slice.told_in <= durable;
-            let has_ended = self.dead.contains(holder);
+            let lapsed = lapsed && !grant_pending && slice.recorded_in <= durable;
+            let has_ended = self.ended.contains(holder);
             let doubt_end = slice.doubt.as_ref().map(|doubt| doubt.until);
             let left = doubt_end.unwrap_or_default().since(now);
             let is_doubted = waits && !left.is_zero() && !has_ended;
-            if lapsed && is_doubted && !slice.waits_in_doubt {
-                slice.waits_in_doubt = true;
+            if lapsed && is_doubted && !slice.awaits_doubt_end {
+                slice.awaits_doubt_end = true;
                 self.doubt_notices.push(DoubtNotice {
                     range: slice.range,
                     holder: holder.clone(),
@@ -214,8 +219,8 @@
             }
             if lapsed || has_ended {
                 slice.set_phase(Phase::Free { handover: None });
-                slice.call = None;
-                slice.lapses = now;
+                slice.pending_call = None;
+                slice.expires_at = now;
             }
         }
         for (holder, range) in lost {
@@ -226,15 +231,15 @@
 
     /// When the slices of each leaving holder have lapsed that lapse about now:
     /// freed together they fit one record.
-    fn lapse_together(&self, now: Time) -> BTreeMap<UpstreamId, Time> {
+    fn grouped_expiries(&self, now: Time) -> BTreeMap<UpstreamId, Time> {
         let mut last: BTreeMap<UpstreamId, Time> = BTreeMap::new();
         for slice in self.slices.values() {
             let Phase::Leaving { holder, .. } = &slice.phase else {
                 continue;
             };
-            if slice.lapses.since(now) < TOGETHER {
+            if slice.expires_at.since(now) < EXPIRY_GROUPING {
                 let last = last.entry(holder.clone()).or_default();
-                *last = slice.lapses.max(*last);
+                *last = slice.expires_at.max(*last);
             }
         }
         last
@@ -242,8 +247,8 @@
 
     /// Chooses holders for free slices, the least loaded upstream first.
     pub(super) fn assign_free(&mut self, now: Time) {
-        self.end_withholding(now);
-        self.return_doubted(now);
+        self.expire_withheld(now);
+        self.reassign_doubted(now);
         let free: Vec<ShardKey> = self
             .slices
             .values()
@@ -254,19 +259,20 @@
         if free.is_empty() {
             return;
         }
-        let mut seats = Seats::new(&self.loads(), self.takers(now).into_iter());
+        let mut queue =
+            LeastLoadedQueue::new(&self.loads(), self.eligible_holders(now).into_iter());
         for first in free {
             let weight = self.weight(self.slices[&first].range);
-            let Some(id) = seats.take(weight) else {
+            let Some(id) = queue.take(weight) else {
                 return;
             };
-            self.give(now, first, id);
+            self.assign(now, first, id);
         }
     }
 
-    pub(super) fn give(&mut self, now: Time, first: ShardKey, holder: UpstreamId) {
+    pub(super) fn assign(&mut self, now: Time, first: ShardKey, holder: UpstreamId) {
         let token = self.next_token();
-        let told_in = self.next_sequence;
+        let recorded_in = self.next_sequence;
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
         };
@@ -274,7 +280,7 @@
             return;
         };
         if let Some(contact) = self.contacts.get_mut(&holder) {
-            contact.forgive();
+            contact.clear_silence();
         }
         let handover = handover.clone();
         slice.set_phase(Phase::Held {
@@ -282,15 +288,15 @@
             token,
             handover,
         });
-        slice.told_in = told_in;
-        slice.due = now;
-        slice.settled_at = now;
+        slice.recorded_in = recorded_in;
+        slice.due_at = now;
+        slice.changed_at = now;
         self.dirty = true;
     }
 
     pub(super) fn weight(&self, range: KeyRange) -> f64 {
         let share = f64::from(range.len()) / f64::from(KeyRange::ALL.len());
-        self.load.of(range) + IDLE_WEIGHT * share
+        self.load.of_range(range) + IDLE_WEIGHT * share
     }
 
     /// Weight of what each upstream holds.
--- a/crates/sharding/src/granter/seats.rs
+++ b/crates/sharding/src/granter/least_loaded.rs
@@ -12,7 +12,7 @@
 
 /// An upstream by its load.
 #[derive(Clone, Copy, Debug)]
-struct Seat {
+struct QueuedUpstream {
     /// Weight of what it holds.
     load: f64,
     /// Requests a second that it can work on.
@@ -21,64 +21,64 @@
     index: usize,
 }
 
-impl Seat {
-    fn relative(&self) -> f64 {
+impl QueuedUpstream {
+    fn utilization(&self) -> f64 {
         self.load / self.capacity
     }
 }
 
-impl Ord for Seat {
+impl Ord for QueuedUpstream {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_load = self.relative().total_cmp(&other.relative());
+        let by_load = self.utilization().total_cmp(&other.utilization());
         by_load.then(self.index.cmp(&other.index))
     }
 }
 
-impl PartialOrd for Seat {
+impl PartialOrd for QueuedUpstream {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Seat {
+impl PartialEq for QueuedUpstream {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Seat {}
+impl Eq for QueuedUpstream {}
 
 /// Upstreams that take free slices, the least loaded one first.
 #[derive(Debug)]
-pub(super) struct Seats {
+pub(super) struct LeastLoadedQueue {
     upstreams: Vec<UpstreamId>,
-    free: BinaryHeap<Reverse<Seat>>,
+    queue: BinaryHeap<Reverse<QueuedUpstream>>,
 }
 
-impl Seats {
+impl LeastLoadedQueue {
     /// Of upstreams and the weight of what each holds.
     pub fn new<'a>(
         loads: &BTreeMap<UpstreamId, f64>,
         upstreams: impl Iterator<Item = &'a Candidate>,
     ) -> Self {
-        let mut seats = Self {
+        let mut queue = Self {
             upstreams: Vec::new(),
-            free: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
         };
         for (index, candidate) in upstreams.enumerate() {
-            seats.upstreams.push(candidate.id.clone());
-            seats.free.push(Reverse(Seat {
+            queue.upstreams.push(candidate.id.clone());
+            queue.queue.push(Reverse(QueuedUpstream {
                 load: loads.get(&candidate.id).copied().unwrap_or_default(),
                 capacity: candidate.capacity.max(f64::MIN_POSITIVE),
                 index,
             }));
         }
-        seats
+        queue
     }
 
     /// The upstream that gets a slice of that weight; none if there is no upstream.
     pub fn take(&mut self, weight: f64) -> Option<UpstreamId> {
-        let mut least = self.free.peek_mut()?;
+        let mut least = self.queue.peek_mut()?;
         least.0.load += weight;
         Some(self.upstreams[least.0.index].clone())
     }
--- a/crates/sharding/src/granter/lost_holders.rs
+++ b/crates/sharding/src/granter/lost_holders.rs
@@ -17,8 +17,9 @@
         for UnfencedUpstream { upstream, ranges } in unfenced {
             for range in ranges {
                 let mut slices = self.slices.values();
-                let has = slices
-                    .any(|slice| slice.current() == Some(upstream) && slice.range.overlaps(*range));
+                let has = slices.any(|slice| {
+                    slice.current_holder() == Some(upstream) && slice.range.overlaps(*range)
+                });
                 if !has {
                     let token = self.next_token();
                     self.lost_holders.add(now, upstream, *range, token);
@@ -47,7 +48,7 @@
 
     /// Releases that are due to upstreams that lost keys without an answer.
     pub(super) fn fence_orders(&mut self, now: Time) -> Vec<GrantOrder> {
-        self.settle_lost_holders(now);
+        self.remove_fenced(now);
         if self.lost_holders.count() == 0 {
             return Vec::new();
         }
@@ -71,8 +72,8 @@
     }
 
     /// Takes the answer to a release of that kind.
-    pub(super) fn fence_answered(&mut self, now: Time, call: CallId, reply: &GrantReply) {
-        let Some(upstream) = self.lost_holders.asked(call) else {
+    pub(super) fn handle_fence_reply(&mut self, now: Time, call: CallId, reply: &GrantReply) {
+        let Some(upstream) = self.lost_holders.recipient(call) else {
             return;
         };
         if *reply == GrantReply::Replaced {
@@ -80,15 +81,15 @@
             return;
         }
         self.lost_holders.handle_reply(now, &upstream, call, reply);
-        self.settle_lost_holders(now);
+        self.remove_fenced(now);
     }
 
     /// Upstreams that have answered may get keys again.
-    fn settle_lost_holders(&mut self, now: Time) {
-        for upstream in self.lost_holders.settle(now) {
+    fn remove_fenced(&mut self, now: Time) {
+        for upstream in self.lost_holders.remove_settled(now) {
             self.end_earlier_fences(&upstream);
             if let Some(contact) = self.contacts.get_mut(&upstream) {
-                contact.forgive();
+                contact.clear_silence();
             }
         }
     }
--- a/crates/sharding/src/granter/moves.rs
+++ b/crates/sharding/src/granter/moves.rs
@@ -1,7 +1,9 @@
 //! Moves for the sake of balance.
 
 use super::Granter;
-use crate::balance::{BalanceLimits, Holding, MoveRoom, MoveStep, Seat, plan_moves};
+use crate::balance::{
+    BalanceLimits, MoveBudget, SliceHolding, SliceMove, UpstreamCapacity, plan_moves,
+};
 use crate::range::{KeyRange, ShardKey};
 use crate::slice::{LossCause, Slice, Unowned};
 use beamtray_types::Time;
@@ -13,38 +15,42 @@
         if self.withholds_any() {
             return 0;
         }
-        let most = (self.candidates.len() as f64 * limits.max_overload_moves_share) as usize;
-        let moving = self.slices.values().filter(|slice| slice.next().is_some());
+        let max_overload_moves =
+            (self.candidates.len() as f64 * limits.max_overload_moves_share) as usize;
+        let moving = self
+            .slices
+            .values()
+            .filter(|slice| slice.next_holder().is_some());
         let moving = moving.count();
-        let room = MoveRoom {
-            usual: limits.max_moves.saturating_sub(moving),
-            urgent: most.saturating_sub(moving),
+        let budget = MoveBudget {
+            balancing: limits.max_moves.saturating_sub(moving),
+            overload: max_overload_moves.saturating_sub(moving),
         };
-        if room.usual.max(room.urgent) == 0 {
+        if budget.balancing.max(budget.overload) == 0 {
             return 0;
         }
-        let seats: Vec<Seat> = self
-            .takers(now)
+        let upstreams: Vec<UpstreamCapacity> = self
+            .eligible_holders(now)
             .into_iter()
-            .map(|candidate| Seat {
+            .map(|candidate| UpstreamCapacity {
                 id: candidate.id.clone(),
                 capacity: candidate.capacity,
             })
             .collect();
-        let holdings: Vec<Holding> = self
+        let holdings: Vec<SliceHolding> = self
             .slices
             .values()
             .filter_map(|slice| {
                 // What is on its way to an upstream counts there.
-                let holder = slice.holder().or(slice.next())?;
-                Some(Holding {
+                let holder = slice.holder().or(slice.next_holder())?;
+                Some(SliceHolding {
                     range: slice.range,
                     holder: holder.clone(),
                     movable: self.is_movable(now, slice, limits),
                 })
             })
             .collect();
-        let steps = plan_moves(&seats, &holdings, &self.load, limits, room);
+        let steps = plan_moves(&upstreams, &holdings, &self.load, limits, budget);
         let moved = steps.len();
         for step in steps {
             self.start_move(now, step);
@@ -53,28 +59,28 @@
     }
 
     pub(super) fn is_movable(&self, now: Time, slice: &Slice, limits: &BalanceLimits) -> bool {
-        slice.call.is_none()
-            && slice.told_in <= self.durable
+        slice.pending_call.is_none()
+            && slice.recorded_in <= self.durable_sequence
             && slice.doubt.is_none()
             && slice
                 .holder()
-                .is_some_and(|holder| self.silence(now, holder).is_none())
-            && now.since(slice.settled_at) >= limits.move_cooldown
+                .is_some_and(|holder| self.unanswered_for(now, holder).is_none())
+            && now.since(slice.changed_at) >= limits.move_cooldown
     }
 
-    pub(super) fn start_move(&mut self, now: Time, step: MoveStep) {
-        let Some(first) = self.carve(step.range) else {
+    pub(super) fn start_move(&mut self, now: Time, step: SliceMove) {
+        let Some(first) = self.isolate(step.range) else {
             return;
         };
         let loss = Unowned {
             cause: LossCause::Balance,
             since: now,
         };
-        self.take_back(now, first, Some(step.to), loss);
+        self.begin_release(now, first, Some(step.to), loss);
     }
 
     /// Splits slices so that `range` is one by itself; its first key.
-    pub(super) fn carve(&mut self, range: KeyRange) -> Option<ShardKey> {
+    pub(super) fn isolate(&mut self, range: KeyRange) -> Option<ShardKey> {
         self.split(range.first);
         if range.last < KeyRange::ALL.last {
             self.split(ShardKey(range.last.0 + 1));
@@ -87,7 +93,7 @@
         let Some((_, slice)) = self.slices.range_mut(..=at).next_back() else {
             return;
         };
-        if slice.call.is_some() {
+        if slice.pending_call.is_some() {
             return;
         }
         let Some((below, above)) = slice.range.split_at(at) else {
--- a/crates/sharding/src/granter/orders.rs
+++ b/crates/sharding/src/granter/orders.rs
@@ -28,34 +28,34 @@
 
 /// Orders under way at once where there are few slices: a tenth of a core handles them in
 /// time if an order takes 0.5 ms of a whole one.
-const FEW_SLICES: usize = 48;
+const MIN_WINDOW_LIMIT: usize = 48;
 /// Least orders under way at once, however slow the machine is.
-const LEAST: f64 = 4.0;
+const MIN_WINDOW: f64 = 4.0;
 /// What is left of the window after an order was given up on.
-const KEPT: f64 = 0.5;
+const WINDOW_DECREASE: f64 = 0.5;
 /// Most orders under way at once: connections that are opened at the same time.
-const MOST: usize = 256;
+const MAX_WINDOW: usize = 256;
 
 /// How far the window has shrunk.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OrderWindow {
     /// Orders under way at once, if that is less than what renewals need.
     size: f64,
-    cut_at: Option<Time>,
+    shrunk_at: Option<Time>,
 }
 
 impl Default for OrderWindow {
     fn default() -> Self {
         Self {
-            size: MOST as f64,
-            cut_at: None,
+            size: MAX_WINDOW as f64,
+            shrunk_at: None,
         }
     }
 }
 
 /// Orders that are under way, or may be given.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
+struct OrderRoom {
     /// To holders that answer.
     answering: usize,
     /// To holders that left grants unanswered.
@@ -80,7 +80,7 @@
     urgency: Urgency,
     first: ShardKey,
     /// Whether the order goes to a holder that left grants unanswered.
-    to_silent: bool,
+    is_silent: bool,
 }
 
 impl Granter {
@@ -89,16 +89,16 @@
         if !self.knows_candidates {
             return Vec::new();
         }
-        self.found(now);
+        self.create_slices(now);
         self.polled_at = now;
-        self.take_from_leavers(now);
-        self.end_doubts(now);
-        self.free_lapsed(now);
+        self.revoke_from_leavers(now);
+        self.expire_doubts(now);
+        self.free_expired(now);
         self.assign_free(now);
         let mut room = self.room(now);
         let mut orders = Vec::new();
         for due in self.due_slices(now) {
-            let left = match due.to_silent {
+            let left = match due.is_silent {
                 true => &mut room.silent,
                 false => &mut room.answering,
             };
@@ -119,25 +119,25 @@
         let due = self
             .slices
             .values()
-            .filter(|slice| slice.call.is_none() && now >= slice.due);
+            .filter(|slice| slice.pending_call.is_none() && now >= slice.due_at);
         let mut due: Vec<DueOrder> = due.map(|slice| self.due_order(now, slice)).collect();
         due.sort();
         due
     }
 
     fn due_order(&self, now: Time, slice: &Slice) -> DueOrder {
-        let to_silent = slice
-            .current()
-            .is_some_and(|holder| self.silence(now, holder).is_some());
+        let is_silent = slice
+            .current_holder()
+            .is_some_and(|holder| self.unanswered_for(now, holder).is_some());
         let urgency = match slice.unowned {
             Some(_) => Urgency::Unowned,
-            None if to_silent => Urgency::Silent(Reverse(slice.lapses)),
-            None => Urgency::Held(slice.lapses),
+            None if is_silent => Urgency::Silent(Reverse(slice.expires_at)),
+            None => Urgency::Held(slice.expires_at),
         };
         DueOrder {
             urgency,
             first: slice.range.first,
-            to_silent,
+            is_silent,
         }
     }
 
@@ -146,8 +146,9 @@
         self.renew_block(now, first);
         let hold = self.timing.pace(self.slices.len()).hold;
         let slice = self.slices.get_mut(&first)?;
-        let told = slice.told_in <= self.durable || !self.timing.guards.records_first;
-        if slice.call.is_some() || now < slice.due || !told {
+        let is_recorded =
+            slice.recorded_in <= self.durable_sequence || !self.timing.guards.records_first;
+        if slice.pending_call.is_some() || now < slice.due_at || !is_recorded {
             return None;
         }
         let (holder, token, kind) = match &slice.phase {
@@ -185,7 +186,7 @@
             false => token,
         };
         self.next_call += 1;
-        slice.call = Some(call);
+        slice.pending_call = Some(call);
         let sent = Call {
             sent: now,
             first,
@@ -213,39 +214,39 @@
     }
 
     /// How many orders may be given now.
-    fn room(&self, now: Time) -> Room {
-        let mut under_way = Room::default();
+    fn room(&self, now: Time) -> OrderRoom {
+        let mut pending = OrderRoom::default();
         for call in self.calls.values() {
-            if self.silence(now, &call.holder).is_some() {
-                under_way.silent += 1;
-            } else if call.hold.is_some() || now.since(call.sent) < self.in_time() {
-                under_way.answering += 1;
+            if self.unanswered_for(now, &call.holder).is_some() {
+                pending.silent += 1;
+            } else if call.hold.is_some() || now.since(call.sent) < self.timely_answer() {
+                pending.answering += 1;
             }
         }
         let window = self.window();
-        Room {
-            answering: window.saturating_sub(under_way.answering),
-            silent: (window / 2).saturating_sub(under_way.silent),
+        OrderRoom {
+            answering: window.saturating_sub(pending.answering),
+            silent: (window / 2).saturating_sub(pending.silent),
         }
     }
 
     /// Most orders under way at once.
     fn window(&self) -> usize {
-        self.needed().min(self.window.size as usize)
+        self.renewal_window().min(self.window.size as usize)
     }
 
     /// Orders under way at once that renewals need.
-    fn needed(&self) -> usize {
+    fn renewal_window(&self) -> usize {
         let renewal = self.timing.pace(self.slices.len()).renewal;
-        let answered_in = self.in_time().as_secs_f64();
+        let answered_in = self.timely_answer().as_secs_f64();
         let needed = self.slices.len() as f64 * answered_in / renewal.as_secs_f64();
-        (needed.ceil() as usize).clamp(FEW_SLICES, MOST)
+        (needed.ceil() as usize).clamp(MIN_WINDOW_LIMIT, MAX_WINDOW)
     }
 
-    /// Follows the answers to grants. `gave_up_first` tells of a grant that was given up on
+    /// Follows the answers to grants. `was_answering` tells of a grant that was given up on
     /// though its holder was not silent.
-    pub(super) fn follow_answer(&mut self, now: Time, answered: bool, gave_up_first: bool) {
-        let needed = self.needed() as f64;
+    pub(super) fn adjust_window(&mut self, now: Time, answered: bool, was_answering: bool) {
+        let needed = self.renewal_window() as f64;
         let window = &mut self.window;
         if answered {
             window.size = (window.size + 1.0).min(needed);
@@ -253,15 +254,15 @@
         }
         // Orders that were given before the last cut tell nothing new.
         let wait = self.timing.order_timeout;
-        let is_new = window.cut_at.is_none_or(|at| now.since(at) >= wait);
-        if gave_up_first && is_new {
-            window.size = (window.size.min(needed) * KEPT).max(LEAST);
-            window.cut_at = Some(now);
+        let is_new = window.shrunk_at.is_none_or(|at| now.since(at) >= wait);
+        if was_answering && is_new {
+            window.size = (window.size.min(needed) * WINDOW_DECREASE).max(MIN_WINDOW);
+            window.shrunk_at = Some(now);
         }
     }
 
     /// How long an answer may take where the machine keeps pace.
-    fn in_time(&self) -> Duration {
+    fn timely_answer(&self) -> Duration {
         self.timing.order_timeout / 2
     }
 }
--- a/crates/sharding/src/granter/replies.rs
+++ b/crates/sharding/src/granter/replies.rs
@@ -1,6 +1,6 @@
 //! What a reply to an order changes.
 
-use super::{AVOID, Call, CandidateState, Granter};
+use super::{Call, CandidateState, EXCLUSION_PERIOD, Granter};
 use crate::order::{CallId, GrantReply, Handover};
 use crate::range::ShardKey;
 use crate::slice::{OwnedAgain, Phase, Slice};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Pause after an order that was refused or not answered.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Mixes the first keys of slices.
 const SPREAD_FACTOR: u16 = 40_503;
 /// Steps over which renewals are spread.
@@ -23,36 +23,36 @@
     /// the order was on its way.
     pub fn handle_reply(&mut self, now: Time, call: CallId, reply: GrantReply) {
         let Some(sent) = self.calls.remove(&call) else {
-            self.fence_answered(now, call, &reply);
+            self.handle_fence_reply(now, call, &reply);
             return;
         };
         if reply == GrantReply::Replaced {
             self.mark_ended(&sent.holder);
         }
         if sent.hold.is_some() {
-            let was_silent = self.silence(now, &sent.holder).is_some();
+            let was_silent = self.unanswered_for(now, &sent.holder).is_some();
             let answered = matches!(reply, GrantReply::Granted | GrantReply::Outdated);
-            self.follow_answer(now, answered, !was_silent);
-            self.note_contact(now, call, &sent.holder, &reply);
+            self.adjust_window(now, answered, !was_silent);
+            self.record_contact(now, call, &sent.holder, &reply);
         }
         let Some(slice) = self.slices.get_mut(&sent.first) else {
             return;
         };
-        if slice.call != Some(call) || slice.current() != Some(&sent.holder) {
+        if slice.pending_call != Some(call) || slice.current_holder() != Some(&sent.holder) {
             return;
         }
-        slice.call = None;
+        slice.pending_call = None;
         match sent.hold {
             Some(hold) => {
-                self.follow_doubt(now, &sent, hold, &reply);
-                self.granted(now, sent.first, hold, &reply);
+                self.track_doubt(now, &sent, hold, &reply);
+                self.handle_grant_reply(now, sent.first, hold, &reply);
             }
-            None => self.released(now, sent.first, reply),
+            None => self.handle_release_reply(now, sent.first, reply),
         }
     }
 
     /// Follows whether a grant may lie with its holder.
-    fn follow_doubt(&mut self, now: Time, sent: &Call, hold: Duration, reply: &GrantReply) {
+    fn track_doubt(&mut self, now: Time, sent: &Call, hold: Duration, reply: &GrantReply) {
         match reply {
             GrantReply::InDoubt | GrantReply::BrokenOff => {
                 self.doubt_grant(now, sent, hold);
@@ -67,7 +67,7 @@
         }
     }
 
-    fn note_contact(&mut self, now: Time, call: CallId, holder: &UpstreamId, reply: &GrantReply) {
+    fn record_contact(&mut self, now: Time, call: CallId, holder: &UpstreamId, reply: &GrantReply) {
         let last_answered = self
             .candidates
             .get(holder)
@@ -94,20 +94,26 @@
 
     /// Takes the answer to a grant.
     ///
-    /// Invariant: `lapses` is not before the end of any grant that the holder
+    /// Invariant: `expires_at` is not before the end of any grant that the holder
     /// may have taken. A shorter grant does not end a longer one that stands.
-    fn granted(&mut self, now: Time, first: ShardKey, hold: Duration, reply: &GrantReply) {
+    fn handle_grant_reply(
+        &mut self,
+        now: Time,
+        first: ShardKey,
+        hold: Duration,
+        reply: &GrantReply,
+    ) {
         let timing = self.timing;
         let renewal = timing.pace(self.slices.len()).renewal;
         let token = self.slices.get(&first).and_then(Slice::token);
-        let went_on = self.went_on(now, token);
+        let moved_unseen = self.moved_unseen(now, token);
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
         };
         match reply {
             GrantReply::Granted => {
-                slice.lapses = slice.lapses.max(now + timing.bound(hold));
-                slice.due = now + spread(renewal, first);
+                slice.expires_at = slice.expires_at.max(now + timing.bound(hold));
+                slice.due_at = now + spread(renewal, first);
                 if let Phase::Held { handover, .. } = &mut slice.phase {
                     *handover = None;
                     let unowned = slice.unowned.take();
@@ -121,38 +127,38 @@
             }
             GrantReply::Unanswered | GrantReply::InDoubt | GrantReply::BrokenOff => {
                 if timing.guards.counts_unanswered {
-                    let lapses = now + timing.transit + timing.bound(hold);
-                    slice.lapses = slice.lapses.max(lapses);
+                    let expires_at = now + timing.transit + timing.bound(hold);
+                    slice.expires_at = slice.expires_at.max(expires_at);
                 }
-                slice.due = now + RETRY;
+                slice.due_at = now + RETRY_DELAY;
             }
-            GrantReply::Outdated if went_on => self.lose_sight(now, first),
-            GrantReply::Outdated => self.raise_token(now, first),
+            GrantReply::Outdated if moved_unseen => self.withhold_slice(now, first),
+            GrantReply::Outdated => self.renew_token(now, first),
             GrantReply::Undelivered
             | GrantReply::Rejected
             | GrantReply::Replaced
             | GrantReply::Released(_) => {
-                slice.due = now + RETRY;
+                slice.due_at = now + RETRY_DELAY;
             }
         }
         if let Some(slice) = self.slices.get_mut(&first)
             && matches!(slice.phase, Phase::Leaving { .. })
         {
             // A grant that was under way when the slice began to leave.
-            slice.due = now;
+            slice.due_at = now;
         }
     }
 
     /// The holder has seen a higher token, of a standby or of a block that no record names: it
     /// is renewed under a fresh one.
-    fn raise_token(&mut self, now: Time, first: ShardKey) {
+    fn renew_token(&mut self, now: Time, first: ShardKey) {
         self.take_block(first);
         if let Some(slice) = self.slices.get_mut(&first) {
-            slice.due = now;
+            slice.due_at = now;
         }
     }
 
-    pub(super) fn released(&mut self, now: Time, first: ShardKey, reply: GrantReply) {
+    pub(super) fn handle_release_reply(&mut self, now: Time, first: ShardKey, reply: GrantReply) {
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
         };
@@ -163,18 +169,18 @@
         match reply {
             GrantReply::Released(handover) => {
                 if let Some(contact) = self.contacts.get_mut(&holder) {
-                    contact.forgive();
+                    contact.clear_silence();
                 }
-                self.freed(now, first, handover, next);
+                self.free_slice(now, first, handover, next);
             }
-            GrantReply::Replaced => self.freed(now, first, None, next),
+            GrantReply::Replaced => self.free_slice(now, first, None, next),
             GrantReply::Outdated => {
                 let fresh = self.next_token();
                 if let Some(slice) = self.slices.get_mut(&first)
                     && let Phase::Leaving { release, .. } = &mut slice.phase
                 {
                     *release = fresh;
-                    slice.due = now;
+                    slice.due_at = now;
                 }
             }
             GrantReply::Granted
@@ -183,16 +189,16 @@
             | GrantReply::BrokenOff
             | GrantReply::InDoubt
             | GrantReply::Unanswered => {
-                slice.due = now + RETRY;
+                slice.due_at = now + RETRY_DELAY;
                 // It is as silent as when it lost the keys.
-                if let Some(until) = self.avoided.get_mut(&holder) {
-                    *until = now + AVOID;
+                if let Some(until) = self.excluded_until.get_mut(&holder) {
+                    *until = now + EXCLUSION_PERIOD;
                 }
             }
         }
     }
 
-    pub(super) fn freed(
+    pub(super) fn free_slice(
         &mut self,
         now: Time,
         first: ShardKey,
@@ -203,7 +209,7 @@
             return;
         };
         slice.set_phase(Phase::Free { handover });
-        slice.lapses = now;
+        slice.expires_at = now;
         let ready = |id: &UpstreamId| {
             self.candidates
                 .get(id)
@@ -219,7 +225,7 @@
             .get(&first)
             .is_some_and(|one| one.doubt.is_some());
         if let Some(next) = next.filter(ready).filter(|_| !is_withheld && !is_doubted) {
-            self.give(now, first, next);
+            self.assign(now, first, next);
         }
     }
 }
--- a/crates/sharding/src/granter/restarts.rs
+++ b/crates/sharding/src/granter/restarts.rs
@@ -11,7 +11,7 @@
 //! nothing named the one before, so nobody told the restart of a token for three seconds.
 
 use super::{Candidate, Granter};
-use crate::lost_holders::FORGOTTEN_AFTER;
+use crate::lost_holders::FORGET_AFTER;
 use crate::range::KeyRange;
 use crate::slice::Slice;
 use beamtray_catalog::{UpstreamId, UpstreamName};
@@ -20,11 +20,11 @@
 
 impl Granter {
     /// Remembers those that are not among the next candidates.
-    pub(super) fn note_departed(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
-        self.departed
-            .retain(|id, at| now.since(*at) < FORGOTTEN_AFTER && !next.contains_key(id));
+    pub(super) fn record_departures(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
+        self.departed_at
+            .retain(|id, at| now.since(*at) < FORGET_AFTER && !next.contains_key(id));
         let gone = self.candidates.keys().filter(|id| !next.contains_key(*id));
-        self.departed.extend(gone.map(|id| (id.clone(), now)));
+        self.departed_at.extend(gone.map(|id| (id.clone(), now)));
     }
 
     /// Fences those of the next candidates that have started again.
@@ -34,10 +34,10 @@
         if new.is_empty() || !self.timing.guards.fences_lost_holders {
             return;
         }
-        let known = self.known_by_name();
+        let known = self.known_incarnations();
         let is_restart = |id: &&UpstreamId| {
             let before = known.get(&id.name);
-            before.is_some_and(|before| before.iter().any(|one| id.is_restart_of(one)))
+            before.is_some_and(|before| before.iter().any(|id_before| id.is_restart_of(id_before)))
         };
         let restarted = new.into_iter().filter(is_restart);
         let restarted: Vec<UpstreamId> = restarted.cloned().collect();
@@ -49,10 +49,10 @@
     }
 
     /// All incarnations that hold keys, did of late, or could have.
-    fn known_by_name(&self) -> BTreeMap<&UpstreamName, Vec<&UpstreamId>> {
-        let holders = self.slices.values().filter_map(Slice::current);
+    fn known_incarnations(&self) -> BTreeMap<&UpstreamName, Vec<&UpstreamId>> {
+        let holders = self.slices.values().filter_map(Slice::current_holder);
         let known = self.candidates.keys().chain(self.contacts.keys());
-        let known = known.chain(holders).chain(self.departed.keys());
+        let known = known.chain(holders).chain(self.departed_at.keys());
         let known = known.chain(self.lost_holders.upstreams());
         let mut by_name: BTreeMap<&UpstreamName, Vec<&UpstreamId>> = BTreeMap::new();
         for id in known {
@@ -65,6 +65,6 @@
     pub(super) fn end_earlier_fences(&mut self, fenced: &UpstreamId) {
         let candidates = &self.candidates;
         self.lost_holders
-            .end(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
+            .remove_ended(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
     }
 }
--- a/crates/sharding/src/granter/standbys.rs
+++ b/crates/sharding/src/granter/standbys.rs
@@ -7,7 +7,7 @@
 impl Granter {
     /// States which nodes are to be standbys.
     pub fn set_standbys(&mut self, now: Time, wanted: &[StandbyId]) {
-        self.dirty |= self.standbys.want(now, wanted, self.next_sequence);
+        self.dirty |= self.standbys.set_wanted(now, wanted, self.next_sequence);
     }
 
     /// The standbys that the next record names.
@@ -18,22 +18,22 @@
     /// Standbys that are to be sent a word, which lets them prolong holds for a
     /// while.
     pub fn standbys_to_authorize(&self, now: Time) -> Vec<StandbyId> {
-        self.standbys.words(now, self.durable)
+        self.standbys.to_authorize(now, self.durable_sequence)
     }
 
     /// Notes that a standby is sent a word. To be called only with authority to
     /// grant, and for every service.
     pub fn standby_authorized(&mut self, now: Time, id: &StandbyId) {
-        self.standbys.word_sent(now, id);
+        self.standbys.mark_authorized(now, id);
     }
 
     /// Takes what a standby tells.
-    pub fn standby_reported(&mut self, now: Time, id: &StandbyId, answer: StandbyStatus) {
-        self.standbys.answered(now, id, answer);
+    pub fn standby_reported(&mut self, now: Time, id: &StandbyId, status: StandbyStatus) {
+        self.standbys.apply_status(now, id, status);
     }
 
     /// Notes that the process of a standby has ended.
     pub fn standby_ended(&mut self, now: Time, id: &StandbyId) {
-        self.standbys.ended(now, id);
+        self.standbys.mark_ended(now, id);
     }
 }
--- a/crates/sharding/src/granter/tokens.rs
+++ b/crates/sharding/src/granter/tokens.rs
@@ -30,8 +30,8 @@
 impl Granter {
     /// A token above all that this granter has taken, the last one of its block.
     pub(super) fn next_token(&mut self) -> FencingToken {
-        self.blocks += 1;
-        FencingToken::last_of_block(self.epoch, self.blocks)
+        self.token_blocks += 1;
+        FencingToken::last_in_block(self.epoch, self.token_blocks)
     }
 
     /// Gives a slice a fresh block where the one that it has is used up.
@@ -39,7 +39,7 @@
         let slice = self.slices.get(&first);
         let is_used_up = slice.is_some_and(|slice| slice.tokens == BlockUse::UsedUp);
         let token = slice.and_then(Slice::token);
-        if is_used_up && self.timing.guards.renews_tokens && !self.went_on(now, token) {
+        if is_used_up && self.timing.guards.renews_tokens && !self.moved_unseen(now, token) {
             self.take_block(first);
         }
     }
@@ -59,15 +59,15 @@
 impl Slice {
     /// The token of the next order under the block that ends with `last`.
     pub(super) fn take_order_token(&mut self, last: FencingToken) -> FencingToken {
-        let BlockUse::Given(given) = self.tokens else {
+        let BlockUse::Used(used) = self.tokens else {
             self.tokens = BlockUse::UsedUp;
             return last;
         };
-        let Some(token) = last.of_order(given) else {
+        let Some(token) = last.nth_in_block(used) else {
             self.tokens = BlockUse::UsedUp;
             return last;
         };
-        self.tokens = BlockUse::Given(given + 1);
+        self.tokens = BlockUse::Used(used + 1);
         token
     }
 }
--- a/crates/sharding/src/granter/withheld.rs
+++ b/crates/sharding/src/granter/withheld.rs
@@ -56,21 +56,21 @@
 
     /// Whether an answer "outdated" tells that the keys went on to a holder that the record
     /// which was taken over does not name.
-    pub(super) fn went_on(&self, now: Time, token: Option<FencingToken>) -> bool {
+    pub(super) fn moved_unseen(&self, now: Time, token: Option<FencingToken>) -> bool {
         let is_inherited = token < Some(FencingToken::new(self.epoch, 0));
         now < self.record_doubted_until && is_inherited
     }
 
     /// Nobody is known to hold a slice, and somebody may.
-    pub(super) fn lose_sight(&mut self, now: Time, first: ShardKey) {
+    pub(super) fn withhold_slice(&mut self, now: Time, first: ShardKey) {
         let until = self.record_doubted_until;
-        let told_in = self.next_sequence;
+        let recorded_in = self.next_sequence;
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
         };
         slice.set_phase(Phase::Free { handover: None });
-        slice.told_in = told_in;
-        slice.settled_at = now;
+        slice.recorded_in = recorded_in;
+        slice.changed_at = now;
         let range = slice.range;
         self.withheld.push(WithheldKeys { range, until });
         self.dirty = true;
@@ -86,7 +86,7 @@
     }
 
     /// Forgets keys that somebody may hold again.
-    pub(super) fn end_withholding(&mut self, now: Time) {
+    pub(super) fn expire_withheld(&mut self, now: Time) {
         if self.withheld.is_empty() {
             return;
         }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -16,7 +16,9 @@
 mod slice;
 mod standby;
 
-pub use balance::{BalanceLimits, Holding, MoveRoom, MoveStep, Seat, plan_moves};
+pub use balance::{
+    BalanceLimits, MoveBudget, SliceHolding, SliceMove, UpstreamCapacity, plan_moves,
+};
 pub use granter::{
     Candidate, CandidateState, Contact, DoubtNotice, GrantPace, Granter, GranterGuards,
     GranterTiming, UnansweredGrants,
--- a/crates/sharding/src/load.rs
+++ b/crates/sharding/src/load.rs
@@ -27,7 +27,7 @@
     }
 
     /// Load of a range.
-    pub fn of(&self, range: KeyRange) -> f64 {
+    pub fn of_range(&self, range: KeyRange) -> f64 {
         self.by_key
             .range(range.first..=range.last)
             .map(|(_, count)| count)
--- a/crates/sharding/src/lost_holders.rs
+++ b/crates/sharding/src/lost_holders.rs
@@ -23,28 +23,28 @@
 /// Between two releases to an upstream that has not answered one. The sooner it is told
 /// after a cut, the fewer old orders come before: they come at steps of retransmission,
 /// which double from 0.2 s.
-const PAUSE: Duration = Duration::from_millis(200);
+const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
 /// After this a release that has no answer is not counted on any more: a connection that
 /// does not come up is given up on sooner, and orders are waited for as long.
-const COUNTED_ON: Duration = Duration::from_millis(500);
+const ACTIVE_PERIOD: Duration = Duration::from_millis(500);
 /// Most releases to one upstream that are counted on. The second one goes out before the
 /// first is given up on, which takes as long as a connection may take to come up. More of
 /// them hold up a granter that is late with everything: with one every 0.2 s however many
 /// were under way, it served 60 in 100 requests of the simulator, and 78 with two.
-const MOST_COUNTED_ON: usize = 2;
+const MAX_ACTIVE_PER_UPSTREAM: usize = 2;
 /// Most releases to one upstream that are under way at all. One that takes connections and
 /// says nothing leaves each of them open for 3 s, so that it is told each 0.5 s.
-const MOST_UNDER_WAY: usize = 6;
+const MAX_PENDING_PER_UPSTREAM: usize = 6;
 /// Most releases that are counted on over all upstreams of a service. Each waits 0.35 s for
 /// a connection, so these are 140 a second, and who was told longest ago is told first.
-const MOST_IN_ALL: usize = 48;
+const MAX_ACTIVE_TOTAL: usize = 48;
 /// Between two looks at whether a release to an upstream is due, which go through the
 /// slices.
-const LOOK: Duration = Duration::from_millis(30);
+const CHECK_INTERVAL: Duration = Duration::from_millis(30);
 /// How long an upstream that is not registered any more is told. What was written before
 /// it vanished comes by the retransmission after 51 s at the latest; senders reset their
 /// connections long before that.
-pub(crate) const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+pub(crate) const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 /// An upstream that may still take old grants of keys that it lost.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -92,33 +92,33 @@
     /// Since when it is not registered.
     missing_since: Option<Time>,
     /// When a release of these keys was last sent.
-    told: BTreeMap<KeyRange, Time>,
-    under_way: BTreeMap<CallId, SentRelease>,
+    released_at: BTreeMap<KeyRange, Time>,
+    pending: BTreeMap<CallId, SentRelease>,
     /// When it is looked at next.
-    look_at: Time,
+    check_at: Time,
 }
 
 impl LostHolder {
-    fn counted_on(&self, now: Time) -> usize {
-        let under_way = self.under_way.values();
-        let counted_on = under_way.filter(|sent| now.since(sent.at) < COUNTED_ON);
-        counted_on.count()
+    fn active_releases(&self, now: Time) -> usize {
+        let pending = self.pending.values();
+        let active = pending.filter(|sent| now.since(sent.at) < ACTIVE_PERIOD);
+        active.count()
     }
 
     /// Releases that may be sent to it.
     fn room(&self, now: Time) -> usize {
-        let counted_on = MOST_COUNTED_ON.saturating_sub(self.counted_on(now));
-        counted_on.min(MOST_UNDER_WAY.saturating_sub(self.under_way.len()))
+        let active_room = MAX_ACTIVE_PER_UPSTREAM.saturating_sub(self.active_releases(now));
+        active_room.min(MAX_PENDING_PER_UPSTREAM.saturating_sub(self.pending.len()))
     }
 
-    fn told_at(&self, range: &KeyRange) -> Option<Time> {
-        self.told.get(range).copied()
+    fn last_release(&self, range: &KeyRange) -> Option<Time> {
+        self.released_at.get(range).copied()
     }
 
     /// Whether it has answered for all keys, and no release that could take away what it is
     /// given next is likely to come.
     fn has_answered(&self, now: Time) -> bool {
-        self.ranges.is_empty() && self.counted_on(now) == 0
+        self.ranges.is_empty() && self.active_releases(now) == 0
     }
 }
 
@@ -141,17 +141,17 @@
             token,
             since: now,
             missing_since: None,
-            told: BTreeMap::new(),
-            under_way: BTreeMap::new(),
-            look_at: now,
+            released_at: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            check_at: now,
         });
         if !holder.ranges.contains(&range) {
             holder.ranges.push(range);
         }
         // Releases that are under way may have been sent before these keys were lost.
         holder.token = token;
-        holder.told.clear();
-        holder.look_at = now;
+        holder.released_at.clear();
+        holder.check_at = now;
     }
 
     /// Whether the upstream still owes an answer.
@@ -160,12 +160,12 @@
     }
 
     /// Notes that an upstream has ended: it takes nothing any more.
-    pub fn ended(&mut self, upstream: &UpstreamId) {
+    pub fn mark_ended(&mut self, upstream: &UpstreamId) {
         self.holders.remove(upstream);
     }
 
     /// Notes that upstreams have ended.
-    pub fn end(&mut self, has_ended: impl Fn(&UpstreamId) -> bool) {
+    pub fn remove_ended(&mut self, has_ended: impl Fn(&UpstreamId) -> bool) {
         self.holders.retain(|upstream, _| !has_ended(upstream));
     }
 
@@ -180,15 +180,15 @@
             if !is_registered(upstream) {
                 holder.missing_since.get_or_insert(now);
             } else if holder.missing_since.take().is_some() {
-                holder.told.clear();
-                holder.look_at = now;
+                holder.released_at.clear();
+                holder.check_at = now;
             }
         }
     }
 
     /// Lets those go that have answered, and those that have not been registered for long.
     /// The former, who may get keys again.
-    pub fn settle(&mut self, now: Time) -> Vec<UpstreamId> {
+    pub fn remove_settled(&mut self, now: Time) -> Vec<UpstreamId> {
         let notices = &mut self.notices;
         let mut answered = Vec::new();
         self.holders.retain(|upstream, holder| {
@@ -199,7 +199,7 @@
                 return false;
             }
             let since = holder.missing_since;
-            let is_over = since.is_some_and(|since| now.since(since) >= FORGOTTEN_AFTER);
+            let is_over = since.is_some_and(|since| now.since(since) >= FORGET_AFTER);
             if is_over {
                 notices.push(FenceNotice::Forgotten(upstream.clone()));
             }
@@ -216,35 +216,38 @@
         now: Time,
         holds_others: impl Fn(&UpstreamId) -> bool,
     ) -> Vec<DueRelease> {
-        let counted_on = self.holders.values().map(|holder| holder.counted_on(now));
-        let mut room_in_all = MOST_IN_ALL.saturating_sub(counted_on.sum());
+        let active_releases = self
+            .holders
+            .values()
+            .map(|holder| holder.active_releases(now));
+        let mut total_room = MAX_ACTIVE_TOTAL.saturating_sub(active_releases.sum());
         let holders = self.holders.iter_mut();
         let mut holders: Vec<_> = holders
-            .filter(|(_, holder)| now >= holder.look_at && holder.room(now) > 0)
+            .filter(|(_, holder)| now >= holder.check_at && holder.room(now) > 0)
             .collect();
         holders.sort_by_key(|(_, holder)| {
-            let told = holder.told.values().max().copied();
-            (holder.missing_since.is_some(), told)
+            let last_release = holder.released_at.values().max().copied();
+            (holder.missing_since.is_some(), last_release)
         });
         let mut due = Vec::new();
         for (upstream, holder) in holders {
-            let room = holder.room(now).min(room_in_all);
+            let room = holder.room(now).min(total_room);
             if room == 0 {
                 break;
             }
-            holder.look_at = now + LOOK;
+            holder.check_at = now + CHECK_INTERVAL;
             let mut ranges = match holds_others(upstream) {
                 true => holder.ranges.clone(),
                 false if holder.ranges.is_empty() => Vec::new(),
                 false => vec![KeyRange::ALL],
             };
             ranges.retain(|range| {
-                let told = holder.told_at(range);
-                told.is_none_or(|told| now.since(told) >= PAUSE)
+                let last_release = holder.last_release(range);
+                last_release.is_none_or(|at| now.since(at) >= RELEASE_INTERVAL)
             });
-            ranges.sort_by_key(|range| holder.told_at(range));
+            ranges.sort_by_key(|range| holder.last_release(range));
             ranges.truncate(room);
-            room_in_all -= ranges.len();
+            total_room -= ranges.len();
             due.extend(ranges.into_iter().map(|range| DueRelease {
                 upstream: upstream.clone(),
                 range,
@@ -262,16 +265,16 @@
                 token: release.token,
                 at: now,
             };
-            holder.told.insert(release.range, now);
-            holder.under_way.insert(call, sent);
+            holder.released_at.insert(release.range, now);
+            holder.pending.insert(call, sent);
         }
     }
 
     /// Whom a release went to.
-    pub fn asked(&self, call: CallId) -> Option<UpstreamId> {
+    pub fn recipient(&self, call: CallId) -> Option<UpstreamId> {
         let mut holders = self.holders.iter();
-        let asked = holders.find(|(_, holder)| holder.under_way.contains_key(&call));
-        asked.map(|(upstream, _)| upstream.clone())
+        let recipient = holders.find(|(_, holder)| holder.pending.contains_key(&call));
+        recipient.map(|(upstream, _)| upstream.clone())
     }
 
     /// Takes the answer to a release.
@@ -285,10 +288,10 @@
         let Some(holder) = self.holders.get_mut(upstream) else {
             return;
         };
-        let Some(sent) = holder.under_way.remove(&call) else {
+        let Some(sent) = holder.pending.remove(&call) else {
             return;
         };
-        holder.look_at = now;
+        holder.check_at = now;
         if matches!(reply, GrantReply::Released(_)) && sent.token == holder.token {
             holder.ranges.retain(|range| !sent.range.covers(*range));
         }
--- a/crates/sharding/src/order.rs
+++ b/crates/sharding/src/order.rs
@@ -46,22 +46,22 @@
 impl GrantOrder {
     /// A question to the holder of a grant: the release of a key that it does not hold. Its
     /// answer tells that the process reads orders now, and it gives nothing.
-    pub fn liveness_probe(&self, key_of_others: ShardKey) -> Self {
+    pub fn liveness_probe(&self, key_held_by_other: ShardKey) -> Self {
         Self {
             call: self.call,
             holder: self.holder.clone(),
             range: KeyRange {
-                first: key_of_others,
-                last: key_of_others,
+                first: key_held_by_other,
+                last: key_held_by_other,
             },
-            token: QUESTION_TOKEN,
+            token: PROBE_TOKEN,
             kind: OrderKind::Release,
         }
     }
 }
 
 /// Below all tokens of grants, so that a question that is read late outdates none.
-const QUESTION_TOKEN: FencingToken = FencingToken(1);
+const PROBE_TOKEN: FencingToken = FencingToken(1);
 
 /// How an order ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/sharding/src/part.rs
+++ b/crates/sharding/src/part.rs
@@ -42,7 +42,7 @@
     }
 
     /// The part of that number, if there is one.
-    pub fn numbered(number: u16) -> Option<Part> {
+    pub fn from_number(number: u16) -> Option<Part> {
         (number < PARTS).then_some(Part(number))
     }
 
@@ -93,28 +93,28 @@
 /// How a slice is written: its last key is the one before the next slice, and
 /// its holder stands in a list.
 #[derive(BorshSerialize, BorshDeserialize)]
-struct WrittenSlice {
+struct EncodedSlice {
     first: ShardKey,
-    state: WrittenState,
+    state: EncodedState,
 }
 
 #[derive(BorshSerialize, BorshDeserialize)]
-enum WrittenState {
+enum EncodedState {
     Free,
     Held { holder: u16, token: FencingToken },
     Leaving { holder: u16, token: FencingToken },
 }
 
 #[derive(BorshSerialize, BorshDeserialize)]
-struct WrittenPart {
+struct EncodedPart {
     part: Part,
     number: RecordNumber,
     holders: Vec<UpstreamId>,
-    slices: Vec<WrittenSlice>,
+    slices: Vec<EncodedSlice>,
 }
 
 /// The number of a holder in the list, which it joins if it is new.
-fn number(holders: &mut Vec<UpstreamId>, holder: &UpstreamId) -> u16 {
+fn holder_index(holders: &mut Vec<UpstreamId>, holder: &UpstreamId) -> u16 {
     let known = holders.iter().position(|other| other == holder);
     let index = known.unwrap_or_else(|| {
         holders.push(holder.clone());
@@ -126,28 +126,28 @@
 impl BorshSerialize for AssignmentPart {
     fn serialize<W: io::Write>(&self, writer: &mut W) -> io::Result<()> {
         let mut holders = Vec::new();
-        let slices = self.slices.iter().map(|slice| WrittenSlice {
+        let slices = self.slices.iter().map(|slice| EncodedSlice {
             first: slice.range.first,
             state: match &slice.state {
-                SliceState::Free => WrittenState::Free,
-                SliceState::Held { holder, token } => WrittenState::Held {
-                    holder: number(&mut holders, holder),
+                SliceState::Free => EncodedState::Free,
+                SliceState::Held { holder, token } => EncodedState::Held {
+                    holder: holder_index(&mut holders, holder),
                     token: *token,
                 },
-                SliceState::Leaving { holder, token } => WrittenState::Leaving {
-                    holder: number(&mut holders, holder),
+                SliceState::Leaving { holder, token } => EncodedState::Leaving {
+                    holder: holder_index(&mut holders, holder),
                     token: *token,
                 },
             },
         });
         let slices = slices.collect();
-        let written = WrittenPart {
+        let encoded = EncodedPart {
             part: self.part,
             number: self.number,
             holders,
             slices,
         };
-        written.serialize(writer)
+        encoded.serialize(writer)
     }
 }
 
@@ -157,21 +157,21 @@
 
 impl BorshDeserialize for AssignmentPart {
     fn deserialize_reader<R: io::Read>(reader: &mut R) -> io::Result<Self> {
-        let written = WrittenPart::deserialize_reader(reader)?;
-        let part = Part::numbered(written.part.0).ok_or_else(|| invalid("no such part"))?;
-        let first = written.slices.first().map(|slice| slice.first);
+        let encoded = EncodedPart::deserialize_reader(reader)?;
+        let part = Part::from_number(encoded.part.0).ok_or_else(|| invalid("no such part"))?;
+        let first = encoded.slices.first().map(|slice| slice.first);
         if first != Some(part.range().first) {
             return Err(invalid("slices do not begin with the part"));
         }
         let holder = |number: u16| {
-            let holder = written.holders.get(usize::from(number));
+            let holder = encoded.holders.get(usize::from(number));
             holder
                 .cloned()
                 .ok_or_else(|| invalid("holder is not listed"))
         };
-        let mut slices = Vec::with_capacity(written.slices.len());
-        for (index, slice) in written.slices.iter().enumerate() {
-            let next = written.slices.get(index + 1).map(|next| next.first.0);
+        let mut slices = Vec::with_capacity(encoded.slices.len());
+        for (index, slice) in encoded.slices.iter().enumerate() {
+            let next = encoded.slices.get(index + 1).map(|next| next.first.0);
             let last = match next {
                 Some(next) if next > slice.first.0 => ShardKey(next - 1),
                 Some(_) => return Err(invalid("slices are not in order")),
@@ -181,12 +181,12 @@
                 return Err(invalid("a slice reaches over the part"));
             }
             let state = match slice.state {
-                WrittenState::Free => SliceState::Free,
-                WrittenState::Held { holder: of, token } => SliceState::Held {
+                EncodedState::Free => SliceState::Free,
+                EncodedState::Held { holder: of, token } => SliceState::Held {
                     holder: holder(of)?,
                     token,
                 },
-                WrittenState::Leaving { holder: of, token } => SliceState::Leaving {
+                EncodedState::Leaving { holder: of, token } => SliceState::Leaving {
                     holder: holder(of)?,
                     token,
                 },
@@ -199,7 +199,7 @@
         }
         Ok(Self {
             part,
-            number: written.number,
+            number: encoded.number,
             slices,
         })
     }
--- a/crates/sharding/src/record.rs
+++ b/crates/sharding/src/record.rs
@@ -13,7 +13,7 @@
 /// Bits of those that count orders within a block.
 const ORDER_BITS: u32 = 10;
 /// Number of the last token of a block.
-const LAST_OF_BLOCK: u64 = (1 << ORDER_BITS) - 1;
+const LAST_IN_BLOCK: u64 = (1 << ORDER_BITS) - 1;
 
 /// Orders the holders of a key: a later holder has a higher token.
 #[derive(
@@ -30,15 +30,15 @@
 
     /// The last token of the `block`-th block of a term. Records name blocks by it, and
     /// whoever gives orders by a record alone has no other token of the block.
-    pub(crate) fn last_of_block(epoch: Epoch, block: u64) -> Self {
-        Self::new(epoch, (block << ORDER_BITS) + LAST_OF_BLOCK)
+    pub(crate) fn last_in_block(epoch: Epoch, block: u64) -> Self {
+        Self::new(epoch, (block << ORDER_BITS) + LAST_IN_BLOCK)
     }
 
     /// The token of the `number`-th order under a block, by the last token of the block; none
     /// if the block has only its last token left.
-    pub(crate) fn of_order(self, number: u64) -> Option<Self> {
-        let first = self.0.saturating_sub(LAST_OF_BLOCK);
-        (number < LAST_OF_BLOCK).then_some(Self(first + number))
+    pub(crate) fn nth_in_block(self, number: u64) -> Option<Self> {
+        let first = self.0.saturating_sub(LAST_IN_BLOCK);
+        (number < LAST_IN_BLOCK).then_some(Self(first + number))
     }
 }
 
--- a/crates/sharding/src/slice.rs
+++ b/crates/sharding/src/slice.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BlockUse {
     /// So many of this granter's own block, from its first one on.
-    Given(u64),
+    Used(u64),
     /// Those of the granter before, which is not told; not the last one, unless a standby did.
     Inherited,
     /// All of them.
@@ -75,7 +75,7 @@
 
 impl Default for BlockUse {
     fn default() -> Self {
-        Self::Given(0)
+        Self::Used(0)
     }
 }
 
@@ -94,23 +94,23 @@
     pub range: KeyRange,
     pub phase: Phase,
     /// Sequence of the record that first tells this phase.
-    pub told_in: u64,
+    pub recorded_in: u64,
     /// Which tokens of the holder's block were given.
     pub tokens: BlockUse,
     /// After this no grant that was answered, or could have been, is in force.
-    pub lapses: Time,
+    pub expires_at: Time,
     /// Order under way.
-    pub call: Option<CallId>,
+    pub pending_call: Option<CallId>,
     /// When the next order is due.
-    pub due: Time,
+    pub due_at: Time,
     /// When the slice was last moved or split.
-    pub settled_at: Time,
+    pub changed_at: Time,
     /// Set from its loss to the first answered grant of the next holder.
     pub unowned: Option<Unowned>,
     /// A grant may lie with the holder, or with the one that the keys were taken from.
     pub doubt: Option<Doubt>,
     /// Whether the keys are known to wait for that.
-    pub waits_in_doubt: bool,
+    pub awaits_doubt_end: bool,
 }
 
 impl Slice {
@@ -142,7 +142,7 @@
 
     /// Puts it in another phase.
     pub fn set_phase(&mut self, phase: Phase) {
-        self.waits_in_doubt = false;
+        self.awaits_doubt_end = false;
         self.phase = phase;
         self.tokens = BlockUse::default();
     }
@@ -156,7 +156,7 @@
     }
 
     /// Who holds it, is to hold it, or is to give it back.
-    pub fn current(&self) -> Option<&UpstreamId> {
+    pub fn current_holder(&self) -> Option<&UpstreamId> {
         match &self.phase {
             Phase::Held { holder, .. } | Phase::Leaving { holder, .. } => Some(holder),
             Phase::Free { .. } => None,
@@ -164,7 +164,7 @@
     }
 
     /// Who is to have it once it is given back, when that is decided.
-    pub fn next(&self) -> Option<&UpstreamId> {
+    pub fn next_holder(&self) -> Option<&UpstreamId> {
         match &self.phase {
             Phase::Leaving { next, .. } => next.as_ref(),
             Phase::Held { .. } | Phase::Free { .. } => None,
--- a/crates/sharding/src/standby.rs
+++ b/crates/sharding/src/standby.rs
@@ -29,7 +29,7 @@
 /// How much slower a standby's clock may run than the granter's, in percent.
 const DRIFT_PERCENT: u32 = 2;
 /// A standby that told nothing for this long gets no further words.
-const PATIENCE: Duration = Duration::from_millis(1_200);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// One run of a node, as a standby.
 #[derive(
@@ -55,11 +55,11 @@
 struct Standby {
     known_record: Option<RecordNumber>,
     /// Until when it may prolong holds.
-    word_until: Time,
+    authorized_until: Time,
     /// Until when holds may be in force that it prolonged, as far as it told.
     holds_until: Time,
     /// When it last told something, or was named.
-    heard: Time,
+    last_report: Time,
     /// Sequence of the first record that names it.
     named_in: u64,
     /// If not, it gets no further words and leaves once the last has run out.
@@ -101,9 +101,9 @@
                 *id,
                 Standby {
                     known_record: None,
-                    word_until: self.word_end(now),
+                    authorized_until: self.authorization_end(now),
                     holds_until: now,
-                    heard: now,
+                    last_report: now,
                     named_in: 0,
                     is_wanted: false,
                 },
@@ -114,12 +114,12 @@
     /// Takes over standbys of another term that no record tells of: each of them may have
     /// had a word until `now`.
     pub fn adopt_unknown(&mut self, now: Time) {
-        self.unknown_until = self.last_order_end(self.word_end(now));
+        self.unknown_until = self.last_order_end(self.authorization_end(now));
     }
 
     /// The end of a word. The standby counts from before the answer of its own
     /// that the word echoes, so the way of neither of them matters.
-    fn word_end(&self, sent: Time) -> Time {
+    fn authorization_end(&self, sent: Time) -> Time {
         sent + STANDBY_AUTHORIZATION * (100 + DRIFT_PERCENT) / 100
     }
 
@@ -134,21 +134,21 @@
 
     /// States which nodes are wanted; `sequence` is the number of the next
     /// record. Whether that record differs from the last one in this.
-    pub fn want(&mut self, now: Time, wanted: &[StandbyId], sequence: u64) -> bool {
+    pub fn set_wanted(&mut self, now: Time, wanted: &[StandbyId], sequence: u64) -> bool {
         let before = self.ids();
         let last_order = self.bounds.transit + self.bounds.hold;
         self.named.retain(|id, standby| {
-            let over = now >= standby.word_until + last_order && now >= standby.holds_until;
+            let over = now >= standby.authorized_until + last_order && now >= standby.holds_until;
             wanted.contains(id) || !over
         });
-        let word_until = self.word_end(now);
+        let authorized_until = self.authorization_end(now);
         for id in wanted {
             self.named.entry(*id).or_insert(Standby {
                 known_record: None,
                 // It may have a word because of another service.
-                word_until,
+                authorized_until,
                 holds_until: now,
-                heard: now,
+                last_report: now,
                 named_in: sequence,
                 is_wanted: true,
             });
@@ -161,41 +161,41 @@
 
     /// Those that are to be sent a word. `durable` is the sequence of the newest
     /// durable record: a successor must know who has a word.
-    pub fn words(&self, now: Time, durable: u64) -> Vec<StandbyId> {
+    pub fn to_authorize(&self, now: Time, durable: u64) -> Vec<StandbyId> {
         let due = self.named.iter().filter(|(_, standby)| {
-            let answers = now.since(standby.heard) < PATIENCE;
+            let answers = now.since(standby.last_report) < REPORT_TIMEOUT;
             standby.is_wanted && answers && standby.named_in <= durable
         });
         due.map(|(id, _)| *id).collect()
     }
 
     /// Notes that a word is sent.
-    pub fn word_sent(&mut self, now: Time, id: &StandbyId) {
-        let end = self.word_end(now);
+    pub fn mark_authorized(&mut self, now: Time, id: &StandbyId) {
+        let end = self.authorization_end(now);
         if let Some(standby) = self.named.get_mut(id) {
-            standby.word_until = end;
+            standby.authorized_until = end;
         }
     }
 
     /// Takes what a standby tells.
-    pub fn answered(&mut self, now: Time, id: &StandbyId, answer: StandbyStatus) {
-        let holds_until = answer.prolonged.map(|ago| self.order_end(now - ago));
+    pub fn apply_status(&mut self, now: Time, id: &StandbyId, status: StandbyStatus) {
+        let holds_until = status.prolonged.map(|ago| self.order_end(now - ago));
         let Some(standby) = self.named.get_mut(id) else {
             return;
         };
-        standby.heard = now;
-        standby.known_record = standby.known_record.max(answer.known_record);
+        standby.last_report = now;
+        standby.known_record = standby.known_record.max(status.known_record);
         standby.holds_until = standby.holds_until.max(holds_until.unwrap_or_default());
     }
 
     /// Notes that the process of a standby has ended.
-    pub fn ended(&mut self, now: Time, id: &StandbyId) {
+    pub fn mark_ended(&mut self, now: Time, id: &StandbyId) {
         let order_end = self.order_end(now);
         let Some(standby) = self.named.get_mut(id) else {
             return;
         };
-        if standby.word_until > now {
-            standby.word_until = now;
+        if standby.authorized_until > now {
+            standby.authorized_until = now;
             standby.holds_until = standby.holds_until.max(order_end);
         }
     }
@@ -207,7 +207,7 @@
             if standby.known_record >= Some(record) {
                 standby.holds_until
             } else {
-                let last_order = self.last_order_end(standby.word_until);
+                let last_order = self.last_order_end(standby.authorized_until);
                 standby.holds_until.max(last_order)
             }
         });
@@ -215,7 +215,7 @@
     }
 
     /// The end of holds that a standby may have ordered at the end of its word.
-    fn last_order_end(&self, word_until: Time) -> Time {
-        word_until + self.bounds.transit + self.bounds.hold
+    fn last_order_end(&self, authorized_until: Time) -> Time {
+        authorized_until + self.bounds.transit + self.bounds.hold
     }
 }
