--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// How long a busy holder takes to end its work on keys that it gives back.
-const RELEASE: u64 = 450;
+const RELEASE_MILLIS: u64 = 450;
 
 /// All keys granted to so many upstreams, at 2,000 ms.
 fn granted(upstreams: usize) -> Granter {
@@ -40,7 +40,7 @@
 /// Found at 295 machines: 200 keys that lie together got 42% of the traffic, and at
 /// eight moves at a time their slices had one or two holders for seconds.
 #[test]
-fn busy_keys_that_lie_together_soon_have_many_holders() {
+fn adjacent_busy_keys_soon_have_many_holders() {
     let keys = 20_000..20_200;
     let mut granter = granted(200);
     let mut last = None;
@@ -58,7 +58,7 @@
         for order in granter.poll(at(now)) {
             match order.kind {
                 OrderKind::Grant { .. } => answer(&mut granter, at(now), &order),
-                OrderKind::Release => releases.push_back((now + RELEASE, order)),
+                OrderKind::Release => releases.push_back((now + RELEASE_MILLIS, order)),
             }
         }
         last = write_record(&mut granter, at(now)).or(last);
@@ -70,14 +70,14 @@
 /// Slices of upstreams that went dark wait for their last grants to run out. They
 /// counted as moves, and nothing else moved meanwhile.
 #[test]
-fn slices_that_wait_for_a_lost_holder_stop_no_moves() {
+fn slices_of_lost_holders_do_not_block_moves() {
     let mut granter = granted(20);
-    let dark = [id("u000"), id("u001")];
+    let unreachable = [id("u000"), id("u001")];
     let mut now = 2_000;
     while now < 4_500 {
         now += 50;
         for order in granter.poll(at(now)) {
-            if dark.contains(&order.holder) {
+            if unreachable.contains(&order.holder) {
                 granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 answer(&mut granter, at(now), &order);
@@ -100,10 +100,10 @@
 #[test]
 fn no_keys_go_to_an_upstream_that_left_a_grant_unanswered() {
     let mut granter = granted(8);
-    let dark = id("u000");
+    let unreachable = id("u000");
     let renewals = granter.poll(at(2_800));
     for order in renewals {
-        if order.holder == dark {
+        if order.holder == unreachable {
             granter.handle_reply(at(2_810), order.call, GrantReply::Unanswered);
         } else {
             // All others have something to do.
@@ -118,7 +118,7 @@
     let record = write_record(&mut granter, at(2_900)).expect("moves are told");
     assert!(!holders(&record, 60_000..60_200).contains("u000"));
     for order in granter.poll(at(3_000)) {
-        if order.holder != dark {
+        if order.holder != unreachable {
             answer(&mut granter, at(3_000), &order);
         }
     }
@@ -129,7 +129,7 @@
 /// Found at 295 machines: with a hundred moves at once, what upstreams have by chance
 /// kept a hundred slices on the move, each without an owner for half a second.
 #[test]
-fn chance_keeps_few_slices_on_the_move() {
+fn random_load_differences_move_few_slices() {
     let mut granter = granted(200);
     let mut random = 0x2545_F491_4F6C_DD1D_u64;
     for _ in 0..4_000 {
--- a/crates/sharding/tests/common/mod.rs
+++ b/crates/sharding/tests/common/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// Takes and answers orders until none is due: not all are given at once.
-pub fn give_all(granter: &mut Granter, now: Time) {
+pub fn grant_all(granter: &mut Granter, now: Time) {
     loop {
         let orders = granter.poll(now);
         if orders.is_empty() {
@@ -104,6 +104,6 @@
     granter.set_candidates(at(0), [ready("a", None), ready("b", None)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
+    grant_all(&mut granter, at(2_000));
     granter
 }
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -20,30 +20,30 @@
 
 /// Plays on: "a" leaves its first grant lying and can't be reached from then on. The keys of
 /// that grant, and the record when it was given up on.
-fn left_lying(granter: &mut Granter) -> (GrantOrder, u64, AssignmentRecord) {
+fn leave_grant_unanswered(granter: &mut Granter) -> (GrantOrder, u64, AssignmentRecord) {
     for now in (2_010..4_000).step_by(10) {
-        let mut lying = None;
+        let mut delayed = None;
         for order in granter.poll(at(now)) {
             if order.holder != id("a") {
                 answer(granter, at(now), &order);
-            } else if lying.is_none() {
-                lying = Some(order);
+            } else if delayed.is_none() {
+                delayed = Some(order);
             } else {
                 granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             }
         }
-        if let Some(lying) = lying {
+        if let Some(delayed) = delayed {
             let given_up = now + 500;
-            granter.handle_reply(at(given_up), lying.call, GrantReply::InDoubt);
+            granter.handle_reply(at(given_up), delayed.call, GrantReply::InDoubt);
             let record = write_record(granter, at(given_up)).expect("the doubt is told");
-            return (lying, given_up, record);
+            return (delayed, given_up, record);
         }
     }
     panic!("a was asked nothing");
 }
 
 /// When the keys of an order have another holder, if "a" answers nothing.
-fn goes_on_at(granter: &mut Granter, begin: u64, lying: &GrantOrder) -> u64 {
+fn reassigned_at(granter: &mut Granter, begin: u64, delayed: &GrantOrder) -> u64 {
     for now in (begin..begin + 40_000).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
@@ -54,7 +54,7 @@
         let Some(record) = write_record(granter, at(now)) else {
             continue;
         };
-        let slice = record.slice(lying.range.first).expect("a slice");
+        let slice = record.slice(delayed.range.first).expect("a slice");
         if matches!(&slice.state, SliceState::Held { holder, .. } if *holder == id("b")) {
             return now;
         }
@@ -64,18 +64,18 @@
 
 /// It stood still for 6.5 s, woke, and took the grant while another was at work on the keys.
 #[test]
-fn keys_of_a_grant_that_may_lie_wait_until_it_has_run_out() {
+fn keys_of_a_delayed_grant_wait_until_it_has_expired() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
-    let went_on = goes_on_at(&mut granter, given_up, &lying);
-    assert!(went_on >= given_up + DOUBT, "went on at {went_on}");
-    assert!(went_on <= given_up + DOUBT + 200, "went on at {went_on}");
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
+    let moved_at = reassigned_at(&mut granter, given_up, &delayed);
+    assert!(moved_at >= given_up + DOUBT, "went on at {moved_at}");
+    assert!(moved_at <= given_up + DOUBT + 200, "went on at {moved_at}");
 }
 
 #[test]
-fn the_other_keys_of_its_holder_go_on_as_soon_as_any() {
+fn other_keys_of_the_holder_are_reassigned_without_extra_delay() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let mut left = usize::MAX;
     for now in (given_up..7_000).step_by(10) {
         for order in granter.poll(at(now)) {
@@ -88,13 +88,13 @@
             left = slices_of(&record, "a");
         }
     }
-    assert_eq!(left, 1, "{lying:?}");
+    assert_eq!(left, 1, "{delayed:?}");
 }
 
 /// Plays on until 6 s after the give-up, when "a" can be reached again; then for so long. Who is
 /// granted the keys of the lying grant first, and when.
-fn goes_back(
-    lying: &GrantOrder,
+fn reassigned_to(
+    delayed: &GrantOrder,
     granter: &mut Granter,
     given_up: u64,
     last: Option<Candidate>,
@@ -112,7 +112,7 @@
     granter.set_candidates(at(begin), last.into_iter().chain([ready("b", None)]));
     for now in (begin..begin + 6_000).step_by(10) {
         for order in granter.poll(at(now)) {
-            if is_grant(&order) && order.range == lying.range {
+            if is_grant(&order) && order.range == delayed.range {
                 return (order.holder, now - begin);
             }
             answer(granter, at(now), &order);
@@ -123,14 +123,14 @@
 }
 
 #[test]
-fn they_go_on_at_once_when_an_upstream_that_leaves_gives_them_back() {
+fn keys_in_doubt_move_at_once_when_a_draining_upstream_returns_them() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let leaver = Candidate {
         state: CandidateState::Draining,
         ..ready("a", None)
     };
-    let (holder, after) = goes_back(&lying, &mut granter, given_up, Some(leaver));
+    let (holder, after) = reassigned_to(&delayed, &mut granter, given_up, Some(leaver));
     assert_eq!(holder, id("b"));
     assert!(after <= 400, "after {after} ms");
 }
@@ -138,26 +138,26 @@
 /// A restart of it may be registered again in a moment; its entry had gone with that of the
 /// process before, and the next restart took the grant from who had got the keys meanwhile.
 #[test]
-fn they_wait_for_an_upstream_that_was_registered_a_moment_ago() {
+fn keys_in_doubt_wait_for_a_recently_registered_upstream() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
-    let (holder, after) = goes_back(&lying, &mut granter, given_up, None);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
+    let (holder, after) = reassigned_to(&delayed, &mut granter, given_up, None);
     assert_eq!(holder, id("b"));
     assert!((4_000..=4_400).contains(&after), "after {after} ms");
 }
 
 /// The granter ended; its successor read the doubt in the record.
 #[test]
-fn a_successor_waits_for_the_grant_too() {
+fn a_successor_waits_for_the_delayed_grant() {
     let mut granter = granted();
-    let (lying, given_up, record) = left_lying(&mut granter);
+    let (delayed, given_up, record) = leave_grant_unanswered(&mut granter);
     let doubted: Vec<KeyRange> = record.doubted.iter().map(|keys| keys.range).collect();
-    assert_eq!(doubted, [lying.range]);
+    assert_eq!(doubted, [delayed.range]);
     let begin = given_up + 1_000;
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-    let went_on = goes_on_at(&mut successor, begin, &lying);
-    assert!(went_on >= given_up + DOUBT, "went on at {went_on}");
+    let moved_at = reassigned_at(&mut successor, begin, &delayed);
+    assert!(moved_at >= given_up + DOUBT, "went on at {moved_at}");
 }
 
 fn born(birth: u64) -> Candidate {
@@ -170,31 +170,31 @@
 /// It ended with the grant, and was up again twice: the second restart took the grant when its
 /// keys had gone from the first one to another upstream.
 #[test]
-fn keys_go_back_to_the_restart_of_an_upstream_that_left_a_grant_lying() {
+fn keys_in_doubt_return_to_the_restart_of_their_holder() {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [born(1), ready("b", None)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
-    let mut lying = None;
+    grant_all(&mut granter, at(2_000));
+    let mut delayed = None;
     for now in (2_010..4_000).step_by(10) {
         for order in granter.poll(at(now)) {
-            if order.holder == born(1).id && lying.is_none() {
+            if order.holder == born(1).id && delayed.is_none() {
                 granter.handle_reply(at(now), order.call, GrantReply::InDoubt);
-                lying = Some(order);
+                delayed = Some(order);
             } else {
                 answer(&mut granter, at(now), &order);
             }
         }
         write_record(&mut granter, at(now));
     }
-    let lying = lying.expect("a grant");
+    let delayed = delayed.expect("a grant");
     granter.set_candidates(at(4_000), [born(2), ready("b", None)]);
     let mut holders = Vec::new();
     for now in (4_000..4_400).step_by(10) {
         for order in granter.poll(at(now)) {
-            if is_grant(&order) && order.range == lying.range {
-                assert!(order.token > lying.token);
+            if is_grant(&order) && order.range == delayed.range {
+                assert!(order.token > delayed.token);
                 holders.push(order.holder.clone());
             }
             answer(&mut granter, at(now), &order);
@@ -205,9 +205,9 @@
 }
 
 #[test]
-fn doubt_ends_in_the_record_too() {
+fn the_record_drops_doubts_that_have_ended() {
     let mut granter = granted();
-    let (_, given_up, _) = left_lying(&mut granter);
+    let (_, given_up, _) = leave_grant_unanswered(&mut granter);
     let mut doubted = usize::MAX;
     for now in (given_up..given_up + DOUBT + 200).step_by(50) {
         for order in granter.poll(at(now)) {
@@ -223,7 +223,7 @@
 /// A grant goes to a process only that has just answered: what lies in the buffers of one
 /// that stands still is a question.
 #[test]
-fn a_question_is_about_a_key_of_another_and_outdates_nothing() {
+fn a_liveness_probe_uses_a_key_of_another_holder_and_invalidates_nothing() {
     let mut granter = granted();
     let grants = granter.poll(at(2_700)).into_iter().filter(is_grant);
     let grants: Vec<GrantOrder> = grants.collect();
@@ -237,29 +237,29 @@
         let slice = record.slice(key).expect("a slice");
         let holds = |state: &SliceState| matches!(state, SliceState::Held { holder, .. } if *holder == grant.holder);
         assert!(!holds(&slice.state));
-        let question = grant.liveness_probe(key);
-        assert_eq!(question.kind, OrderKind::Release);
-        assert_eq!(question.range.len(), 1);
-        assert!(question.token < grant.token);
+        let probe = grant.liveness_probe(key);
+        assert_eq!(probe.kind, OrderKind::Release);
+        assert_eq!(probe.range.len(), 1);
+        assert!(probe.token < grant.token);
     }
 }
 
 #[test]
-fn who_holds_all_keys_is_asked_nothing() {
+fn a_holder_of_all_keys_is_not_probed() {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", None)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
+    grant_all(&mut granter, at(2_000));
     assert_eq!(granter.key_held_by_other(&id("a")), None);
 }
 
 /// Each successor began the wait anew, and keys of an upstream that had ended were without an
 /// owner for 25 s.
 #[test]
-fn successors_do_not_begin_the_wait_anew() {
+fn successors_do_not_restart_the_wait() {
     let mut granter = granted();
-    let (lying, given_up, mut record) = left_lying(&mut granter);
+    let (delayed, given_up, mut record) = leave_grant_unanswered(&mut granter);
     let mut begin = given_up;
     for term in 2..6 {
         begin += 4_000;
@@ -278,14 +278,14 @@
     }
     let mut last = Granter::new(at(begin + 4_000), timing(), Epoch(6), Some(&record));
     last.set_candidates(at(begin + 4_000), [ready("a", None), ready("b", None)]);
-    let went_on = goes_on_at(&mut last, begin + 4_000, &lying);
-    assert!(went_on <= begin + 4_000 + 8_000, "went on at {went_on}");
+    let moved_at = reassigned_at(&mut last, begin + 4_000, &delayed);
+    assert!(moved_at <= begin + 4_000 + 8_000, "went on at {moved_at}");
 }
 
 /// A granter found that keys had gone on unseen, wrote them down as free and was killed; its
 /// successor gave them away while their holders had them.
 #[test]
-fn keys_that_go_to_nobody_go_to_nobody_at_a_successor() {
+fn a_successor_keeps_withholding_keys() {
     let mut granter = granted();
     granter.mark_dirty();
     let record = granter.take_record().expect("a record");
--- a/crates/sharding/tests/granter.rs
+++ b/crates/sharding/tests/granter.rs
@@ -80,7 +80,7 @@
 }
 
 /// Takes and answers orders until none is due: not all are given at once.
-fn give_all(granter: &mut Granter, now: Time) -> Vec<GrantOrder> {
+fn grant_all(granter: &mut Granter, now: Time) -> Vec<GrantOrder> {
     let mut given = Vec::new();
     loop {
         let orders = granter.poll(now);
@@ -98,12 +98,12 @@
     granter.set_candidates(at(0), [ready("a", 20.0), ready("b", 20.0)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
+    grant_all(&mut granter, at(2_000));
     granter
 }
 
 #[test]
-fn keys_are_divided_only_when_no_upstream_has_appeared_for_a_while() {
+fn keys_are_divided_after_a_quiet_period_without_new_upstreams() {
     let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", 20.0)]);
     granter.poll(at(1_000));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_leaver_gets_no_release_before_nodes_had_time_to_hear() {
+fn a_release_waits_until_nodes_know_that_the_slice_is_leaving() {
     let mut granter = granted();
     let mut leaver = ready("a", 20.0);
     leaver.state = CandidateState::Draining;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_move_hands_over_and_raises_the_token() {
+fn a_move_passes_on_the_handover_and_raises_the_token() {
     let mut granter = granted();
     granter.set_candidates(at(2_100), [ready("b", 20.0)]);
     granter.poll(at(2_100));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_silent_holder_keeps_its_slices_until_its_grants_ran_out() {
+fn an_unresponsive_holder_keeps_its_slices_until_its_grants_expire() {
     let mut granter = granted();
     let mut lost_at = 0;
     let mut now = 2_000;
@@ -232,7 +232,7 @@
     let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", 20.0), ready("b", 20.0)]);
-    let orders = give_all(&mut second, at(5_000));
+    let orders = grant_all(&mut second, at(5_000));
     assert_eq!(orders.len(), record.slices.len());
     for order in orders {
         let slice = record.slice(order.range.first).expect("a slice");
@@ -246,14 +246,14 @@
 /// Found on a day at 78 machines: a successor was asked for orders before it was told
 /// which upstreams there are, and took all slices back.
 #[test]
-fn a_successor_that_knows_no_upstream_yet_takes_nothing_back() {
+fn a_successor_without_a_list_of_upstreams_revokes_nothing() {
     let mut first = granted();
     first.mark_dirty();
     let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&record));
     assert!(second.poll(at(5_000)).is_empty());
     second.set_candidates(at(5_050), [ready("a", 20.0), ready("b", 20.0)]);
-    let orders = give_all(&mut second, at(5_050));
+    let orders = grant_all(&mut second, at(5_050));
     assert!(
         orders
             .iter()
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_record_is_read_as_it_was_written() {
+fn a_record_round_trips_through_its_encoding() {
     let mut granter = granted();
     granter.load.add(ShardKey(24_716), 60.0);
     granter.set_candidates(at(2_100), [ready("a", 20.0), ready("fast", 40.0)]);
@@ -341,7 +341,7 @@
 
 /// A record of parts whose slices reached over their ends could not be put together.
 #[test]
-fn no_slice_reaches_over_the_end_of_a_part() {
+fn no_slice_crosses_the_end_of_a_part() {
     for upstreams in [1, 7, 50, 417, 1_000] {
         let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
         let names: Vec<String> = (0..upstreams).map(|number| format!("u{number}")).collect();
@@ -389,7 +389,7 @@
 /// Found by seed 10 of the simulator: the answer to an order for a dead holder
 /// made the next holder count as dead, until nobody was left to hold anything.
 #[test]
-fn an_answer_concerns_the_holder_that_was_asked() {
+fn a_reply_applies_to_the_holder_that_the_order_was_sent_to() {
     let mut granter = granted();
     let orders = granter.poll(at(4_100));
     let asked = orders
@@ -457,7 +457,7 @@
 
 /// Takes over a record of the term before that may be older than the last grants, and renews
 /// its holders; the orders.
-fn takes_over_doubted() -> (Granter, Vec<GrantOrder>) {
+fn adopt_doubted_record() -> (Granter, Vec<GrantOrder>) {
     let mut before = granted();
     before.mark_dirty();
     let record = before.take_record().expect("a record");
@@ -474,8 +474,8 @@
 /// Guards against keys that are given to a holder of an old record under a fresh token, while
 /// a holder that the record does not know has them.
 #[test]
-fn keys_that_went_on_unseen_go_to_nobody_before_their_grants_have_run_out() {
-    let (mut granter, orders) = takes_over_doubted();
+fn keys_with_an_unknown_holder_are_withheld_until_its_grants_expire() {
+    let (mut granter, orders) = adopt_doubted_record();
     let outdated = orders.first().expect("an order").clone();
     assert!(outdated.token < FencingToken::new(Epoch(2), 0));
     granter.handle_reply(at(10_110), outdated.call, GrantReply::Outdated);
@@ -484,7 +484,7 @@
     }
     let given = |granter: &mut Granter, millis: u64| {
         write_record(granter, at(millis));
-        let orders = give_all(granter, at(millis));
+        let orders = grant_all(granter, at(millis));
         let mut again = orders
             .iter()
             .filter(|order| order.range.overlaps(outdated.range));
@@ -503,7 +503,7 @@
 /// Guards against the same of a record that is not doubted: there the predecessor released
 /// the keys itself, and the same holder gets a higher token at once.
 #[test]
-fn an_outdated_token_of_a_record_that_is_not_doubted_is_raised() {
+fn an_outdated_token_of_a_trusted_record_is_raised() {
     let mut before = granted();
     before.mark_dirty();
     let record = before.take_record().expect("a record");
@@ -516,7 +516,7 @@
     granter.handle_reply(at(10_110), outdated.call, GrantReply::Outdated);
     answer_all(&mut granter, at(10_110), &orders[1..]);
     write_record(&mut granter, at(10_120));
-    let again = give_all(&mut granter, at(10_300));
+    let again = grant_all(&mut granter, at(10_300));
     let same = again.iter().find(|order| order.range == outdated.range);
     assert!(
         same.is_some_and(|order| order.holder == outdated.holder
--- a/crates/sharding/tests/holds.rs
+++ b/crates/sharding/tests/holds.rs
@@ -4,29 +4,29 @@
 
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{GrantOrder, GrantReply, Granter, GranterTiming};
-use common::{HOLD, answer, at, give_all, granted, id, ready, slices_of, timing, write_record};
+use common::{HOLD, answer, at, grant_all, granted, id, ready, slices_of, timing, write_record};
 use std::time::Duration;
 
 /// Why a holder answers nothing.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Silence {
+enum Outage {
     /// Its machine is gone: what is sent on an old connection gets no answer,
     /// and no new one comes up.
-    Dark,
+    MachineLost,
     /// No connection to it comes up.
     Unreachable,
     /// It takes connections and stands still.
-    Frozen,
+    Paused,
 }
 
 /// Runs the granter until "a", which answers nothing, has no slice.
-fn lost_at(granter: &mut Granter, begin: u64, silence: Silence) -> u64 {
+fn lost_at(granter: &mut Granter, begin: u64, outage: Outage) -> u64 {
     let mut pending: Vec<(u64, GrantOrder)> = Vec::new();
-    let mut has_connection = silence == Silence::Dark;
+    let mut has_connection = outage == Outage::MachineLost;
     for now in (begin..begin + 20_000).step_by(10) {
         pending.retain(|(due, order)| {
             if *due <= now {
-                let sent = has_connection || silence == Silence::Frozen;
+                let sent = has_connection || outage == Outage::Paused;
                 let reply = if sent {
                     GrantReply::Unanswered
                 } else {
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn keys_of_a_silent_holder_are_free_soon_after_a_short_hold() {
+fn keys_of_an_unresponsive_holder_are_free_soon_after_its_grants_expire() {
     let mut granter = granted();
-    let lost = lost_at(&mut granter, 2_010, Silence::Dark);
+    let lost = lost_at(&mut granter, 2_010, Outage::MachineLost);
     // The first renewal is due by 2,750 and given up on by 3,250; it may be
     // taken for the time of transit after that.
     assert!(lost >= 2_000 + 3_060, "lost at {lost}");
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn an_order_that_was_never_sent_prolongs_nothing() {
+fn an_order_that_was_never_sent_extends_nothing() {
     let mut granter = granted();
-    let lost = lost_at(&mut granter, 2_010, Silence::Unreachable);
+    let lost = lost_at(&mut granter, 2_010, Outage::Unreachable);
     assert!(lost >= 2_000 + 3_060, "lost at {lost}");
     assert!(lost <= 2_000 + 3_060 + 250, "lost at {lost}");
 }
 
 /// Only the slice by which it is asked again waits longer.
 #[test]
-fn most_keys_of_a_frozen_holder_are_free_as_soon() {
+fn most_keys_of_a_paused_holder_are_free_as_soon() {
     let mut granter = granted();
     let before = granter.slice_count() / 2;
     let mut left = before;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_holder_that_does_not_answer_gets_no_further_grants() {
+fn a_holder_with_an_unanswered_grant_gets_no_further_grants() {
     let mut granter = granted();
     let first = granter.poll(at(2_700));
     assert!(first.iter().any(|order| order.holder == id("a")));
@@ -112,13 +112,13 @@
 }
 
 #[test]
-fn a_successor_counts_a_whole_hold_for_a_silent_holder() {
+fn a_successor_counts_a_full_grant_for_an_unresponsive_holder() {
     let mut first = granted();
     first.mark_dirty();
     let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
-    let lost = lost_at(&mut second, 5_000, Silence::Unreachable);
+    let lost = lost_at(&mut second, 5_000, Outage::Unreachable);
     assert!(lost >= 5_000 + 3_060 + 300, "lost at {lost}");
     assert!(lost <= 5_000 + 3_060 + 300 + 250, "lost at {lost}");
 }
@@ -126,21 +126,21 @@
 /// Found by a hunt (OWNER): a renewal that is shorter than the grant that stands
 /// leaves the holder with the longer one.
 #[test]
-fn an_answer_never_brings_the_end_of_a_hold_forward() {
+fn a_reply_never_shortens_a_grant() {
     let mut first = granted();
     first.mark_dirty();
     let record = first.take_record().expect("a record");
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
-    give_all(&mut second, at(5_010));
-    let lost = lost_at(&mut second, 5_020, Silence::Unreachable);
+    grant_all(&mut second, at(5_010));
+    let lost = lost_at(&mut second, 5_020, Outage::Unreachable);
     assert!(lost >= 5_000 + 3_060 + 300, "lost at {lost}");
 }
 
 /// Found by seed 30 of the simulator: the silence for which holders had lost
 /// keys was counted against them when they got keys again, for ever.
 #[test]
-fn upstreams_that_all_fell_silent_get_keys_again() {
+fn upstreams_get_keys_again_after_all_were_unresponsive() {
     let mut granter = granted();
     let mut owned = 0;
     for now in (2_010..20_000).step_by(10) {
@@ -162,7 +162,7 @@
 /// Found on grown days: a granter of 400 slices spent its processor on renewals
 /// and did not have the time to give away the keys of dark upstreams.
 #[test]
-fn many_slices_are_renewed_less_often_and_held_longer() {
+fn many_slices_are_renewed_less_often_and_granted_longer() {
     let timing = GranterTiming {
         max_renewal: Duration::from_millis(2_000),
         ..timing()
--- a/crates/sharding/tests/many_upstreams.rs
+++ b/crates/sharding/tests/many_upstreams.rs
@@ -19,7 +19,7 @@
 const UPSTREAMS: usize = 1_660;
 /// A granter that does not renew its place for 1.5 s (its life of 2 s, less the 0.5 s between
 /// renewals) loses it; the slowest machine that is asked for has a fifth of a core.
-const MOST_PROCESSOR_TIME: Duration = Duration::from_millis(300);
+const MAX_PROCESSOR_TIME: Duration = Duration::from_millis(300);
 
 /// Between two orders of a granter with a whole core, and with a fifth of one.
 const WHOLE_CORE: Duration = Duration::from_millis(1);
@@ -46,23 +46,23 @@
 }
 
 #[test]
-fn the_first_division_does_not_cost_the_granter_its_place() {
+fn the_first_division_does_not_cost_the_granter_its_lease() {
     let mut granter = granter(WHOLE_CORE);
     let before = processor_time();
     granter.poll(at(6_000));
     let took = processor_time() - before;
     assert_eq!(granter.slice_count(), UPSTREAMS);
-    assert!(took < MOST_PROCESSOR_TIME, "{took:?}");
+    assert!(took < MAX_PROCESSOR_TIME, "{took:?}");
 }
 
 /// A third of the upstreams is lost at once: their slices go to the others.
 #[test]
-fn neither_does_the_loss_of_a_zone() {
+fn loss_of_a_zone_does_not_cost_the_granter_its_lease() {
     let mut granter = granter(WHOLE_CORE);
     let mut now = at(6_000);
     granter.poll(now);
     write_record(&mut granter, now).expect("keys were divided");
-    give_all(&mut granter, now);
+    grant_all(&mut granter, now);
     let left = (0..UPSTREAMS).filter(|number| number % 3 != 0);
     let left = left.map(|number| ready(&format!("i-{number:08x}"), None));
     granter.set_candidates(now, left.collect::<Vec<_>>());
@@ -83,13 +83,13 @@
         }
         write_record(&mut granter, now);
     }
-    assert!(longest < MOST_PROCESSOR_TIME, "{longest:?}");
+    assert!(longest < MAX_PROCESSOR_TIME, "{longest:?}");
     assert_eq!(granter.held_count(now), granter.slice_count());
 }
 
 /// What it can't renew it does not hand out.
 #[test]
-fn a_granter_makes_no_more_slices_than_it_renews_in_time() {
+fn a_granter_creates_no_more_slices_than_it_renews_in_time() {
     let mut granter = granter(FIFTH_OF_A_CORE);
     granter.poll(at(6_000));
     assert_eq!(granter.slice_count(), 400);
--- a/crates/sharding/tests/old_grants.rs
+++ b/crates/sharding/tests/old_grants.rs
@@ -20,10 +20,10 @@
 use common::{LIMITS, answer, at, granted, id, ready, slices_of, timing, write_record};
 
 /// Between two ends of the time in which a path is whole and the old holder hears nothing.
-const LONGEST_PAUSE: u64 = 300;
+const MAX_PAUSE: u64 = 300;
 
 /// A granter whose holder "a" is cut off from 2,010 ms on.
-struct Cut {
+struct Partition {
     granter: Granter,
     /// The first order, written to a connection that "a" had answered on.
     written: Option<GrantOrder>,
@@ -33,7 +33,7 @@
     now: u64,
 }
 
-impl Cut {
+impl Partition {
     fn begin() -> Self {
         Self {
             granter: granted(),
@@ -76,7 +76,7 @@
     }
 
     /// Goes on until "a" has no slice.
-    fn until_keys_went_on(&mut self) {
+    fn run_until_keys_moved(&mut self) {
         for _ in 0..1_000 {
             self.step();
             let record = self.record.as_ref();
@@ -89,9 +89,9 @@
 }
 
 /// Tokens that an upstream has seen: it refuses lower ones.
-struct Floors(Vec<u64>);
+struct SeenTokens(Vec<u64>);
 
-impl Floors {
+impl SeenTokens {
     fn new() -> Self {
         Self(vec![0; KeyRange::ALL.len() as usize])
     }
@@ -101,80 +101,84 @@
     }
 
     /// Takes an order; whether it is refused.
-    fn take(&mut self, order: &GrantOrder) -> bool {
+    fn apply(&mut self, order: &GrantOrder) -> bool {
         let token = order.token.0;
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
         let keys = self.of(order.range);
-        if is_grant && keys.iter().any(|floor| *floor > token) {
+        if is_grant && keys.iter().any(|token_seen| *token_seen > token) {
             return true;
         }
-        for floor in keys {
-            *floor = token.max(*floor);
+        for token_seen in keys {
+            *token_seen = token.max(*token_seen);
         }
         false
     }
 }
 
 #[test]
-fn an_old_grant_is_refused_after_the_cut() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let whole_at = cut.now.max(7_010);
-    while cut.now < whole_at {
-        cut.step();
+fn an_old_grant_is_refused_after_a_partition() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let restored_at = partition.now.max(7_010);
+    while partition.now < restored_at {
+        partition.step();
     }
-    let mut floors = Floors::new();
-    while cut.now < whole_at + LONGEST_PAUSE {
-        for order in cut.step() {
-            floors.take(&order);
+    let mut seen = SeenTokens::new();
+    while partition.now < restored_at + MAX_PAUSE {
+        for order in partition.step() {
+            seen.apply(&order);
         }
     }
-    let written = cut.written.clone().expect("a renewal was written");
+    let written = partition.written.clone().expect("a renewal was written");
     assert!(matches!(written.kind, OrderKind::Grant { .. }));
-    assert!(floors.take(&written), "the old grant is taken");
+    assert!(seen.apply(&written), "the old grant is taken");
 }
 
 #[test]
-fn who_lost_keys_without_an_answer_is_told_until_it_answers() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let mut told_at = cut.now;
+fn a_lost_holder_is_sent_releases_until_it_replies() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let mut last_sent_at = partition.now;
     for _ in 0..3_000 {
-        if !cut.step().is_empty() {
-            told_at = cut.now;
+        if !partition.step().is_empty() {
+            last_sent_at = partition.now;
         }
-        let pause = cut.now - told_at;
-        assert!(pause <= LONGEST_PAUSE, "not told for {pause} ms");
+        let pause = partition.now - last_sent_at;
+        assert!(pause <= MAX_PAUSE, "not told for {pause} ms");
     }
 }
 
 /// It registers again and is idle, so that the balance asks for moves to it.
 #[test]
-fn who_lost_keys_without_an_answer_gets_none_before_it_answers() {
+fn a_lost_holder_gets_no_keys_before_it_replies() {
     const ANSWERS_FROM: u64 = 12_000;
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let now = at(cut.now);
-    cut.granter.set_candidates(now, [ready("b", Some(now))]);
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let now = at(partition.now);
+    partition
+        .granter
+        .set_candidates(now, [ready("b", Some(now))]);
     let mut has_answered = false;
     let mut has_keys = false;
-    while cut.now < ANSWERS_FROM + 3_000 {
-        let now = at(cut.now);
+    while partition.now < ANSWERS_FROM + 3_000 {
+        let now = at(partition.now);
         let candidates = [ready("a", Some(now)), ready("b", Some(now))];
-        cut.granter.set_candidates(now, candidates);
+        partition.granter.set_candidates(now, candidates);
         for key in (0..u16::MAX).step_by(1_000) {
-            cut.granter.load.add(ShardKey(key), 1.0);
+            partition.granter.load.add(ShardKey(key), 1.0);
         }
-        cut.granter.load.decay(0.99);
-        cut.granter.rebalance(now, &LIMITS);
-        for order in cut.step() {
+        partition.granter.load.decay(0.99);
+        partition.granter.rebalance(now, &LIMITS);
+        for order in partition.step() {
             let is_grant = matches!(order.kind, OrderKind::Grant { .. });
             assert!(has_answered || !is_grant, "{order:?}");
             has_keys |= is_grant;
-            if cut.now >= ANSWERS_FROM {
+            if partition.now >= ANSWERS_FROM {
                 has_answered |= !is_grant;
-                cut.pending.retain(|(_, other)| other.call != order.call);
-                answer(&mut cut.granter, at(cut.now), &order);
+                partition
+                    .pending
+                    .retain(|(_, other)| other.call != order.call);
+                answer(&mut partition.granter, at(partition.now), &order);
             }
         }
     }
@@ -182,29 +186,29 @@
 }
 
 #[test]
-fn a_successor_tells_whom_its_predecessor_could_not_reach() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let record = cut.record.clone().expect("a record");
-    let begin = cut.now + 2_000;
+fn a_successor_fences_holders_that_its_predecessor_could_not_reach() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let record = partition.record.clone().expect("a record");
+    let begin = partition.now + 2_000;
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-    let orders = (begin..begin + LONGEST_PAUSE).step_by(10);
+    let orders = (begin..begin + MAX_PAUSE).step_by(10);
     let mut orders = orders.flat_map(|now| successor.poll(at(now)));
-    let told = orders.find(|order| order.holder == id("a"));
-    let told = told.expect("a is told nothing");
-    assert_eq!(told.kind, OrderKind::Release);
-    assert!(told.token > FencingToken::new(Epoch(2), 0));
+    let release = orders.find(|order| order.holder == id("a"));
+    let release = release.expect("a is told nothing");
+    assert_eq!(release.kind, OrderKind::Release);
+    assert!(release.token > FencingToken::new(Epoch(2), 0));
 }
 /// A record that gives keys away names who may still take them, and so does the one before,
 /// by which a successor goes that finds only some parts of the newer one.
 #[test]
-fn who_is_asked_for_keys_stands_in_the_record() {
-    let mut cut = Cut::begin();
+fn the_record_names_holders_whose_keys_are_being_revoked() {
+    let mut partition = Partition::begin();
     let mut leaving_named = false;
     for _ in 0..1_000 {
-        cut.step();
-        let Some(record) = &cut.record else {
+        partition.step();
+        let Some(record) = &partition.record else {
             continue;
         };
         let leaving = record.slices.iter().any(
@@ -224,7 +228,7 @@
 /// A release that waits for long work lets the hold run out at a holder that answers
 /// everything else: it keeps its other keys.
 #[test]
-fn a_holder_of_other_keys_is_told_of_those_that_it_lost_alone() {
+fn a_holder_of_other_keys_is_sent_releases_of_lost_keys_only() {
     let mut granter = granted();
     granter.mark_dirty();
     let record = write_record(&mut granter, at(2_000)).expect("a record");
@@ -259,28 +263,30 @@
 /// An upstream that was cut off from the store as well registers again a second or more
 /// after the cut.
 #[test]
-fn who_is_not_registered_is_told_as_often() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let lost = cut.now;
-    cut.granter.set_candidates(at(lost), [ready("b", None)]);
-    let mut told_at = lost;
-    while cut.now < lost + 30_000 {
-        if !cut.step().is_empty() {
-            told_at = cut.now;
+fn an_unregistered_holder_is_sent_releases_as_often() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let lost = partition.now;
+    partition
+        .granter
+        .set_candidates(at(lost), [ready("b", None)]);
+    let mut last_sent_at = lost;
+    while partition.now < lost + 30_000 {
+        if !partition.step().is_empty() {
+            last_sent_at = partition.now;
         }
-        let pause = cut.now - told_at;
-        assert!(pause <= LONGEST_PAUSE, "not told for {pause} ms");
+        let pause = partition.now - last_sent_at;
+        assert!(pause <= MAX_PAUSE, "not told for {pause} ms");
     }
     let both = [ready("a", None), ready("b", None)];
-    cut.granter.set_candidates(at(cut.now), both);
-    assert_eq!(cut.step().len(), 1);
+    partition.granter.set_candidates(at(partition.now), both);
+    assert_eq!(partition.step().len(), 1);
 }
 
 /// A successor of a granter that lost a hundred holders. All but the last one stay silent,
 /// and "z" answers from `answers_from` on; when it was told then, and the most releases in
 /// a second.
-fn told_among_a_hundred(answers_from: u64) -> (u64, usize) {
+fn first_release_among_a_hundred(answers_from: u64) -> (u64, usize) {
     let lost = (0..100).map(|number| format!("dead-{number:02}"));
     let lost = lost.chain(["z".to_owned()]);
     let ranges = KeyRange::ALL.divide(101);
@@ -325,8 +331,8 @@
                     let second = sent.iter().filter(|at| **at <= *end && **at + 1_000 > *end);
                     second.count()
                 };
-                let most = sent.iter().map(in_a_second).max();
-                return (now, most.unwrap_or_default());
+                let max_per_second = sent.iter().map(in_a_second).max();
+                return (now, max_per_second.unwrap_or_default());
             }
             pending.push((now + 350, order));
         }
@@ -338,15 +344,15 @@
 /// The one that comes back is not kept waiting by those with lower names for good, and all
 /// together stay within what a granter can send.
 #[test]
-fn one_of_a_hundred_lost_holders_is_told_in_its_turn() {
-    let (told, most) = told_among_a_hundred(5_000);
-    assert!(told <= 6_000, "told at {told}");
-    assert!(most <= 150, "{most} in a second");
+fn one_of_a_hundred_lost_holders_is_sent_a_release_in_turn() {
+    let (release, max_per_second) = first_release_among_a_hundred(5_000);
+    assert!(release <= 6_000, "told at {release}");
+    assert!(max_per_second <= 150, "{max_per_second} in a second");
 }
 
 /// A successor that finds keys on the move asks for them itself.
 #[test]
-fn a_holder_that_is_asked_for_keys_at_a_takeover_is_asked_once() {
+fn a_holder_with_a_pending_revocation_gets_one_release_at_a_takeover() {
     let range = KeyRange::ALL.divide(2);
     let holder = id("a");
     let token = FencingToken::new(Epoch(1), 1);
@@ -385,40 +391,42 @@
 /// A second release that is under way when the first is answered would take away what the
 /// upstream is given then.
 #[test]
-fn who_has_answered_gets_no_keys_while_another_release_is_under_way() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
+fn a_holder_that_replied_gets_no_keys_while_another_release_is_pending() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
     // The releases of its slices have been given up on by then.
     for _ in 0..60 {
-        cut.step();
+        partition.step();
     }
-    while cut.granter.unfenced_count() == 1 {
-        let orders = cut.step();
-        if cut.pending.len() >= 2 && !orders.is_empty() {
-            let (_, first) = cut.pending.remove(0);
-            answer(&mut cut.granter, at(cut.now), &first);
+    while partition.granter.unfenced_count() == 1 {
+        let orders = partition.step();
+        if partition.pending.len() >= 2 && !orders.is_empty() {
+            let (_, first) = partition.pending.remove(0);
+            answer(&mut partition.granter, at(partition.now), &first);
             break;
         }
     }
-    assert_eq!(cut.granter.unfenced_count(), 1);
+    assert_eq!(partition.granter.unfenced_count(), 1);
     for _ in 0..60 {
-        cut.step();
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 0);
+    assert_eq!(partition.granter.unfenced_count(), 0);
 }
 
 #[test]
-fn who_is_not_registered_for_a_minute_is_forgotten() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let lost = cut.now;
-    cut.granter.set_candidates(at(lost), [ready("b", None)]);
-    while cut.now < lost + 59_000 {
-        cut.step();
+fn a_holder_unregistered_for_a_minute_is_forgotten() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let lost = partition.now;
+    partition
+        .granter
+        .set_candidates(at(lost), [ready("b", None)]);
+    while partition.now < lost + 59_000 {
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 1);
-    while cut.now < lost + 61_000 {
-        cut.step();
+    assert_eq!(partition.granter.unfenced_count(), 1);
+    while partition.now < lost + 61_000 {
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 0);
+    assert_eq!(partition.granter.unfenced_count(), 0);
 }
--- a/crates/sharding/tests/restarts.rs
+++ b/crates/sharding/tests/restarts.rs
@@ -54,7 +54,7 @@
 /// one may still be taken by it: until it has answered under a fresh token its keys are
 /// nobody else's, and none of them is renewed.
 #[test]
-fn keys_of_a_restart_are_taken_back_under_a_fresh_token_first() {
+fn keys_of_a_restart_are_first_revoked_under_a_fresh_token() {
     let (mut granter, highest) = granted();
     let now = at(2_100);
     granter.set_candidates(now, [candidate(born(2)), ready("other", None)]);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_restart_gets_keys_again_under_higher_tokens_as_soon_as_it_answers() {
+fn a_restart_gets_keys_under_higher_tokens_once_it_replies() {
     let (mut granter, highest) = granted();
     granter.set_candidates(at(2_100), [candidate(born(2)), ready("other", None)]);
     let mut granted = 0;
@@ -93,7 +93,7 @@
 /// An old order of keys that the one before had given back may still come: nothing else
 /// would make the restart refuse it.
 #[test]
-fn a_restart_gets_no_keys_before_it_has_answered_for_all() {
+fn a_restart_gets_no_keys_before_it_confirms_release_of_all_keys() {
     let (mut granter, _) = granted();
     granter.set_candidates(at(2_100), [candidate(born(2)), ready("other", None)]);
     assert_eq!(granter.unfenced_count(), 1);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_answer_of_a_restart_ends_what_the_one_before_owes() {
+fn reply_of_a_restart_ends_fencing_of_the_previous_incarnation() {
     let (mut granter, _) = granted();
     let mut now = at(2_000);
     while granter.unfenced_count() == 0 {
@@ -156,7 +156,7 @@
 
 /// Nobody answers at the address of the one before: its last grant is waited for.
 #[test]
-fn keys_of_a_restart_that_does_not_answer_wait_for_the_last_grant() {
+fn keys_of_an_unresponsive_restart_wait_for_the_last_grant_to_expire() {
     let (mut granter, _) = granted();
     granter.set_candidates(at(2_100), [candidate(born(2)), ready("other", None)]);
     let lapses = at(2_000) + HOLD;
@@ -188,7 +188,7 @@
 
 /// What was learned of the silence of the one before does not keep keys from the next.
 #[test]
-fn a_restart_is_not_avoided_for_the_silence_of_the_one_before() {
+fn a_restart_is_not_excluded_for_an_unresponsive_previous_incarnation() {
     let (mut granter, _) = granted();
     let mut now = at(2_000);
     while now < at(8_000) {
@@ -216,7 +216,7 @@
 
 /// The first incarnation vanished, gave its keys back to the last, and nothing holds or is
 /// registered that would name it.
-fn gave_all_back() -> (Granter, FencingToken) {
+fn returned_all_keys() -> (Granter, FencingToken) {
     let (mut granter, highest) = granted();
     granter.set_candidates(at(2_100), [ready("other", None)]);
     for millis in (2_100..6_000).step_by(20) {
@@ -235,8 +235,8 @@
 /// not registered, so the one that came was taken for a new upstream. The simulator's lines
 /// show it: no order at all to the restart between its start and that grant.
 #[test]
-fn a_restart_is_fenced_though_the_one_before_had_given_all_back() {
-    let (mut granter, highest) = gave_all_back();
+fn a_restart_is_fenced_even_if_the_previous_incarnation_returned_all_keys() {
+    let (mut granter, highest) = returned_all_keys();
     granter.set_candidates(at(6_100), [candidate(born(2)), ready("other", None)]);
     assert_eq!(granter.unfenced_count(), 1);
     let orders = granter.poll(at(6_100)).into_iter();
@@ -249,8 +249,8 @@
 
 /// Nothing is left then that it could take: what is not taken for a minute is lost.
 #[test]
-fn a_restart_long_after_is_a_new_upstream() {
-    let (mut granter, _) = gave_all_back();
+fn a_restart_after_a_long_absence_is_a_new_upstream() {
+    let (mut granter, _) = returned_all_keys();
     granter.set_candidates(at(70_000), [candidate(born(2)), ready("other", None)]);
     assert_eq!(granter.unfenced_count(), 0);
 }
--- a/crates/sharding/tests/slow_granter.rs
+++ b/crates/sharding/tests/slow_granter.rs
@@ -15,7 +15,7 @@
 const HOLDERS: usize = 100;
 const SLICES: u32 = 400;
 /// How long an order is waited for, in milliseconds.
-const PATIENCE: u64 = 500;
+const ORDER_TIMEOUT: u64 = 500;
 
 fn holder(number: usize) -> String {
     format!("holder-{number}")
@@ -56,7 +56,7 @@
 
 /// The machine of a granter: each order takes that much of its time, one after the other.
 struct Machine {
-    millis_an_order: u64,
+    millis_per_order: u64,
     busy_until: u64,
     /// Orders, when each was given, and when its answer is read.
     queue: VecDeque<(GrantOrder, u64, u64)>,
@@ -65,9 +65,9 @@
 }
 
 impl Machine {
-    fn new(millis_an_order: u64) -> Self {
+    fn new(millis_per_order: u64) -> Self {
         Self {
-            millis_an_order,
+            millis_per_order,
             busy_until: 0,
             queue: VecDeque::new(),
             granted: 0,
@@ -75,16 +75,16 @@
         }
     }
 
-    fn give(&mut self, now: u64, order: GrantOrder) {
-        self.busy_until = self.busy_until.max(now) + self.millis_an_order;
+    fn send(&mut self, now: u64, order: GrantOrder) {
+        self.busy_until = self.busy_until.max(now) + self.millis_per_order;
         self.queue.push_back((order, now, self.busy_until));
     }
 
     /// Hands the answers to the granter that were read by `now`; those that were read too
     /// late were given up on.
-    fn answers(&mut self, now: u64, granter: &mut Granter) {
-        while let Some((order, given, read)) = self.queue.front().cloned() {
-            let given_up = given + PATIENCE;
+    fn deliver_replies(&mut self, now: u64, granter: &mut Granter) {
+        while let Some((order, sent, read)) = self.queue.front().cloned() {
+            let given_up = sent + ORDER_TIMEOUT;
             if read.min(given_up) > now {
                 return;
             }
@@ -102,34 +102,34 @@
 
 /// Runs a granter on such a machine, while all holders serve; slices that left theirs.
 fn run(granter: &mut Granter, machine: &mut Machine, begin: u64, end: u64) -> usize {
-    let mut left = 0;
+    let mut revoked = 0;
     for now in (begin..end).step_by(10) {
-        machine.answers(now, granter);
+        machine.deliver_replies(now, granter);
         if now % 100 == 0 {
             granter.set_candidates(at(now), holders(Some(now)));
         }
         for order in granter.poll(at(now)) {
-            machine.give(now, order);
+            machine.send(now, order);
         }
         if let Some(record) = write_record(granter, at(now)) {
             let leaving = record.slices.iter();
-            left += leaving
+            revoked += leaving
                 .filter(|slice| matches!(slice.state, SliceState::Leaving { .. }))
                 .count();
         }
     }
-    left
+    revoked
 }
 
 /// SHORT on rkp-algas-grown: a new granter on a tenth of a core gave 440 orders at once,
 /// read nearly all answers too late, took the keys back from all holders, and so on for
 /// 20 s.
 #[test]
-fn a_slow_granter_gives_no_more_orders_at_once_than_it_can_handle() {
+fn a_slow_granter_limits_pending_orders_to_what_it_can_handle() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(4);
-    let left = run(&mut granter, &mut machine, 10_000, 14_000);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    let revoked = run(&mut granter, &mut machine, 10_000, 14_000);
+    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
     assert!(
         machine.unanswered < 20,
         "{} orders were given up on",
@@ -140,52 +140,52 @@
 
 /// However slow it is, its lateness says nothing of holders that answer other nodes.
 #[test]
-fn a_granter_that_reads_all_answers_too_late_takes_nothing_from_holders_that_serve() {
+fn a_granter_that_reads_all_replies_too_late_revokes_nothing_from_responsive_holders() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(600);
-    let left = run(&mut granter, &mut machine, 10_000, 16_000);
+    let revoked = run(&mut granter, &mut machine, 10_000, 16_000);
     assert!(machine.unanswered > 0);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
 }
 
 /// Holders that neither answer the granter nor other nodes are silent.
 #[test]
-fn a_slow_granter_takes_keys_back_from_holders_that_nobody_hears() {
+fn a_slow_granter_revokes_keys_of_holders_that_answer_no_node() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(4);
-    let dark = id(&holder(3));
-    let mut taken_back = false;
+    let unreachable = id(&holder(3));
+    let mut was_revoked = false;
     for now in (10_000..14_000).step_by(10) {
-        machine.answers(now, &mut granter);
+        machine.deliver_replies(now, &mut granter);
         let mut candidates = holders(Some(now));
         candidates[3].last_answered = Some(at(9_900));
         granter.set_candidates(at(now), candidates);
         for order in granter.poll(at(now)) {
-            if order.holder == dark {
+            if order.holder == unreachable {
                 granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
-                machine.give(now, order);
+                machine.send(now, order);
             }
         }
         if let Some(record) = write_record(&mut granter, at(now)) {
-            taken_back |= record.slices.iter().any(|slice| {
+            was_revoked |= record.slices.iter().any(|slice| {
                 let leaves = matches!(&slice.state, SliceState::Leaving { holder, .. }
-                    if *holder == dark);
+                    if *holder == unreachable);
                 leaves
             });
         }
     }
-    assert!(taken_back);
+    assert!(was_revoked);
 }
 
 /// It can renew 83 holds a second, where 94 are needed for all: it keeps what it can, and
 /// takes nothing back.
 #[test]
-fn a_granter_too_slow_for_all_holds_keeps_some() {
+fn a_granter_too_slow_for_all_renewals_keeps_some_grants() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(12);
-    let left = run(&mut granter, &mut machine, 10_000, 30_000);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    let revoked = run(&mut granter, &mut machine, 10_000, 30_000);
+    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
     let held = granter.held_count(at(30_000));
     assert!(held >= 150, "{held} of {SLICES} held");
 }
--- a/crates/sharding/tests/standbys.rs
+++ b/crates/sharding/tests/standbys.rs
@@ -20,28 +20,28 @@
 
 /// How a standby behaves.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Conduct {
+enum Behavior {
     /// It tells of each record.
-    Follows,
+    Reports,
     /// It tells of none after 2,000 ms.
-    FallsSilent,
+    StopsReporting,
     /// It falls silent and its process is shown to have ended 1 s later.
     Ends,
     /// It follows, and says that it prolonged holds at 4,000 ms.
-    Prolonged,
+    Extends,
 }
 
 /// When the slices of "a", which answers nothing after 2,000 ms, are free.
-fn lost_at(conduct: Conduct) -> u64 {
+fn lost_at(behavior: Behavior) -> u64 {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", None), ready("b", None)]);
     let mut newest = None;
     for now in (0..25_000).step_by(10) {
-        let has_ended = conduct == Conduct::Ends && now >= 3_000;
+        let has_ended = behavior == Behavior::Ends && now >= 3_000;
         let wanted: &[StandbyId] = if has_ended { &[] } else { &[STANDBY] };
         granter.set_standbys(at(now), wanted);
-        for word in granter.standbys_to_authorize(at(now)) {
-            granter.standby_authorized(at(now), &word);
+        for standby in granter.standbys_to_authorize(at(now)) {
+            granter.standby_authorized(at(now), &standby);
         }
         for order in granter.poll(at(now)) {
             if order.holder == id("a") && now > 2_000 {
@@ -56,16 +56,16 @@
                 return now;
             }
         }
-        let silent = matches!(conduct, Conduct::FallsSilent | Conduct::Ends);
+        let silent = matches!(behavior, Behavior::StopsReporting | Behavior::Ends);
         if now <= 2_000 || !silent {
-            let prolonged = (conduct == Conduct::Prolonged && now >= 4_000)
+            let prolonged = (behavior == Behavior::Extends && now >= 4_000)
                 .then(|| Duration::from_millis(now - 4_000));
-            let knows: Option<RecordNumber> = newest;
+            let known_record: Option<RecordNumber> = newest;
             granter.standby_reported(
                 at(now),
                 &STANDBY,
                 StandbyStatus {
-                    known_record: knows,
+                    known_record,
                     prolonged,
                 },
             );
@@ -79,29 +79,32 @@
 
 #[test]
 fn a_standby_that_knows_the_record_delays_nothing() {
-    let lost = lost_at(Conduct::Follows);
+    let lost = lost_at(Behavior::Reports);
     assert!(lost <= 2_000 + 3_060 + 1_000, "lost at {lost}");
 }
 
 #[test]
-fn a_silent_standby_is_waited_for_until_its_last_word_has_run_out() {
-    let lost = lost_at(Conduct::FallsSilent);
-    let span = STANDBY_AUTHORIZATION.as_millis() as u64;
+fn an_unresponsive_standby_is_waited_for_until_its_authorization_expires() {
+    let lost = lost_at(Behavior::StopsReporting);
+    let authorization = STANDBY_AUTHORIZATION.as_millis() as u64;
     // The last word is sent between 2,000 ms and the end of the patience.
-    assert!(lost >= 2_000 + span + 3_060, "lost at {lost}");
-    assert!(lost <= 3_200 + span + span / 50 + 4_000, "lost at {lost}");
+    assert!(lost >= 2_000 + authorization + 3_060, "lost at {lost}");
+    assert!(
+        lost <= 3_200 + authorization + authorization / 50 + 4_000,
+        "lost at {lost}"
+    );
 }
 
 #[test]
-fn a_standby_whose_process_ended_is_waited_for_one_hold() {
-    let lost = lost_at(Conduct::Ends);
+fn an_ended_standby_is_waited_for_one_grant_duration() {
+    let lost = lost_at(Behavior::Ends);
     assert!(lost >= 3_000 + 3_060, "lost at {lost}");
     assert!(lost <= 3_000 + 800 + 3_060 + 100, "lost at {lost}");
 }
 
 #[test]
-fn what_a_standby_prolonged_counts() {
-    let lost = lost_at(Conduct::Prolonged);
+fn grants_extended_by_a_standby_count() {
+    let lost = lost_at(Behavior::Extends);
     assert!(lost >= 4_000 + 3_060, "lost at {lost}");
     assert!(lost <= 4_000 + 800 + 3_060 + 100, "lost at {lost}");
 }
@@ -116,7 +119,7 @@
     assert_eq!(record.standbys, [STANDBY]);
     let mut second = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     second.set_candidates(at(5_000), [ready("b", None)]);
-    let span = STANDBY_AUTHORIZATION.as_millis() as u64;
+    let authorization = STANDBY_AUTHORIZATION.as_millis() as u64;
     let mut freed = 0;
     for now in (5_000..25_000).step_by(10) {
         for order in second.poll(at(now)) {
@@ -136,5 +139,5 @@
             freed = now;
         }
     }
-    assert!(freed >= 5_000 + span + 3_060, "free at {freed}");
+    assert!(freed >= 5_000 + authorization + 3_060, "free at {freed}");
 }
