--- a/crates/sharding/src/balance.rs
+++ b/crates/sharding/src/balance.rs
@@ -1,4 +1,4 @@
-//! What to move from busy upstreams to idle ones.
+//! Load balancing: plans moves from busy to idle upstreams.
 
 use crate::load::LoadMap;
 use crate::range::{KeyRange, ShardKey};
@@ -6,37 +6,36 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// When a difference is worth a move.
+/// Limits that decide when a move is worthwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct BalanceLimits {
-    /// Most slices on the move at once for the sake of a better balance.
+    /// Maximum number of slices that move at a time to improve the balance.
     pub max_moves: usize,
-    /// The same for slices of upstreams that have more than they can do, as a part of
-    /// all upstreams: busy keys that lie close together are to be with many of them
-    /// within a second or two.
+    /// The same for slices of overloaded upstreams, as a fraction of all upstreams. Busy keys
+    /// that are adjacent must be spread over many upstreams within a second or two.
     pub max_overload_moves_share: f64,
-    /// Utilization from which an upstream has more than it can do: chance alone brings
-    /// none there, so that what many upstreams have by chance moves nothing.
+    /// Utilization from which an upstream is overloaded. Random variation alone does not
+    /// reach it, so that the random load differences of many upstreams cause no moves.
     pub overload_utilization: f64,
-    /// Utilization below which an upstream is left alone.
+    /// Utilization below which no keys are moved away from an upstream.
     pub busy_utilization: f64,
-    /// Least difference in utilization between giver and taker.
+    /// Minimum difference in utilization between source and target.
     pub min_utilization_gap: f64,
-    /// Least count of requests that a move takes along: what chance explains
-    /// is left alone.
+    /// Minimum number of counted requests that a move transfers; smaller loads may be random
+    /// variation.
     pub min_requests: f64,
-    /// How long a slice rests after a move.
+    /// How long a slice is not moved again after a move.
     pub move_cooldown: Duration,
-    /// Seconds of requests that the load counts, to turn counts to rates.
+    /// Seconds of requests that the load map covers, used to convert counts to rates.
     pub load_window_secs: f64,
 }
 
-/// An upstream that may take slices.
+/// An upstream that may be assigned slices.
 #[derive(Clone, Debug)]
 pub struct UpstreamCapacity {
     /// The upstream.
     pub id: UpstreamId,
-    /// Requests a second that it can work on.
+    /// Requests per second that it can serve.
     pub capacity: f64,
 }
 
@@ -51,21 +50,21 @@
     pub movable: bool,
 }
 
-/// One move.
+/// A planned move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceMove {
-    /// The keys: a slice or a part of one.
+    /// The keys: a slice or part of one.
     pub range: KeyRange,
-    /// Who gets them.
+    /// The upstream that gets them.
     pub to: UpstreamId,
 }
 
-/// Share of its holder's capacity from which a single key counts as hot.
+/// Fraction of its holder's capacity from which a single key is hot.
 const HOT_SHARE: f64 = 0.5;
-/// How much more the taker of a hot key must be able to do.
+/// Minimum ratio of the target's capacity to the holder's for moving a hot key.
 const HOT_GAIN: f64 = 1.15;
 
-/// A holding while moves are planned.
+/// A slice during planning.
 #[derive(Clone, Debug)]
 struct PlannedHolding {
     range: KeyRange,
@@ -73,7 +72,7 @@
     movable: bool,
 }
 
-/// An upstream while moves are planned.
+/// An upstream during planning.
 #[derive(Clone, Debug)]
 struct PlannedUpstream<'a> {
     id: &'a UpstreamId,
@@ -88,25 +87,25 @@
     }
 }
 
-/// The upstreams, by their index, so that a plan for hundreds of them costs a
-/// granter with little processor time less than a millisecond a move.
+/// State of the planning. Upstreams are addressed by index, so that a plan for hundreds of
+/// them costs a granter with little processor time less than a millisecond per move.
 struct Balance<'a> {
     load: &'a LoadMap,
     limits: &'a BalanceLimits,
     planned_upstreams: Vec<PlannedUpstream<'a>>,
 }
 
-/// How many more slices may move now.
+/// How many more slices may start to move now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MoveBudget {
-    /// For the sake of a better balance.
+    /// To improve the balance.
     pub balancing: usize,
-    /// From upstreams that have more than they can do, those above included.
+    /// From overloaded upstreams, including the moves counted in `balancing`.
     pub overload: usize,
 }
 
-/// Plans moves until the busiest upstream that can be relieved is close enough
-/// to the idlest, or there is no room for more.
+/// Plans moves until the busiest upstream that can be relieved is close enough to the least
+/// busy one, or the budget is used up.
 pub fn plan_moves(
     upstreams: &[UpstreamCapacity],
     holdings: &[SliceHolding],
@@ -158,7 +157,7 @@
     steps
 }
 
-/// A key that is a large part of what its holder can do.
+/// A key that takes up a large part of its holder's capacity.
 struct HotKey {
     holder: usize,
     holding: usize,
@@ -167,9 +166,9 @@
 }
 
 impl Balance<'_> {
-    /// Moves for keys that no split can relieve: each goes to the upstream
-    /// that can do most, one such key to an upstream. What else that upstream
-    /// holds is moved by the ordinary steps.
+    /// Moves for keys that no split can relieve: each goes to the upstream with the most
+    /// capacity, at most one such key to an upstream. The other keys of that upstream are
+    /// left to the regular moves.
     fn plan_hot_key_moves(&mut self, limit: usize) -> Vec<SliceMove> {
         let mut hot = self.hot_keys();
         hot.sort_by(|one, other| other.load.total_cmp(&one.load));
@@ -241,7 +240,7 @@
         self.planned_upstreams[index].utilization(self.limits.load_window_secs)
     }
 
-    /// Upstreams from the busiest to the idlest.
+    /// Upstreams in descending order of utilization.
     fn ranked(&self) -> Vec<usize> {
         let mut ranked: Vec<(f64, usize)> = (0..self.planned_upstreams.len())
             .map(|index| (self.utilization(index), index))
@@ -250,7 +249,7 @@
         ranked.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// One move from an upstream that is utilized that much at least.
+    /// Plans one move from an upstream with at least that utilization.
     fn next_move(&mut self, threshold: f64) -> Option<SliceMove> {
         let ranked = self.ranked();
         let target = *ranked.last()?;
@@ -268,7 +267,7 @@
         None
     }
 
-    /// The load whose move makes both equally utilized.
+    /// The load to move so that both are equally utilized.
     fn load_to_move(&self, source: usize, target: usize) -> f64 {
         let (source, target) = (
             &self.planned_upstreams[source],
@@ -296,8 +295,8 @@
         })
     }
 
-    /// Gives a part of a holding to another upstream; what is left of it stays. Other
-    /// holdings keep their places.
+    /// Moves part of a slice to another upstream; the remainder stays. The indices of the
+    /// other slices do not change.
     fn split_off(&mut self, source: usize, index: usize, moved: KeyRange, target: usize) {
         let whole = self.planned_upstreams[source].holdings[index].range;
         let below = (moved.first > whole.first).then(|| KeyRange {
@@ -308,7 +307,7 @@
             first: ShardKey(moved.last.0 + 1),
             last: whole.last,
         });
-        // A split slice is moved once a plan at most.
+        // A split slice is moved at most once per plan.
         let planned = |range: KeyRange| PlannedHolding {
             range,
             load: self.load.of_range(range),
@@ -331,9 +330,8 @@
     }
 }
 
-/// The whole range if its load is at most `load_to_move`, or the end of it that
-/// comes closest. `None` when a single key is more than can be moved with
-/// gain.
+/// The whole range if its load is at most `load_to_move`, or else the prefix or suffix that
+/// comes closest. `None` if even a single key exceeds it.
 fn movable_part(load: &LoadMap, range: KeyRange, load_to_move: f64) -> Option<(KeyRange, f64)> {
     let total = load.of_range(range);
     if total <= load_to_move {
@@ -355,7 +353,7 @@
     }
 }
 
-/// The longest run of keys from the begin whose load is at most `load_to_move`.
+/// The longest prefix of keys whose load is at most `load_to_move`.
 fn prefix(keys: &[(ShardKey, f64)], load_to_move: f64) -> Option<(ShardKey, f64)> {
     let mut sum = 0.0;
     let mut end = None;
--- a/crates/sharding/src/granter.rs
+++ b/crates/sharding/src/granter.rs
@@ -1,18 +1,18 @@
-//! Grants the slices of one service and takes them back.
+//! Grants the slices of one service to upstreams and revokes them.
 //!
 //! Invariants:
-//! - A grant is sent only after a record that names its holder is durable, so
-//!   a successor knows every upstream that may hold keys.
-//! - A slice goes to another holder only after the last one released it under
-//!   a token above all its grants, is known to have ended, or cannot hold an
-//!   unexpired grant. A grant without an answer counts as taken when it was
-//!   given up on, which holds only if nothing of it comes later.
-//! - A grant that its upstream may carry out later counts as taken at the end of the
+//! - A grant is sent only after a record that names its holder is durable, so that a
+//!   successor knows every upstream that may hold keys.
+//! - A slice goes to another holder only after the previous one has released it under a token
+//!   above all its grants, is known to have ended, or cannot hold an unexpired grant. An
+//!   unanswered grant counts as accepted at the time it was given up on, which is correct
+//!   only if nothing of it arrives later.
+//! - A grant that its upstream may execute later counts as accepted at the end of the
 //!   lifetime of orders ([`doubt`]).
-//! - So an upstream that lost keys without an answer is told of it until it answers, and
-//!   gets none before ([`crate::FenceNotice`]).
-//! - Whoever calls [`Granter::poll`] must have the authority to grant at that
-//!   instant; the granter itself knows nothing of leases.
+//! - For that reason an upstream that lost keys without a reply is sent releases until it
+//!   replies, and gets no keys before that ([`crate::FenceNotice`]).
+//! - Callers of [`Granter::poll`] must have the authority to grant at that instant; the
+//!   granter itself knows nothing of leases.
 
 mod contact;
 mod doubt;
@@ -44,56 +44,54 @@
 use std::time::Duration;
 use withheld::WithheldKeys;
 
-/// How long an upstream that lost keys for its silence gets none.
+/// How long an upstream that lost keys because it was unresponsive gets no new ones.
 const EXCLUSION_PERIOD: Duration = Duration::from_secs(4);
-/// Between two questions to a holder whose address is contested.
+/// Interval between probes of a holder whose address is claimed by another upstream.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Timing of grants.
 #[derive(Clone, Copy, Debug)]
 pub struct GranterTiming {
-    /// How long a grant holds: the keys of a holder that fell silent are without
-    /// an owner for about that long.
+    /// Duration of a grant. Keys of a holder that becomes unresponsive have no owner for
+    /// about this long.
     pub hold: Duration,
-    /// Between renewals.
+    /// Interval between renewals.
     pub renewal: Duration,
-    /// Least time between two orders of a granter, on average: many slices are
-    /// renewed less often and held for as much longer.
+    /// Minimum average time between two orders of a granter. With many slices, renewals are
+    /// less frequent and grants correspondingly longer.
     pub min_order_interval: Duration,
-    /// Longest time between renewals that comes of this.
+    /// Upper bound on the renewal interval that results from this.
     pub max_renewal: Duration,
-    /// How much longer a holder may count a hold by its own clock, in percent.
+    /// How much longer a holder's clock may count a grant, in percent.
     pub drift_percent: u32,
-    /// How long an order may still be on its way after it was given up on.
+    /// How long an order may still be in transit after it was given up on.
     pub transit: Duration,
-    /// How long an answer to an order is waited for before it is given up on.
+    /// How long a reply to an order is waited for.
     pub order_timeout: Duration,
-    /// How long an upstream that has an order and does not answer it may take to carry it out.
+    /// How long an upstream that received an order without replying may take to execute it.
     pub order_lifetime: Duration,
-    /// How long a holder may leave grants unanswered before its slices are
-    /// taken back.
+    /// How long a holder may leave grants unanswered before its slices are revoked.
     pub silence_timeout: Duration,
-    /// How long no upstream must have appeared before keys are divided for the
-    /// first time.
+    /// How long no new upstream must have appeared before the keys are first divided.
     pub quiet_period: Duration,
-    /// How long nodes may take to hear that a slice is leaving; the release
-    /// waits for that.
+    /// How long nodes may take to learn that a slice is leaving; its release is delayed by
+    /// that.
     pub release_delay: Duration,
-    /// Protections in force.
+    /// Enabled protections.
     pub guards: GranterGuards,
 }
 
-/// How grants are renewed, and for how long they hold.
+/// Renewal interval and duration of grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantPace {
-    /// How long a grant holds.
+    /// Duration of a grant.
     pub hold: Duration,
-    /// Between renewals.
+    /// Interval between renewals.
     pub renewal: Duration,
 }
 
 impl GranterTiming {
-    /// The pace for so many slices.
+    /// The pace for that number of slices.
     pub fn pace(&self, slices: usize) -> GrantPace {
         let slices = u32::try_from(slices).unwrap_or(u32::MAX);
         let needed = self.min_order_interval.saturating_mul(slices);
@@ -104,38 +102,37 @@
         }
     }
 
-    /// Most slices that are renewed in time, each at the slowest pace.
+    /// Maximum number of slices that can be renewed in time at the slowest pace.
     pub(crate) fn renewable(&self) -> u32 {
         let pause = self.min_order_interval.as_nanos().max(1);
         let renewable = self.max_renewal.as_nanos() / pause;
         u32::try_from(renewable).unwrap_or(u32::MAX)
     }
 
-    /// The longest that a holder may count a grant of that length.
+    /// The longest time for which a holder may consider a grant of that length valid.
     pub(crate) fn bound(&self, hold: Duration) -> Duration {
         hold * (100 + self.drift_percent) / 100
     }
 
-    /// The longest that a holder may count any grant.
+    /// The longest time for which a holder may consider any grant valid.
     fn longest_bound(&self) -> Duration {
         self.bound(self.longest_hold())
     }
 
-    /// The longest time for which keys are granted.
+    /// The longest duration of a grant.
     fn longest_hold(&self) -> Duration {
         self.hold + (self.max_renewal - self.renewal)
     }
 }
 
-/// What the directory says of an upstream.
+/// State of an upstream according to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateState {
-    /// It takes new keys.
+    /// It may get new keys.
     Ready,
-    /// It keeps its keys and gets no others while there are upstreams that are ready: it is
-    /// cold.
+    /// It is still cold: it keeps its keys and gets new ones only if no upstream is ready.
     Cold,
-    /// It is to lose its keys.
+    /// Its keys are to be moved away.
     Draining,
 }
 
@@ -144,36 +141,38 @@
 pub struct Candidate {
     /// The upstream.
     pub id: UpstreamId,
-    /// What the directory says of it.
+    /// Its state according to the directory.
     pub state: CandidateState,
-    /// Requests a second that it can work on.
+    /// Requests per second that it can serve.
     pub capacity: f64,
     /// When it last answered a request of any node, as far as known.
     pub last_answered: Option<Time>,
 }
 
-/// Protections that a test can switch off one by one to see what each is for.
+/// Protections that tests can disable one by one to show what each one prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GranterGuards {
-    /// A grant waits until a record names its holder.
+    /// A grant is sent only once a durable record names its holder.
     pub records_first: bool,
-    /// A holder that does not answer keeps its slices until its grants ran out.
+    /// An unresponsive holder keeps its slices until its grants have expired.
     pub waits_for_lapse: bool,
-    /// A new granter counts the grants of the one before as in force.
+    /// A new granter treats its predecessor's grants as being in force.
     pub respects_predecessor: bool,
-    /// A grant without an answer counts as taken.
+    /// An unanswered grant counts as accepted.
     pub counts_unanswered: bool,
-    /// Keys of a silent holder wait until no standby can prolong its hold.
+    /// Keys of an unresponsive holder are reassigned only when no standby can extend its
+    /// grants.
     pub waits_for_standbys: bool,
-    /// An upstream that lost keys without an answer is told of it until it answers, and
-    /// gets none before.
+    /// An upstream that lost keys without a reply is sent releases until it replies, and gets
+    /// no keys before that.
     pub fences_lost_holders: bool,
-    /// Each order has a token that no order had before.
+    /// Each order has a token that no earlier order had.
     pub renews_tokens: bool,
-    /// A record that the store may have gone back from is doubted.
+    /// A record is not trusted if the store may have reverted to an older state since it was
+    /// written.
     pub doubts_records: bool,
-    /// Keys of a silent holder wait until no grant that it may have left lying can be in
-    /// force.
+    /// Keys of an unresponsive holder are reassigned only when no delayed grant of them can
+    /// be in force.
     pub waits_for_doubt: bool,
 }
 
@@ -198,7 +197,7 @@
     sent: Time,
     first: ShardKey,
     holder: UpstreamId,
-    /// How long the keys are granted; none for a release.
+    /// Duration of the grant; `None` for a release.
     hold: Option<Duration>,
 }
 
@@ -210,16 +209,16 @@
     token_blocks: u64,
     slices: BTreeMap<ShardKey, Slice>,
     candidates: BTreeMap<UpstreamId, Candidate>,
-    /// Whether it was ever stated which upstreams there are. Before that a holder
-    /// that is not among them has not left.
+    /// Whether the list of upstreams has ever been set. Before that, a holder that is not in
+    /// it has not left.
     knows_candidates: bool,
     ended: Vec<UpstreamId>,
     withheld: Vec<WithheldKeys>,
-    /// Until when grants may be in force that the record which was taken over does not tell.
+    /// Until when grants that the adopted record does not contain may be in force.
     record_doubted_until: Time,
-    /// When holders whose address is contested were last asked.
+    /// When holders with a contested address were last probed.
     probed_at: BTreeMap<UpstreamId, Time>,
-    /// Upstreams that lost keys for their silence, until when they get none.
+    /// Upstreams that lost keys because they were unresponsive, and until when they get none.
     excluded_until: BTreeMap<UpstreamId, Time>,
     calls: BTreeMap<CallId, Call>,
     window: OrderWindow,
@@ -227,20 +226,20 @@
     unanswered_grants: UnansweredGrants,
     standbys: Standbys,
     lost_holders: LostHolders,
-    /// Upstreams that are not registered any more, by when they were last.
+    /// Upstreams that are no longer registered, and when they last were.
     departed_at: BTreeMap<UpstreamId, Time>,
     owned_again: Vec<OwnedAgain>,
     doubt_notices: Vec<DoubtNotice>,
-    /// When records last told for how long keys are in doubt.
+    /// When the remaining time of doubted keys was last recorded.
     doubt_recorded_at: Time,
     polled_at: Time,
     next_call: u64,
-    /// Sequence of the next record.
+    /// Sequence number of the next record.
     next_sequence: u64,
-    /// Sequence of the newest record that is durable.
+    /// Sequence number of the newest durable record.
     durable_sequence: u64,
     dirty: bool,
-    /// When an upstream was first seen, and when the last one appeared.
+    /// When the first upstream and the most recent new one appeared.
     first_appeared: Option<Time>,
     last_appeared: Time,
     /// Load by key.
@@ -248,7 +247,7 @@
 }
 
 impl Granter {
-    /// Takes over at `now` what the record says.
+    /// Creates a granter that adopts the assignment of `record` at `now`.
     pub fn new(
         now: Time,
         timing: GranterTiming,
@@ -295,8 +294,8 @@
         granter
     }
 
-    /// Continues the assignments of the granter before. Its grants may be in
-    /// force until one hold after its authority ended, which was before `now`.
+    /// Adopts the assignment of the previous granter. Its grants may be in force until one
+    /// grant duration after its authority ended, which was before `now`.
     fn adopt(&mut self, now: Time, record: &AssignmentRecord) {
         self.standbys.adopt(now, &record.standbys);
         let expires_at = if self.timing.guards.respects_predecessor {
@@ -335,7 +334,7 @@
         }
     }
 
-    /// States which upstreams there are.
+    /// Sets the upstreams of the service.
     pub fn set_candidates(&mut self, now: Time, candidates: impl IntoIterator<Item = Candidate>) {
         let next: BTreeMap<UpstreamId, Candidate> = candidates
             .into_iter()
@@ -357,7 +356,7 @@
         }
     }
 
-    /// Forgets contacts of upstreams that are gone and hold nothing.
+    /// Drops contacts of upstreams that are gone and hold nothing.
     fn prune_contacts(&mut self) {
         let holders: BTreeSet<&UpstreamId> = self
             .slices
@@ -369,7 +368,7 @@
             .retain(|id, _| candidates.contains_key(id) || holders.contains(id));
     }
 
-    /// Notes that an upstream has ended, so that it holds nothing.
+    /// Records that an upstream has ended, so that it holds nothing.
     pub fn mark_ended(&mut self, id: &UpstreamId) {
         if !self.ended.contains(id) {
             self.ended.push(id.clone());
@@ -377,7 +376,7 @@
         self.lost_holders.mark_ended(id);
     }
 
-    /// Lets one grant of a holder be due soon, to see whether it still has its
+    /// Schedules one grant of a holder immediately, to learn whether it still has its
     /// address.
     pub fn probe_holder(&mut self, now: Time, id: &UpstreamId) {
         let due = self
@@ -398,7 +397,7 @@
         }
     }
 
-    /// The record to write, when it has changed since the last one.
+    /// Takes the record to write, if it has changed since the last one.
     pub fn take_record(&mut self) -> Option<AssignmentRecord> {
         if !self.dirty {
             return None;
@@ -409,7 +408,7 @@
         Some(record)
     }
 
-    /// All that the next record would tell.
+    /// The contents of the next record.
     pub fn snapshot(&self) -> AssignmentRecord {
         AssignmentRecord {
             epoch: self.epoch,
@@ -421,7 +420,7 @@
         }
     }
 
-    /// Notes that the record of that sequence is durable.
+    /// Records that the record with that sequence number is durable.
     pub fn mark_durable(&mut self, now: Time, sequence: u64) {
         let notice = self.timing.release_delay;
         for slice in self.slices.values_mut() {
@@ -434,27 +433,27 @@
         self.durable_sequence = self.durable_sequence.max(sequence);
     }
 
-    /// Notes that a record was not written, so that the next one is due.
+    /// Requests another record, for example because the last one was not written.
     pub fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
-    /// Slices that have an owner again since the last call.
+    /// Takes the slices that have got an owner again since the last call.
     pub fn take_owned_again(&mut self) -> Vec<OwnedAgain> {
         std::mem::take(&mut self.owned_again)
     }
 
-    /// Grants that were left unanswered.
+    /// Counts of unanswered grants.
     pub fn unanswered_grants(&self) -> UnansweredGrants {
         self.unanswered_grants
     }
 
-    /// How many slices there are.
+    /// Number of slices.
     pub fn slice_count(&self) -> usize {
         self.slices.len()
     }
 
-    /// How many slices are held under a grant at `now`.
+    /// Number of slices held under a valid grant at `now`.
     pub fn held_count(&self, now: Time) -> usize {
         let held = self.slices.values();
         held.filter(|slice| slice.holder().is_some() && now < slice.expires_at)
--- a/crates/sharding/src/granter/contact.rs
+++ b/crates/sharding/src/granter/contact.rs
@@ -1,43 +1,43 @@
-//! Whether a holder answers, and when it is sent grants.
+//! Tracks whether a holder replies, and when it may be sent grants.
 //!
-//! An order without an answer may have been taken, so each grant that is sent
-//! into silence puts off the moment in which the holder's keys can go to
-//! another. A holder that leaves a grant unanswered gets one at a time from then
-//! on, until it answers something: an order, or requests that nodes send it.
+//! An unanswered order may have been accepted, so each grant that is sent to an unresponsive
+//! holder postpones the moment at which its keys can be reassigned. After leaving a grant
+//! unanswered, a holder gets only one grant at a time until it answers an order or a request
+//! that nodes send it.
 
 use crate::order::CallId;
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a grant may be under way before further ones wait for its answer.
+/// How long a grant may be pending before further ones wait for its reply.
 const PROMPT_ANSWER: Duration = Duration::from_millis(100);
-/// Pause after a grant that was not answered.
+/// Delay after an unanswered grant.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long after an answer to a request the granter may hear of it: nodes tell their
-/// relay every 0.5 s of the answers that they had, which passes them on.
+/// How long after an answer to a request the granter may learn of it: nodes report the
+/// answers that they received to their relay every 0.5 s, which forwards them.
 const REPORT_DELAY: Duration = Duration::from_millis(600);
 
-/// Grants that were left unanswered, by what the nodes know of their holders.
+/// Counts of unanswered grants, by whether nodes have heard from the holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnansweredGrants {
-    /// The holder answered requests after the grant was sent: the granter, or its path
-    /// to the holder, is late.
+    /// The holder answered requests after the grant was sent: the granter, or its path to the
+    /// holder, is slow.
     pub serving: u64,
-    /// The holder was not heard of since.
+    /// The holder has not been heard from since.
     pub silent: u64,
 }
 
-/// What is known of one holder.
+/// Responsiveness of one holder.
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
-    /// Grants under way, and when they were sent.
+    /// Pending grants, and when they were sent.
     pending: BTreeMap<CallId, Time>,
-    /// Since when no grant was answered.
+    /// Since when no grant has been answered.
     silent_since: Option<Time>,
-    /// When the first grant was sent that was not answered.
+    /// When the first unanswered grant was sent.
     unanswered_since: Option<Time>,
-    /// When the next grant may be sent to a silent holder.
+    /// When the next grant may be sent to an unresponsive holder.
     retry_at: Time,
 }
 
@@ -54,25 +54,25 @@
         now.since(*oldest) < PROMPT_ANSWER || last_answered.is_some_and(|at| at > *oldest)
     }
 
-    /// Notes that a grant is sent.
+    /// Records that a grant is sent.
     pub fn sent(&mut self, now: Time, call: CallId) {
         self.pending.insert(call, now);
     }
 
-    /// Notes that the holder answered a grant, whatever it said.
+    /// Records that the holder replied to a grant, whatever the reply.
     pub fn answered(&mut self, call: CallId) {
         self.pending.remove(&call);
         self.clear_silence();
     }
 
-    /// Forgets its silence: it answered a release, or gets new keys, whose first
-    /// grant it must have the time to answer.
+    /// Resets the unresponsive state: the holder answered a release, or gets new keys and
+    /// must have time to answer their first grant.
     pub fn clear_silence(&mut self) {
         self.silent_since = None;
         self.unanswered_since = None;
     }
 
-    /// Notes that a grant was given up on; when it was sent.
+    /// Records that a grant was given up on; returns when it was sent.
     pub fn unanswered(&mut self, now: Time, call: CallId) -> Time {
         let sent = self.pending.remove(&call).unwrap_or(now);
         self.unanswered_since.get_or_insert(sent);
@@ -81,14 +81,14 @@
         sent
     }
 
-    /// When the first grant was sent that was not answered, if none was since.
+    /// When the first unanswered grant was sent, if no grant has been answered since.
     pub fn unanswered_since(&self) -> Option<Time> {
         self.unanswered_since
     }
 
-    /// Whether it left grants unanswered for so long, and no node was answered by it
-    /// since. A holder that answers nodes is there: what is late is the granter or its
-    /// path to the holder, and taking the keys back would make it later still.
+    /// Whether the holder has left grants unanswered for `timeout` and has answered no node
+    /// since. A holder that answers nodes is alive: the granter or its path to the holder is
+    /// slow, and revoking the keys would slow it down further.
     pub fn is_silent(&self, now: Time, timeout: Duration, last_answered: Option<Time>) -> bool {
         let Some(since) = self.silent_since else {
             return false;
--- a/crates/sharding/src/granter/doubt.rs
+++ b/crates/sharding/src/granter/doubt.rs
@@ -1,25 +1,28 @@
-//! Grants that an upstream may have left lying.
+//! Grants that an upstream may have received without executing them yet.
 //!
-//! An upstream that answers nothing may have a grant in its buffers, or have put it aside,
-//! and carry it out later: it stood still, or its workers were slow. No reset of a connection
-//! takes such a grant back, and a higher token reaches only who reads it. So the time that
-//! an order may lie counts, and then the hold, which begins when the grant is carried out.
+//! An unresponsive upstream may have a grant in its buffers or a queue and execute it later,
+//! because it was paused or its workers were slow. Resetting the connection does not withdraw
+//! such a grant, and a higher token takes effect only once it is read. The grant is therefore
+//! assumed to be executed at the end of the lifetime of orders, and its duration counts from
+//! then.
 //!
-//! Invariant: keys that no answer gave back go to another only when every grant has run out
-//! that came to their holder, or may have, and that it left unanswered. Two counter-cases:
+//! Invariant: keys that no reply returned go to another upstream only when every unanswered
+//! grant that reached their holder, or may have, has expired. Two failures that this
+//! prevents:
 //!
-//! - An upstream stood still for 6.5 s with renewals in its buffers. Its keys went on after
-//!   4 s; it woke and took them while the next holder was at work on them.
-//! - An upstream left a grant lying, answered others under higher tokens, ended, and was up
-//!   again under its name: the restart knew no token and took it. So an answer ends no doubt.
-//!   Keys that were given back meanwhile go to the upstream of the same name again, if it is
-//!   there to stay.
+//! - An upstream was paused for 6.5 s with renewals in its buffers. Its keys were reassigned
+//!   after 4 s; it resumed and accepted the renewals while the next holder was serving the
+//!   keys.
+//! - An upstream received a grant without executing it, answered others under higher tokens,
+//!   ended, and restarted under its name: the new process knew no token and accepted the
+//!   grant. So a reply does not end the doubt. Keys that were returned meanwhile are assigned
+//!   to the upstream of the same name again, unless it is draining.
 //!
-//! Records name the keys that are in doubt, and for how much longer; a successor counts from
+//! Records name the keys in doubt and the remaining time; a successor counts that time from
 //! its own start, which is later.
 //!
-//! Not covered: an upstream that keeps an order for longer than the lifetime of orders, and
-//! one that left a grant lying whose granter ended before it gave that up and wrote so.
+//! Not covered: an upstream that keeps an order for longer than the lifetime of orders, and a
+//! delayed grant whose granter ended before it gave the grant up and recorded the doubt.
 
 use super::{Call, CandidateState, Granter, GranterTiming};
 use crate::range::{KeyRange, ShardKey};
@@ -29,33 +32,33 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// How long an upstream that has given keys back in doubt and left the directory is waited for.
+/// How long to wait for an upstream that returned keys in doubt and left the directory.
 const REREGISTRATION_WAIT: Duration = Duration::from_secs(4);
-/// How often records tell how much doubt is left.
+/// Interval at which records update the remaining time of doubts.
 const DOUBT_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keys are without an owner for longer than a hold, since their last holder may have left
-/// a grant lying.
+/// Keys that have no owner for longer than the duration of a grant, since their last holder
+/// may still execute a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubtNotice {
     /// The keys.
     pub range: KeyRange,
     /// Their last holder.
     pub holder: UpstreamId,
-    /// How much longer they wait, if it does not answer.
+    /// How much longer they wait if it does not reply.
     pub left: Duration,
 }
 
 impl GranterTiming {
-    /// When a grant has run out for certain that was given up on at `now` and may lie with
-    /// its upstream.
+    /// When a grant has certainly expired that was given up on at `now` and may still be
+    /// executed.
     fn doubt_end(&self, now: Time, hold: Duration) -> Time {
         now + self.order_lifetime + self.bound(hold)
     }
 }
 
 impl Granter {
-    /// Notes at `now` that the holder of a slice may have left a grant of that length lying.
+    /// Records at `now` that the holder of a slice may still execute a grant of that length.
     pub(super) fn doubt_grant(&mut self, now: Time, sent: &Call, hold: Duration) {
         let guards = self.timing.guards;
         if !guards.waits_for_doubt || !guards.counts_unanswered {
@@ -72,8 +75,9 @@
         }
     }
 
-    /// Ends the doubt of slices of which no grant can lie any more, and has records tell again
-    /// how much of it is left: a successor waits for what the last one told.
+    /// Ends the doubt of slices whose delayed grants have expired, and periodically records
+    /// the remaining time of the others: a successor waits for as long as the last record
+    /// says.
     pub(super) fn expire_doubts(&mut self, now: Time) {
         let mut is_any = self.withholds_any();
         for slice in self.slices.values_mut() {
@@ -89,8 +93,9 @@
         }
     }
 
-    /// Gives free keys of which a grant may lie back to the upstream that has it, under its
-    /// next token: a restart of it that takes the old grant then takes it from nobody else.
+    /// Assigns free keys with a delayed grant to the upstream that received that grant, under
+    /// its next token. If a restart of it then accepts the old grant, it takes the keys from
+    /// nobody else.
     pub(super) fn reassign_doubted(&mut self, now: Time) {
         let slices = self.slices.values();
         let free = slices.filter(|slice| matches!(slice.phase, Phase::Free { .. }));
@@ -115,8 +120,8 @@
         }
     }
 
-    /// Whether an upstream that is not registered may be so again soon: the entry of a process
-    /// before it ran out and took its own with it.
+    /// Whether an unregistered upstream may register again soon: the entry of an earlier
+    /// process may have expired and removed the current entry with it.
     fn may_return(&self, now: Time, upstream: &UpstreamName) -> bool {
         let mut departed = self.departed_at.iter();
         departed.any(|(id, at)| id.name == *upstream && now.since(*at) < REREGISTRATION_WAIT)
@@ -129,7 +134,7 @@
         }
     }
 
-    /// What the next record tells of keys in doubt, and of those that go to nobody.
+    /// The keys in doubt and the withheld keys, as the next record contains them.
     pub(super) fn doubted_keys(&self) -> Vec<DoubtedKeys> {
         let slices = self.slices.values();
         let doubted = slices.filter_map(|slice| {
@@ -144,7 +149,7 @@
         left.collect()
     }
 
-    /// Takes over what a record says of the doubt of a slice. Keys without a holder go to nobody
+    /// Adopts the doubt that a record states for a slice. Keys without a holder are withheld
     /// meanwhile.
     pub(super) fn inherit_doubt(&mut self, now: Time, slice: &mut Slice, doubted: &[DoubtedKeys]) {
         let guards = self.timing.guards;
@@ -168,12 +173,13 @@
         }
     }
 
-    /// Keys that wait since their holder may have left a grant lying, since the last call.
+    /// Takes the notices of keys that wait for a delayed grant to expire, since the last
+    /// call.
     pub fn take_doubt_notices(&mut self) -> Vec<DoubtNotice> {
         std::mem::take(&mut self.doubt_notices)
     }
 
-    /// How many slices wait for that.
+    /// Number of slices that wait for a delayed grant to expire.
     pub fn doubted_count(&self) -> usize {
         let slices = self.slices.values();
         slices.filter(|slice| slice.awaits_doubt_end).count()
--- a/crates/sharding/src/granter/holders.rs
+++ b/crates/sharding/src/granter/holders.rs
@@ -1,5 +1,5 @@
-//! Who is to hold which slice: the first division, slices that are taken back,
-//! slices that are free.
+//! Assignment of slices to holders: the initial division of the keys, revocation, and
+//! assignment of free slices.
 
 use super::least_loaded::LeastLoadedQueue;
 use super::{
@@ -14,21 +14,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest wait for upstreams to appear, as a multiple of the quiet asked for.
+/// Longest wait for upstreams to appear, as a multiple of the quiet period.
 const MAX_QUIET_PERIODS: u32 = 4;
-/// Most slices made for each upstream at the first start.
+/// Maximum number of slices created for each upstream at the first start.
 const SLICES_PER_UPSTREAM: u32 = 8;
-/// Most slices made altogether, if there are no more upstreams than that: each
-/// costs a grant every renewal. Where there are more upstreams, no more of them get a slice
-/// than the granter renews in time; the balance splits busy ones, which go to others. A
-/// granter with a fifth of a core that gave one to each of 1,660 served 0.968 of the requests
-/// at 300 machines, and 0.981 with 400 slices.
+/// Maximum total number of slices created, unless there are more upstreams than that: each
+/// slice costs one grant per renewal interval. With more upstreams, only as many of them get
+/// a slice as the granter can renew in time; load balancing later splits busy slices and
+/// moves parts to the others. A granter with a fifth of a core that gave one slice to each of
+/// 1,660 upstreams served 0.968 of the requests at 300 machines, and 0.981 with 400 slices.
 const MAX_SLICES: u32 = 400;
-/// Weight of a share of the keys next to counted requests, so that idle slices
-/// are spread too.
+/// Weight of a fraction of the keys relative to counted requests, so that idle slices are
+/// distributed too.
 const IDLE_WEIGHT: f64 = 4.0;
 
-/// Slices of a holder that lapse within this time are freed together.
+/// Slices of a holder that expire within this time are freed together.
 const EXPIRY_GROUPING: Duration = Duration::from_millis(120);
 
 impl Granter {
@@ -47,8 +47,7 @@
         }
     }
 
-    /// Whether upstreams had time to appear: the first one is not to get all
-    /// keys.
+    /// Whether upstreams had time to appear, so that the first one does not get all keys.
     pub(super) fn discovery_settled(&self, now: Time) -> bool {
         let Some(first) = self.first_appeared else {
             return false;
@@ -57,7 +56,8 @@
             || now.since(first) >= self.timing.quiet_period * MAX_QUIET_PERIODS
     }
 
-    /// Upstreams that take keys: those that are ready, or the cold ones when none is.
+    /// Upstreams that may be assigned keys: the ready ones, or the cold ones if none is
+    /// ready.
     pub(super) fn assignable(&self) -> impl Iterator<Item = &Candidate> {
         let has_ready = self.candidates_in(CandidateState::Ready).next().is_some();
         self.candidates_in(match has_ready {
@@ -73,8 +73,8 @@
             .filter(|one| !self.lost_holders.is_unfenced(&one.id))
     }
 
-    /// Upstreams that may get keys: those that are ready and answer, or all
-    /// that are ready when none answers.
+    /// Upstreams to choose new holders from: the assignable ones that respond, or all
+    /// assignable ones if none responds.
     pub(super) fn eligible_holders(&self, now: Time) -> Vec<&Candidate> {
         let answers = |one: &&Candidate| {
             let until = self.excluded_until.get(&one.id);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Starts to take slices back from holders that are to lose them.
+    /// Starts to revoke slices from holders that are draining, gone, unresponsive or ended.
     pub(super) fn revoke_from_leavers(&mut self, now: Time) {
         let silence = self.timing.silence_timeout;
         let leaving: Vec<ShardKey> = self
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Why the holder of a slice loses it, and since when it may not serve it.
+    /// Why the holder of a slice loses it, and since when it may not have served it.
     fn loss_of(&self, now: Time, first: ShardKey) -> Unowned {
         let holder = self.slices.get(&first).and_then(Slice::holder);
         let contact = holder.and_then(|holder| self.contacts.get(holder));
@@ -132,7 +132,8 @@
         }
     }
 
-    /// A holder that loses keys for its silence gets no others for a while.
+    /// Excludes a holder that loses keys because it is unresponsive from new assignments for
+    /// a while.
     pub(super) fn exclude_unresponsive(&mut self, now: Time, first: ShardKey) {
         let holder = self.slices.get(&first).and_then(Slice::holder);
         let silent = holder.filter(|holder| self.unanswered_for(now, holder).is_some());
@@ -175,7 +176,7 @@
         self.dirty = true;
     }
 
-    /// Frees slices that nobody can hold any more.
+    /// Frees slices whose grants have all expired.
     pub(super) fn free_expired(&mut self, now: Time) {
         let durable = self.durable_sequence;
         let waits = self.timing.guards.waits_for_lapse;
@@ -229,8 +230,8 @@
         }
     }
 
-    /// When the slices of each leaving holder have lapsed that lapse about now:
-    /// freed together they fit one record.
+    /// For each holder that loses slices, the last expiry among those that expire about now:
+    /// freed together, they fit into one record.
     fn grouped_expiries(&self, now: Time) -> BTreeMap<UpstreamId, Time> {
         let mut last: BTreeMap<UpstreamId, Time> = BTreeMap::new();
         for slice in self.slices.values() {
@@ -245,7 +246,7 @@
         last
     }
 
-    /// Chooses holders for free slices, the least loaded upstream first.
+    /// Assigns free slices, each to the least loaded upstream.
     pub(super) fn assign_free(&mut self, now: Time) {
         self.expire_withheld(now);
         self.reassign_doubted(now);
@@ -299,7 +300,7 @@
         self.load.of_range(range) + IDLE_WEIGHT * share
     }
 
-    /// Weight of what each upstream holds.
+    /// Total weight of the slices that each upstream holds.
     pub(super) fn loads(&self) -> BTreeMap<UpstreamId, f64> {
         let mut loads = BTreeMap::new();
         for slice in self.slices.values() {
@@ -311,8 +312,8 @@
     }
 }
 
-/// Divides all keys into that many slices, or one for each part if those are more.
-/// None reaches over the end of a part.
+/// Divides all keys into that number of slices, but at least one for each part. No slice
+/// crosses the end of a part.
 fn divide(slices: u32) -> Vec<KeyRange> {
     let parts = Part::all().count() as u32;
     let before = |part: u32| part * slices / parts;
--- a/crates/sharding/src/granter/least_loaded.rs
+++ b/crates/sharding/src/granter/least_loaded.rs
@@ -1,23 +1,24 @@
-//! Which upstream gets the next free slice: the one with the least load for what it can do.
+//! Chooses the upstream for the next free slice: the one with the lowest load relative to its
+//! capacity.
 //!
-//! The upstreams are ordered once for all slices that are free at a time. To look at each of
-//! them anew for each slice cost 0.65 s of a whole core where 1,660 slices went to as many
-//! upstreams; with a fifth of a core that is longer than the granter's place lasts without
-//! renewal, so that no granter ever gave a grant.
+//! The upstreams are ordered once for all slices that are free at a time. Scanning all of
+//! them again for each slice cost 0.65 s of a whole core where 1,660 slices went to as many
+//! upstreams. With a fifth of a core that is longer than the granter's lease lasts without
+//! renewal, so that no granter ever sent a grant.
 
 use super::Candidate;
 use beamtray_catalog::UpstreamId;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// An upstream by its load.
+/// An upstream ordered by its relative load.
 #[derive(Clone, Copy, Debug)]
 struct QueuedUpstream {
-    /// Weight of what it holds.
+    /// Total weight of the slices that it holds.
     load: f64,
-    /// Requests a second that it can work on.
+    /// Requests per second that it can serve.
     capacity: f64,
-    /// Its place among the upstreams: of equal ones the first.
+    /// Position among the upstreams; breaks ties in favor of the first.
     index: usize,
 }
 
@@ -48,7 +49,7 @@
 
 impl Eq for QueuedUpstream {}
 
-/// Upstreams that take free slices, the least loaded one first.
+/// Upstreams that may be assigned free slices, the least loaded one first.
 #[derive(Debug)]
 pub(super) struct LeastLoadedQueue {
     upstreams: Vec<UpstreamId>,
@@ -56,7 +57,7 @@
 }
 
 impl LeastLoadedQueue {
-    /// Of upstreams and the weight of what each holds.
+    /// Creates the queue from upstreams and the weight that each one holds.
     pub fn new<'a>(
         loads: &BTreeMap<UpstreamId, f64>,
         upstreams: impl Iterator<Item = &'a Candidate>,
@@ -76,7 +77,7 @@
         queue
     }
 
-    /// The upstream that gets a slice of that weight; none if there is no upstream.
+    /// The upstream that gets a slice of that weight; `None` if there are no upstreams.
     pub fn take(&mut self, weight: f64) -> Option<UpstreamId> {
         let mut least = self.queue.peek_mut()?;
         least.0.load += weight;
--- a/crates/sharding/src/granter/lost_holders.rs
+++ b/crates/sharding/src/granter/lost_holders.rs
@@ -1,4 +1,4 @@
-//! The granter's dealings with upstreams that lost keys without an answer.
+//! Fencing of upstreams that lost keys without a reply: the granter's part.
 
 use super::Granter;
 use crate::lost_holders::{FenceNotice, UnfencedUpstream};
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 
 impl Granter {
-    /// Takes over whom the record names. Keys that the same upstream holds by that record
-    /// were given to it after it had answered, and those that it is asked for wait for its
-    /// answer to that.
+    /// Adopts the unfenced upstreams that the record names. Keys that the same upstream holds
+    /// according to that record were granted after it had replied, and keys that are being
+    /// revoked from it wait for its reply anyway.
     pub(super) fn adopt_unfenced(&mut self, now: Time, unfenced: &[UnfencedUpstream]) {
         for UnfencedUpstream { upstream, ranges } in unfenced {
             for range in ranges {
@@ -28,8 +28,9 @@
         }
     }
 
-    /// Whom the next record names: also those that are asked for keys, since a successor
-    /// may find this record and parts of the next one, by which the keys have gone on.
+    /// The unfenced upstreams that the next record names. They include upstreams whose keys
+    /// are being revoked, since a successor may find this record together with parts of the
+    /// next one, in which the keys have already moved on.
     pub(super) fn unfenced_record(&self) -> Vec<UnfencedUpstream> {
         let named = self.lost_holders.record().into_iter();
         let mut named: BTreeMap<UpstreamId, Vec<KeyRange>> = named
@@ -46,7 +47,7 @@
             .collect()
     }
 
-    /// Releases that are due to upstreams that lost keys without an answer.
+    /// The releases that are due to upstreams that lost keys without a reply.
     pub(super) fn fence_orders(&mut self, now: Time) -> Vec<GrantOrder> {
         self.remove_fenced(now);
         if self.lost_holders.count() == 0 {
@@ -71,7 +72,7 @@
         orders
     }
 
-    /// Takes the answer to a release of that kind.
+    /// Handles the reply to such a release.
     pub(super) fn handle_fence_reply(&mut self, now: Time, call: CallId, reply: &GrantReply) {
         let Some(upstream) = self.lost_holders.recipient(call) else {
             return;
@@ -84,7 +85,7 @@
         self.remove_fenced(now);
     }
 
-    /// Upstreams that have answered may get keys again.
+    /// Lets upstreams that have confirmed all releases get keys again.
     fn remove_fenced(&mut self, now: Time) {
         for upstream in self.lost_holders.remove_settled(now) {
             self.end_earlier_fences(&upstream);
@@ -94,12 +95,12 @@
         }
     }
 
-    /// What became of upstreams that lost keys without an answer, since the last call.
+    /// Takes the fencing notices since the last call.
     pub fn take_fence_notices(&mut self) -> Vec<FenceNotice> {
         self.lost_holders.take_notices()
     }
 
-    /// How many upstreams lost keys and have not answered yet.
+    /// Number of upstreams that lost keys and have not replied yet.
     pub fn unfenced_count(&self) -> usize {
         self.lost_holders.count()
     }
--- a/crates/sharding/src/granter/moves.rs
+++ b/crates/sharding/src/granter/moves.rs
@@ -1,4 +1,4 @@
-//! Moves for the sake of balance.
+//! Moves that balance the load.
 
 use super::Granter;
 use crate::balance::{
@@ -9,8 +9,8 @@
 use beamtray_types::Time;
 
 impl Granter {
-    /// Moves slices from busy to idle upstreams, splitting them where needed;
-    /// how many were moved.
+    /// Moves slices from busy to idle upstreams, splitting them where needed; returns the
+    /// number of moves started.
     pub fn rebalance(&mut self, now: Time, limits: &BalanceLimits) -> usize {
         if self.withholds_any() {
             return 0;
@@ -41,7 +41,7 @@
             .slices
             .values()
             .filter_map(|slice| {
-                // What is on its way to an upstream counts there.
+                // A slice that is moving counts for its next holder.
                 let holder = slice.holder().or(slice.next_holder())?;
                 Some(SliceHolding {
                     range: slice.range,
@@ -79,7 +79,7 @@
         self.begin_release(now, first, Some(step.to), loss);
     }
 
-    /// Splits slices so that `range` is one by itself; its first key.
+    /// Splits slices so that `range` becomes a slice of its own; returns its first key.
     pub(super) fn isolate(&mut self, range: KeyRange) -> Option<ShardKey> {
         self.split(range.first);
         if range.last < KeyRange::ALL.last {
--- a/crates/sharding/src/granter/orders.rs
+++ b/crates/sharding/src/granter/orders.rs
@@ -1,21 +1,21 @@
-//! Which orders are given, which of them first, and how many are under way at once.
+//! Scheduling of orders: which are due, their priority, and how many may be pending at once.
 //!
-//! A granter that gives more orders than its machine can handle reads their answers late,
-//! or gives up on them, though the holders answered. What a machine can handle is not
-//! known beforehand: other work takes its time, and its share of a processor says nothing
-//! of its link. So the answers set the pace, as with the window of a transport protocol:
-//! the next order is given when one is answered.
+//! A granter that sends more orders than its machine can handle reads the replies late, or
+//! times out, although the holders answered. The capacity of a machine is not known in
+//! advance: other work takes processor time, and its share of a processor says nothing about
+//! its link. The rate is therefore controlled by replies, as with the congestion window of a
+//! transport protocol: the next order is sent when one is answered.
 //!
-//! The window is at most what renewals need if each answer takes half of the time for
-//! which it is waited: a fast machine is not held up by that, since its answers come within
-//! milliseconds. Where orders are given up on it is halved, and grows with each answer, so
-//! that a slow machine renews less often and still reads its answers in time. Answers that
-//! merely take long say nothing: a machine may be slow to read them whatever their number
-//! (a window that shrank for those let holds run out).
+//! The window is limited to what renewals need if each reply takes half of the order timeout.
+//! This does not slow down a fast machine, which gets its replies within milliseconds. When
+//! orders time out, the window is halved, and it grows with each reply, so that a slow
+//! machine renews less often but still reads its replies in time. Replies that merely take
+//! long are no signal: a machine may be slow to read them whatever their number. A window
+//! that shrank for slow replies let grants expire.
 //!
-//! Invariant: holders that answer nothing don't hold up orders to the others. Orders to
-//! those that are known to be silent have half as much room of their own. A release takes
-//! none after a while: it is answered when work has ended.
+//! Invariant: unresponsive holders do not delay orders to the others. Orders to holders known
+//! to be unresponsive have a separate window of half the size. A release stops counting after
+//! a while, since it is answered only when work on the keys has ended.
 
 use super::{Call, Granter};
 use crate::order::{CallId, GrantOrder, OrderKind};
@@ -26,20 +26,20 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Orders under way at once where there are few slices: a tenth of a core handles them in
-/// time if an order takes 0.5 ms of a whole one.
+/// Lower limit for the maximum window, used with few slices: a tenth of a core handles that
+/// many in time if an order takes 0.5 ms of a whole one.
 const MIN_WINDOW_LIMIT: usize = 48;
-/// Least orders under way at once, however slow the machine is.
+/// Minimum window, however slow the machine is.
 const MIN_WINDOW: f64 = 4.0;
-/// What is left of the window after an order was given up on.
+/// Factor applied to the window when an order times out.
 const WINDOW_DECREASE: f64 = 0.5;
-/// Most orders under way at once: connections that are opened at the same time.
+/// Upper limit for the maximum window; it bounds how many connections are opened at once.
 const MAX_WINDOW: usize = 256;
 
-/// How far the window has shrunk.
+/// The adaptive window of pending orders.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OrderWindow {
-    /// Orders under way at once, if that is less than what renewals need.
+    /// Maximum number of pending orders, if that is less than what renewals need.
     size: f64,
     shrunk_at: Option<Time>,
 }
@@ -53,28 +53,28 @@
     }
 }
 
-/// Orders that are under way, or may be given.
+/// Numbers of orders that are pending, or that may be sent.
 #[derive(Clone, Copy, Debug, Default)]
 struct OrderRoom {
-    /// To holders that answer.
+    /// To responsive holders.
     answering: usize,
     /// To holders that left grants unanswered.
     silent: usize,
 }
 
-/// Which orders go first when not all that are due may be given.
+/// Priority of due orders, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// The keys have no owner, or are on their way to another.
+    /// The keys have no owner, or are moving to another one.
     Unowned,
-    /// The hold that ends soonest first.
+    /// Renewals; the grant that expires soonest goes first.
     Held(Time),
-    /// The holder left grants unanswered. The slice that was tried last is tried again,
-    /// for each that is tried stays with the holder for longer.
+    /// The holder left grants unanswered. The slice that was tried last is retried first,
+    /// because every slice that is tried stays with the holder for longer.
     Silent(Reverse<Time>),
 }
 
-/// A slice for which an order is due.
+/// A slice with a due order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueOrder {
     urgency: Urgency,
@@ -84,7 +84,7 @@
 }
 
 impl Granter {
-    /// Orders that are due. To be called only with authority to grant.
+    /// Returns the orders that are due. Must be called only with authority to grant.
     pub fn poll(&mut self, now: Time) -> Vec<GrantOrder> {
         if !self.knows_candidates {
             return Vec::new();
@@ -114,7 +114,7 @@
         orders
     }
 
-    /// Slices for which an order is due, the most urgent ones first.
+    /// The slices with a due order, most urgent first.
     fn due_slices(&self, now: Time) -> Vec<DueOrder> {
         let due = self
             .slices
@@ -213,7 +213,7 @@
         slice.map(|slice| slice.range.first)
     }
 
-    /// How many orders may be given now.
+    /// How many orders may be sent now.
     fn room(&self, now: Time) -> OrderRoom {
         let mut pending = OrderRoom::default();
         for call in self.calls.values() {
@@ -230,12 +230,12 @@
         }
     }
 
-    /// Most orders under way at once.
+    /// Maximum number of pending orders.
     fn window(&self) -> usize {
         self.renewal_window().min(self.window.size as usize)
     }
 
-    /// Orders under way at once that renewals need.
+    /// Number of pending orders that renewals need.
     fn renewal_window(&self) -> usize {
         let renewal = self.timing.pace(self.slices.len()).renewal;
         let answered_in = self.timely_answer().as_secs_f64();
@@ -243,8 +243,8 @@
         (needed.ceil() as usize).clamp(MIN_WINDOW_LIMIT, MAX_WINDOW)
     }
 
-    /// Follows the answers to grants. `was_answering` tells of a grant that was given up on
-    /// though its holder was not silent.
+    /// Adjusts the window to the outcome of a grant. `was_answering` tells whether the holder
+    /// was responsive until then.
     pub(super) fn adjust_window(&mut self, now: Time, answered: bool, was_answering: bool) {
         let needed = self.renewal_window() as f64;
         let window = &mut self.window;
@@ -252,7 +252,7 @@
             window.size = (window.size + 1.0).min(needed);
             return;
         }
-        // Orders that were given before the last cut tell nothing new.
+        // Orders sent before the window last shrank carry no new information.
         let wait = self.timing.order_timeout;
         let is_new = window.shrunk_at.is_none_or(|at| now.since(at) >= wait);
         if was_answering && is_new {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// How long an answer may take where the machine keeps pace.
+    /// How long a reply may take on a machine that is not overloaded.
     fn timely_answer(&self) -> Duration {
         self.timing.order_timeout / 2
     }
--- a/crates/sharding/src/granter/replies.rs
+++ b/crates/sharding/src/granter/replies.rs
@@ -1,4 +1,4 @@
-//! What a reply to an order changes.
+//! Handling of replies to orders.
 
 use super::{Call, CandidateState, EXCLUSION_PERIOD, Granter};
 use crate::order::{CallId, GrantReply, Handover};
@@ -8,19 +8,19 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Pause after an order that was refused or not answered.
+/// Delay after an order that was refused or not answered.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Mixes the first keys of slices.
+/// Multiplier of the hash that spreads slices by their first key.
 const SPREAD_FACTOR: u16 = 40_503;
-/// Steps over which renewals are spread.
+/// Number of steps over which renewals are spread.
 const SPREAD_STEPS: u32 = 64;
 
 impl Granter {
-    /// Takes the answer to an order.
+    /// Handles the reply to an order.
     ///
-    /// Invariant: an answer concerns the holder that the order went to. The
-    /// slice may be another's by then, when the first one was found dead while
-    /// the order was on its way.
+    /// Invariant: a reply applies to the holder that the order was sent to. The slice may
+    /// have another holder by then, if the first one was found to have ended while the order
+    /// was pending.
     pub fn handle_reply(&mut self, now: Time, call: CallId, reply: GrantReply) {
         let Some(sent) = self.calls.remove(&call) else {
             self.handle_fence_reply(now, call, &reply);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Follows whether a grant may lie with its holder.
+    /// Records whether the holder may still execute the grant.
     fn track_doubt(&mut self, now: Time, sent: &Call, hold: Duration, reply: &GrantReply) {
         match reply {
             GrantReply::InDoubt | GrantReply::BrokenOff => {
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Takes the answer to a grant.
+    /// Handles the reply to a grant.
     ///
-    /// Invariant: `expires_at` is not before the end of any grant that the holder
-    /// may have taken. A shorter grant does not end a longer one that stands.
+    /// Invariant: `expires_at` is not before the end of any grant that the holder may have
+    /// accepted. A shorter grant does not end a longer one that is in force.
     fn handle_grant_reply(
         &mut self,
         now: Time,
@@ -144,13 +144,13 @@
         if let Some(slice) = self.slices.get_mut(&first)
             && matches!(slice.phase, Phase::Leaving { .. })
         {
-            // A grant that was under way when the slice began to leave.
+            // The grant was pending when the slice began to leave.
             slice.due_at = now;
         }
     }
 
-    /// The holder has seen a higher token, of a standby or of a block that no record names: it
-    /// is renewed under a fresh one.
+    /// Renews the slice under a fresh token, since the holder has seen a higher one, from a
+    /// standby or from a block that no record names.
     fn renew_token(&mut self, now: Time, first: ShardKey) {
         self.take_block(first);
         if let Some(slice) = self.slices.get_mut(&first) {
@@ -190,7 +190,7 @@
             | GrantReply::InDoubt
             | GrantReply::Unanswered => {
                 slice.due_at = now + RETRY_DELAY;
-                // It is as silent as when it lost the keys.
+                // The holder is still unresponsive, so the exclusion starts over.
                 if let Some(until) = self.excluded_until.get_mut(&holder) {
                     *until = now + EXCLUSION_PERIOD;
                 }
@@ -230,8 +230,8 @@
     }
 }
 
-/// A little less than the time between renewals, differing from slice to
-/// slice, so that not all are due at once.
+/// Slightly less than the renewal interval, varying from slice to slice so that not all
+/// renewals are due at once.
 fn spread(renewal: Duration, first: ShardKey) -> Duration {
     let part = u32::from(first.0.wrapping_mul(SPREAD_FACTOR) >> 8) % SPREAD_STEPS;
     renewal - renewal * part / (SPREAD_STEPS * 5)
--- a/crates/sharding/src/granter/restarts.rs
+++ b/crates/sharding/src/granter/restarts.rs
@@ -1,14 +1,15 @@
-//! Upstreams that start again under their names.
+//! Upstreams that restart under their name.
 //!
-//! A restart has forgotten all tokens, so it would take any old order that still comes to
-//! its address under its name, also of keys that the one before had given back. Invariant:
-//! it gets no keys before it has answered a release of all of them under a fresh token.
-//! Keys that the one before held are taken back from it as from any upstream that left:
-//! who answers at its address is the restart, and it answers at once.
+//! A restarted process knows no tokens, so it accepts any old order that still reaches its
+//! address under its name, even for keys that its predecessor had returned. Invariant: it
+//! gets no keys before it has answered a release of the whole key space under a fresh token.
+//! Keys that the predecessor held are revoked as from any upstream that left: the restarted
+//! process answers at its address, and it answers at once.
 //!
-//! So whoever was registered is remembered for as long as something of it may still come.
-//! Counter-case: an upstream gave its keys back, vanished and was up again a second later;
-//! nothing named the one before, so nobody told the restart of a token for three seconds.
+//! Therefore every upstream that was registered is remembered for as long as old orders to it
+//! may still arrive. Otherwise, when an upstream returned its keys, vanished and was up again
+//! a second later, nothing named its predecessor, so the restarted process was sent no token
+//! for three seconds.
 
 use super::{Candidate, Granter};
 use crate::lost_holders::FORGET_AFTER;
@@ -19,7 +20,7 @@
 use std::collections::BTreeMap;
 
 impl Granter {
-    /// Remembers those that are not among the next candidates.
+    /// Remembers upstreams that are not among the next candidates.
     pub(super) fn record_departures(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
         self.departed_at
             .retain(|id, at| now.since(*at) < FORGET_AFTER && !next.contains_key(id));
@@ -27,7 +28,7 @@
         self.departed_at.extend(gone.map(|id| (id.clone(), now)));
     }
 
-    /// Fences those of the next candidates that have started again.
+    /// Fences those of the next candidates that are restarts.
     pub(super) fn fence_restarts(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
         let is_new = |id: &&UpstreamId| !self.candidates.contains_key(*id);
         let new: Vec<&UpstreamId> = next.keys().filter(is_new).collect();
@@ -48,7 +49,7 @@
         }
     }
 
-    /// All incarnations that hold keys, did of late, or could have.
+    /// All incarnations that hold keys, recently did, or may have.
     fn known_incarnations(&self) -> BTreeMap<&UpstreamName, Vec<&UpstreamId>> {
         let holders = self.slices.values().filter_map(Slice::current_holder);
         let known = self.candidates.keys().chain(self.contacts.keys());
@@ -61,7 +62,8 @@
         by_name
     }
 
-    /// Ends the fences of the incarnations before one that has answered for all keys.
+    /// Stops fencing earlier incarnations of an upstream that has confirmed the release of
+    /// all keys.
     pub(super) fn end_earlier_fences(&mut self, fenced: &UpstreamId) {
         let candidates = &self.candidates;
         self.lost_holders
--- a/crates/sharding/src/granter/standbys.rs
+++ b/crates/sharding/src/granter/standbys.rs
@@ -1,11 +1,11 @@
-//! The granter's dealings with its standbys.
+//! The granter's interface to its standbys.
 
 use super::Granter;
 use crate::standby::{StandbyId, StandbyStatus};
 use beamtray_types::Time;
 
 impl Granter {
-    /// States which nodes are to be standbys.
+    /// Sets which nodes are to be standbys.
     pub fn set_standbys(&mut self, now: Time, wanted: &[StandbyId]) {
         self.dirty |= self.standbys.set_wanted(now, wanted, self.next_sequence);
     }
@@ -15,24 +15,24 @@
         self.standbys.ids()
     }
 
-    /// Standbys that are to be sent a word, which lets them prolong holds for a
-    /// while.
+    /// Standbys that are due an authorization, which lets them extend grants for a limited
+    /// time.
     pub fn standbys_to_authorize(&self, now: Time) -> Vec<StandbyId> {
         self.standbys.to_authorize(now, self.durable_sequence)
     }
 
-    /// Notes that a standby is sent a word. To be called only with authority to
+    /// Records that a standby is sent an authorization. Must be called only with authority to
     /// grant, and for every service.
     pub fn standby_authorized(&mut self, now: Time, id: &StandbyId) {
         self.standbys.mark_authorized(now, id);
     }
 
-    /// Takes what a standby tells.
+    /// Handles a report of a standby.
     pub fn standby_reported(&mut self, now: Time, id: &StandbyId, status: StandbyStatus) {
         self.standbys.apply_status(now, id, status);
     }
 
-    /// Notes that the process of a standby has ended.
+    /// Records that the process of a standby has ended.
     pub fn standby_ended(&mut self, now: Time, id: &StandbyId) {
         self.standbys.mark_ended(now, id);
     }
--- a/crates/sharding/src/granter/tokens.rs
+++ b/crates/sharding/src/granter/tokens.rs
@@ -1,25 +1,27 @@
-//! Tokens of orders.
+//! Fencing tokens of orders.
 //!
-//! Invariant: a granter gives each order under a token that no order had before. Tokens come
-//! in blocks: a holder has one for each of its slices, the record names its last token, and
-//! renewals count up to that without a word to the record. Two counter-cases, where
-//! renewals repeated one token:
+//! Invariant: a granter sends each order under a token that no earlier order had. Tokens are
+//! allocated in blocks: a holder has one block for each of its slices, the record names the
+//! last token of the block, and renewals count up to it without a new record. Two failures
+//! that occurred while renewals repeated one token:
 //!
-//! - An upstream left a renewal lying, answered ten more under the same token over the next
-//!   seven seconds, and was cut off. Its keys went to another; then it took the one that
-//!   lay, since it had never seen a higher token.
-//! - An upstream that restarts under its name forgets all tokens, and the directory tells of
-//!   it some milliseconds to a heartbeat later. Renewals that came in between were taken
-//!   under the tokens that the process before had.
+//! - An upstream received a renewal without executing it, answered ten more under the same
+//!   token over the next seven seconds, and was partitioned. Its keys were reassigned; then
+//!   it executed the delayed renewal, since it had never seen a higher token.
+//! - An upstream that restarts under its name knows no tokens, and the directory reports the
+//!   restart between some milliseconds and a heartbeat later. Renewals that arrived in
+//!   between were accepted under the tokens of the previous process.
 //!
-//! The last token of a block is for those who go by the record alone: a standby, which
-//! repeats it, and a successor, once. A block after the first one is used at once: the record
-//! has to name the holder before a grant, which it does. That it tells the block before for a
-//! moment costs a successor one refused renewal, and a standby the holds that it would have
-//! prolonged, if granter and store are lost in that moment.
+//! The last token of a block is reserved for those who rely on the record alone: a standby,
+//! which repeats it, and a successor, which uses it once. Blocks after the first one are used
+//! immediately: a grant requires that the record names the holder, which it does. While the
+//! record still names the previous block, a successor pays with one refused renewal, and a
+//! standby with the grants that it would have extended if granter and store fail at that
+//! moment.
 //!
-//! A record that the store may have gone back from is a case of its own: its holders are
-//! renewed under the tokens that it names until it is not doubted any more.
+//! A record that may be older than the last grants, because the store reverted, is a special
+//! case: its holders are renewed under the recorded tokens for as long as the record is in
+//! doubt.
 
 use super::Granter;
 use crate::range::ShardKey;
@@ -28,13 +30,13 @@
 use beamtray_types::Time;
 
 impl Granter {
-    /// A token above all that this granter has taken, the last one of its block.
+    /// A token higher than all that this granter has allocated: the last one of a new block.
     pub(super) fn next_token(&mut self) -> FencingToken {
         self.token_blocks += 1;
         FencingToken::last_in_block(self.epoch, self.token_blocks)
     }
 
-    /// Gives a slice a fresh block where the one that it has is used up.
+    /// Allocates a new block for a slice whose block is used up.
     pub(super) fn renew_block(&mut self, now: Time, first: ShardKey) {
         let slice = self.slices.get(&first);
         let is_used_up = slice.is_some_and(|slice| slice.tokens == BlockUse::UsedUp);
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Gives a slice a fresh block for the same holder.
+    /// Allocates a new block for a slice with the same holder.
     pub(super) fn take_block(&mut self, first: ShardKey) {
         let fresh = self.next_token();
         if let Some(slice) = self.slices.get_mut(&first)
@@ -57,7 +59,7 @@
 }
 
 impl Slice {
-    /// The token of the next order under the block that ends with `last`.
+    /// The token of the next order in the block that ends with `last`.
     pub(super) fn take_order_token(&mut self, last: FencingToken) -> FencingToken {
         let BlockUse::Used(used) = self.tokens else {
             self.tokens = BlockUse::UsedUp;
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,9 +1,8 @@
-//! Which upstream holds which keys of a divided service.
+//! Key ownership for sharded services: which upstream holds which keys.
 //!
-//! [`AssignmentRecord`] is who holds what, kept in the metadata store by
-//! [`AssignmentPart`]s; [`Granter`] the side
-//! that grants and takes back, [`LoadMap`] and [`plan_moves`] decide what is
-//! to move. All pure.
+//! [`AssignmentRecord`] is the assignment of keys to holders, stored in the metadata store as
+//! [`AssignmentPart`]s. [`Granter`] grants and revokes ownership; [`LoadMap`] and
+//! [`plan_moves`] decide which keys to move. The crate does no I/O and reads no clock.
 
 mod balance;
 mod granter;
--- a/crates/sharding/src/load.rs
+++ b/crates/sharding/src/load.rs
@@ -1,24 +1,24 @@
-//! How busy the keys of a service are.
+//! Request load by key.
 
 use crate::range::{KeyRange, ShardKey};
 use std::collections::BTreeMap;
 
-/// Counts below this are forgotten.
+/// Counts below this are dropped.
 const NEGLIGIBLE: f64 = 0.05;
 
-/// Requests by key, decayed over time.
+/// Decayed request counts by key.
 #[derive(Clone, Debug, Default)]
 pub struct LoadMap {
     by_key: BTreeMap<ShardKey, f64>,
 }
 
 impl LoadMap {
-    /// Counts requests for a key.
+    /// Adds requests for a key.
     pub fn add(&mut self, key: ShardKey, requests: f64) {
         *self.by_key.entry(key).or_default() += requests;
     }
 
-    /// Ages all counts by a factor.
+    /// Multiplies all counts by a factor.
     pub fn decay(&mut self, factor: f64) {
         self.by_key.retain(|_, count| {
             *count *= factor;
@@ -26,7 +26,7 @@
         });
     }
 
-    /// Load of a range.
+    /// Total load of a range.
     pub fn of_range(&self, range: KeyRange) -> f64 {
         self.by_key
             .range(range.first..=range.last)
@@ -34,12 +34,12 @@
             .sum()
     }
 
-    /// Load of all keys.
+    /// Total load of all keys.
     pub fn total(&self) -> f64 {
         self.by_key.values().sum()
     }
 
-    /// The busy keys of a range, in order.
+    /// The keys of a range that have load, in key order.
     pub fn keys(&self, range: KeyRange) -> impl Iterator<Item = (ShardKey, f64)> + '_ {
         self.by_key
             .range(range.first..=range.last)
--- a/crates/sharding/src/lost_holders.rs
+++ b/crates/sharding/src/lost_holders.rs
@@ -1,15 +1,17 @@
-//! Upstreams that lost keys without an answer, and are told of it until they answer.
+//! Fencing of upstreams that lost keys without having confirmed a release.
 //!
-//! An order that was given up on may still be taken: what was written to a connection goes
-//! on being sent, and a cut keeps it back for as long as the cut lasts. An upstream refuses
-//! an old grant only if it has seen a higher token on one of its keys. The wait for the end
-//! of all holds does not help: the time of an old grant counts from when it is taken.
+//! An abandoned order may still be accepted later: data written to a connection continues to
+//! be sent, and a network partition delays it for as long as the partition lasts. An upstream
+//! refuses an old grant only if it has seen a higher token on one of its keys. Waiting for
+//! all grants to expire does not help, because the duration of an old grant counts from when
+//! it is accepted.
 //!
-//! Invariant: whoever lost keys without an answer is named in each record from the one that
-//! asks it for them to the one after its answer; it is sent releases of them under fresh
-//! tokens, by this granter and its successors, and gets no keys before it has answered one
-//! or has ended. Without it an upstream that was cut off for five seconds took a renewal
-//! from before the cut 1.2 s after the cut, while another one held the keys.
+//! Invariant: an upstream that lost keys without a reply is named in each record from the one
+//! that revokes them to the one after its reply. This granter and its successors send it
+//! releases of the keys under fresh tokens, and it gets no keys before it has answered one or
+//! has ended. Without this rule an upstream that was partitioned for five seconds accepted a
+//! renewal from before the partition 1.2 s after its end, while another upstream held the
+//! keys.
 
 use crate::order::{CallId, GrantReply};
 use crate::range::KeyRange;
@@ -20,33 +22,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between two releases to an upstream that has not answered one. The sooner it is told
-/// after a cut, the fewer old orders come before: they come at steps of retransmission,
-/// which double from 0.2 s.
+/// Interval between releases to an upstream that has not answered one. After a partition, old
+/// orders arrive at retransmission steps, which double from 0.2 s; the sooner the upstream is
+/// fenced, the fewer of them arrive first.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
-/// After this a release that has no answer is not counted on any more: a connection that
-/// does not come up is given up on sooner, and orders are waited for as long.
+/// Age from which an unanswered release no longer counts as active. A connection attempt
+/// fails sooner than this, and orders are waited for as long.
 const ACTIVE_PERIOD: Duration = Duration::from_millis(500);
-/// Most releases to one upstream that are counted on. The second one goes out before the
-/// first is given up on, which takes as long as a connection may take to come up. More of
-/// them hold up a granter that is late with everything: with one every 0.2 s however many
-/// were under way, it served 60 in 100 requests of the simulator, and 78 with two.
+/// Maximum number of active releases to one upstream. The second one is sent before the first
+/// is given up on, which takes as long as a connection attempt. More of them delay a granter
+/// that is already slow: sending one every 0.2 s without a limit, it served 60 in 100
+/// requests in the simulator, and 78 with two.
 const MAX_ACTIVE_PER_UPSTREAM: usize = 2;
-/// Most releases to one upstream that are under way at all. One that takes connections and
-/// says nothing leaves each of them open for 3 s, so that it is told each 0.5 s.
+/// Maximum number of pending releases to one upstream, active or not. An upstream that
+/// accepts connections and never replies keeps each of them open for 3 s, so that it gets a
+/// release every 0.5 s.
 const MAX_PENDING_PER_UPSTREAM: usize = 6;
-/// Most releases that are counted on over all upstreams of a service. Each waits 0.35 s for
-/// a connection, so these are 140 a second, and who was told longest ago is told first.
+/// Maximum number of active releases for all upstreams of a service. Each waits 0.35 s for a
+/// connection, so this allows 140 a second; the upstream whose last release is oldest goes
+/// first.
 const MAX_ACTIVE_TOTAL: usize = 48;
-/// Between two looks at whether a release to an upstream is due, which go through the
+/// Interval between checks of whether a release to an upstream is due; each check scans the
 /// slices.
 const CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// How long an upstream that is not registered any more is told. What was written before
-/// it vanished comes by the retransmission after 51 s at the latest; senders reset their
-/// connections long before that.
+/// How long an unregistered upstream is sent releases. Data written before it vanished
+/// arrives by the retransmission after 51 s at the latest; senders reset their connections
+/// long before that.
 pub(crate) const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// An upstream that may still take old grants of keys that it lost.
+/// An upstream that may still accept old grants of keys that it lost.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct UnfencedUpstream {
     /// The upstream.
@@ -55,14 +59,14 @@
     pub ranges: Vec<KeyRange>,
 }
 
-/// What became of an upstream that lost keys without an answer.
+/// Change in the fencing of an upstream that lost keys without a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceNotice {
-    /// It lost keys and has not answered.
+    /// It lost keys and has not replied.
     Unfenced(UpstreamId),
-    /// It answered, that long after it lost the first of them.
+    /// It replied, this long after it lost the first of them.
     Fenced(UpstreamId, Duration),
-    /// It has not been registered for so long that it is taken to have ended.
+    /// It has been unregistered for so long that it is assumed to have ended.
     Forgotten(UpstreamId),
 }
 
@@ -74,7 +78,7 @@
     pub token: FencingToken,
 }
 
-/// A release under way.
+/// A pending release.
 #[derive(Clone, Copy, Debug)]
 struct SentRelease {
     range: KeyRange,
@@ -84,17 +88,17 @@
 
 #[derive(Clone, Debug)]
 struct LostHolder {
-    /// Keys for which it has not answered.
+    /// Keys whose release it has not confirmed.
     ranges: Vec<KeyRange>,
-    /// Of its releases: above all tokens under which it was given keys.
+    /// Token of its releases, higher than all tokens under which it was granted keys.
     token: FencingToken,
     since: Time,
-    /// Since when it is not registered.
+    /// Since when it has not been registered.
     missing_since: Option<Time>,
-    /// When a release of these keys was last sent.
+    /// When a release of each range was last sent.
     released_at: BTreeMap<KeyRange, Time>,
     pending: BTreeMap<CallId, SentRelease>,
-    /// When it is looked at next.
+    /// When it is checked next.
     check_at: Time,
 }
 
@@ -105,7 +109,7 @@
         active.count()
     }
 
-    /// Releases that may be sent to it.
+    /// Number of releases that may be sent to it now.
     fn room(&self, now: Time) -> usize {
         let active_room = MAX_ACTIVE_PER_UPSTREAM.saturating_sub(self.active_releases(now));
         active_room.min(MAX_PENDING_PER_UPSTREAM.saturating_sub(self.pending.len()))
@@ -115,14 +119,14 @@
         self.released_at.get(range).copied()
     }
 
-    /// Whether it has answered for all keys, and no release that could take away what it is
-    /// given next is likely to come.
+    /// Whether it has confirmed the release of all keys, and no active release could still
+    /// revoke keys that it is granted next.
     fn has_answered(&self, now: Time) -> bool {
         self.ranges.is_empty() && self.active_releases(now) == 0
     }
 }
 
-/// Upstreams that lost keys without an answer.
+/// Upstreams that lost keys without a reply.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LostHolders {
     holders: BTreeMap<UpstreamId, LostHolder>,
@@ -130,8 +134,8 @@
 }
 
 impl LostHolders {
-    /// Notes that an upstream lost keys without an answer. `token` is above all under which
-    /// it was given keys.
+    /// Records that an upstream lost keys without a reply. `token` is higher than all tokens
+    /// under which it was granted keys.
     pub fn add(&mut self, now: Time, upstream: &UpstreamId, range: KeyRange, token: FencingToken) {
         if !self.holders.contains_key(upstream) {
             self.notices.push(FenceNotice::Unfenced(upstream.clone()));
@@ -148,33 +152,33 @@
         if !holder.ranges.contains(&range) {
             holder.ranges.push(range);
         }
-        // Releases that are under way may have been sent before these keys were lost.
+        // Pending releases may have been sent before these keys were lost.
         holder.token = token;
         holder.released_at.clear();
         holder.check_at = now;
     }
 
-    /// Whether the upstream still owes an answer.
+    /// Whether the upstream still has to confirm a release.
     pub fn is_unfenced(&self, upstream: &UpstreamId) -> bool {
         self.holders.contains_key(upstream)
     }
 
-    /// Notes that an upstream has ended: it takes nothing any more.
+    /// Records that an upstream has ended and accepts no more orders.
     pub fn mark_ended(&mut self, upstream: &UpstreamId) {
         self.holders.remove(upstream);
     }
 
-    /// Notes that upstreams have ended.
+    /// Removes upstreams that have ended.
     pub fn remove_ended(&mut self, has_ended: impl Fn(&UpstreamId) -> bool) {
         self.holders.retain(|upstream, _| !has_ended(upstream));
     }
 
-    /// All that still owe an answer.
+    /// All upstreams that still have to confirm a release.
     pub fn upstreams(&self) -> impl Iterator<Item = &UpstreamId> {
         self.holders.keys()
     }
 
-    /// States whether upstreams are registered.
+    /// Updates which upstreams are registered.
     pub fn set_registered(&mut self, now: Time, is_registered: impl Fn(&UpstreamId) -> bool) {
         for (upstream, holder) in &mut self.holders {
             if !is_registered(upstream) {
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Lets those go that have answered, and those that have not been registered for long.
-    /// The former, who may get keys again.
+    /// Removes upstreams that have confirmed all releases, and those that have been
+    /// unregistered for too long. Returns the former, which may get keys again.
     pub fn remove_settled(&mut self, now: Time) -> Vec<UpstreamId> {
         let notices = &mut self.notices;
         let mut answered = Vec::new();
@@ -208,9 +212,9 @@
         answered
     }
 
-    /// Releases that are due, first to those that are registered, of these to who was told
-    /// longest ago. `holds_others` tells whether an upstream is to keep other keys; one that
-    /// has none is released of all at once.
+    /// The releases that are due: registered upstreams first, among these the one whose last
+    /// release is oldest. `holds_others` tells whether an upstream keeps other keys; one that
+    /// has none is sent a single release of the whole key space.
     pub fn due(
         &mut self,
         now: Time,
@@ -257,7 +261,7 @@
         due
     }
 
-    /// Notes that a release is sent.
+    /// Records that a release is sent.
     pub fn sent(&mut self, now: Time, call: CallId, release: &DueRelease) {
         if let Some(holder) = self.holders.get_mut(&release.upstream) {
             let sent = SentRelease {
@@ -270,14 +274,14 @@
         }
     }
 
-    /// Whom a release went to.
+    /// The upstream that a release was sent to.
     pub fn recipient(&self, call: CallId) -> Option<UpstreamId> {
         let mut holders = self.holders.iter();
         let recipient = holders.find(|(_, holder)| holder.pending.contains_key(&call));
         recipient.map(|(upstream, _)| upstream.clone())
     }
 
-    /// Takes the answer to a release.
+    /// Applies the reply to a release.
     pub fn handle_reply(
         &mut self,
         now: Time,
@@ -297,7 +301,7 @@
         }
     }
 
-    /// Those that the next record names.
+    /// The upstreams that the next record names.
     pub fn record(&self) -> Vec<UnfencedUpstream> {
         let holders = self.holders.iter();
         holders
@@ -309,12 +313,12 @@
             .collect()
     }
 
-    /// How many there are.
+    /// Number of unfenced upstreams.
     pub fn count(&self) -> usize {
         self.holders.len()
     }
 
-    /// What became known since the last call.
+    /// Takes the notices since the last call.
     pub fn take_notices(&mut self) -> Vec<FenceNotice> {
         std::mem::take(&mut self.notices)
     }
--- a/crates/sharding/src/order.rs
+++ b/crates/sharding/src/order.rs
@@ -1,51 +1,52 @@
-//! Orders to upstreams and their answers.
+//! Orders sent to upstreams, and their replies.
 
 use crate::range::{KeyRange, ShardKey};
 use crate::record::FencingToken;
 use beamtray_catalog::UpstreamId;
 use std::time::Duration;
 
-/// What the last holder gave back with the keys; the next holder is faster
-/// with it.
+/// State that the previous holder returned with the keys, passed on so that the next holder
+/// warms up faster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handover(pub String);
 
-/// Tells one order from the others.
+/// Identifies an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What an upstream is to do.
+/// What an upstream is asked to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Hold the keys for some time.
+    /// Hold the keys for a limited time.
     Grant {
-        /// How long, from the arrival of the order.
+        /// Duration of the grant, counted from the arrival of the order.
         hold: Duration,
-        /// From the last holder.
+        /// State returned by the previous holder.
         handover: Option<Handover>,
     },
-    /// Give the keys back; the answer comes when work on them has ended.
+    /// Give the keys back; the reply is sent when all work on them has ended.
     Release,
 }
 
-/// One order.
+/// An order to one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantOrder {
-    /// Tells it from others.
+    /// Identifies the order.
     pub call: CallId,
-    /// The upstream.
+    /// The upstream that receives it.
     pub holder: UpstreamId,
     /// The keys.
     pub range: KeyRange,
-    /// The token.
+    /// The fencing token.
     pub token: FencingToken,
     /// What to do.
     pub kind: OrderKind,
 }
 
 impl GrantOrder {
-    /// A question to the holder of a grant: the release of a key that it does not hold. Its
-    /// answer tells that the process reads orders now, and it gives nothing.
+    /// A liveness probe for the holder of a grant: the release of a key that it does not
+    /// hold. A reply shows that the process reads orders now; the probe itself changes
+    /// nothing.
     pub fn liveness_probe(&self, key_held_by_other: ShardKey) -> Self {
         Self {
             call: self.call,
@@ -60,30 +61,30 @@
     }
 }
 
-/// Below all tokens of grants, so that a question that is read late outdates none.
+/// Lower than the token of any grant, so that a probe that is read late invalidates no grant.
 const PROBE_TOKEN: FencingToken = FencingToken(1);
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GrantReply {
     /// The upstream holds the keys.
     Granted,
-    /// It has seen a higher token on one of them.
+    /// The upstream has seen a higher token on one of the keys.
     Outdated,
-    /// It gave the keys back; no work on them is left.
+    /// The upstream gave the keys back; no work on them is left.
     Released(Option<Handover>),
-    /// Another incarnation has the address: the one that was meant is gone.
+    /// Another incarnation listens at the address: the addressed one has ended.
     Replaced,
-    /// The upstream refused the order without a known reason.
+    /// The upstream refused the order for an unknown reason.
     Rejected,
-    /// No connection came up, so the order was not sent.
+    /// No connection was established, so the order was not sent.
     Undelivered,
-    /// No answer came, and the connection never acknowledged the order. It may have been
-    /// taken; what is left of it ends with the connection.
+    /// No reply, and the order was never acknowledged at the connection level. It may have
+    /// been received; what remains of it ends with the connection.
     Unanswered,
-    /// No answer came, and the order may be at the upstream, which may carry it out at any
-    /// time of the lifetime of orders.
+    /// No reply, and the order may have reached the upstream, which may execute it at any
+    /// time within the lifetime of orders.
     InDoubt,
-    /// The same, and its connection ended: the upstream may have restarted.
+    /// As `InDoubt`, and the connection ended: the upstream may have restarted.
     BrokenOff,
 }
--- a/crates/sharding/src/part.rs
+++ b/crates/sharding/src/part.rs
@@ -1,14 +1,14 @@
-//! What the metadata store keeps of one divided service: its slices in parts.
+//! The stored form of an assignment: its slices, divided into parts.
 //!
-//! Every node takes every change. A service of 400 upstreams that stood in one value
-//! would be written and sent whole for each slice that moves; so the keys are divided
-//! into a fixed number of parts, and only the parts that changed are written. A head
-//! says which record is whole: it is written together with the last of its parts.
+//! Every node receives every change. If the assignment of a service with 400 upstreams were
+//! one value, it would be written and sent whole for each slice that moves. Instead, the keys
+//! are divided into a fixed number of parts, and only changed parts are written. A head
+//! identifies the record that is complete; it is written together with the last of its parts.
 //!
-//! Invariant: no slice reaches over the end of a part, and each part by itself is true
-//! as of its number. A successor that reads some parts of a record whose head was not
-//! written loses nothing: nothing is granted by a record before its head is durable,
-//! and parts of it name nobody who is not known to the granter that wrote them.
+//! Invariant: no slice crosses the end of a part, and each part is correct on its own as of
+//! its record number. A successor that reads some parts of a record whose head was not
+//! written loses nothing: no grant is based on a record before its head is durable, and the
+//! parts name no holder that is unknown to the granter that wrote them.
 
 use crate::lost_holders::UnfencedUpstream;
 use crate::range::{KeyRange, ShardKey};
@@ -22,41 +22,41 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bits of a key that tell its part.
+/// Number of key bits that select the part.
 const PART_BITS: u32 = 5;
-/// Number of parts: at 400 slices a dozen in each, some 300 bytes.
+/// Number of parts. With 400 slices each holds a dozen, some 300 bytes.
 const PARTS: u16 = 1 << PART_BITS;
-/// Keys of one part.
+/// Number of keys in a part.
 const PART_KEYS: u32 = 1 << (u16::BITS - PART_BITS);
 
-/// One part of the keys.
+/// One part of the key space.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct Part(u16);
 
 impl Part {
-    /// All parts, in the order of their keys.
+    /// All parts, in key order.
     pub fn all() -> impl Iterator<Item = Part> {
         (0..PARTS).map(Part)
     }
 
-    /// The part of that number, if there is one.
+    /// The part with that number, if there is one.
     pub fn from_number(number: u16) -> Option<Part> {
         (number < PARTS).then_some(Part(number))
     }
 
-    /// Its number.
+    /// The number of the part.
     pub fn number(self) -> u16 {
         self.0
     }
 
-    /// The part of a key.
+    /// The part that contains a key.
     pub fn of(key: ShardKey) -> Part {
         Part(key.0 >> (u16::BITS - PART_BITS))
     }
 
-    /// Its keys.
+    /// The keys of the part.
     pub fn range(self) -> KeyRange {
         let first = u32::from(self.0) * PART_KEYS;
         KeyRange {
@@ -66,32 +66,32 @@
     }
 }
 
-/// Says which record of a service is whole.
+/// Identifies the newest complete record of a service.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AssignmentHead {
     /// The record.
     pub number: RecordNumber,
-    /// Nodes that may prolong the holds while there is no granter.
+    /// Nodes that may extend grants while there is no granter.
     pub standbys: Vec<StandbyId>,
-    /// Upstreams that may still take old grants of keys that they lost.
+    /// Upstreams that may still accept old grants of keys that they lost.
     pub unfenced: Vec<UnfencedUpstream>,
-    /// Keys of which a grant may lie with an upstream, or be in force unseen.
+    /// Keys for which an upstream may still execute a grant, or may hold an unrecorded one.
     pub doubted: Vec<DoubtedKeys>,
 }
 
-/// The slices of one part, in the order of their keys, without gaps.
+/// The slices of one part, in key order and without gaps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignmentPart {
-    /// Which one.
+    /// The part.
     pub part: Part,
-    /// The record in which it last changed.
+    /// The record in which the part last changed.
     pub number: RecordNumber,
     /// The slices.
     pub slices: Vec<SliceRecord>,
 }
 
-/// How a slice is written: its last key is the one before the next slice, and
-/// its holder stands in a list.
+/// Encoded form of a slice. Its last key is the one before the next slice, and its holder is
+/// an index into a list.
 #[derive(BorshSerialize, BorshDeserialize)]
 struct EncodedSlice {
     first: ShardKey,
@@ -113,7 +113,7 @@
     slices: Vec<EncodedSlice>,
 }
 
-/// The number of a holder in the list, which it joins if it is new.
+/// The index of a holder in the list, to which it is added if new.
 fn holder_index(holders: &mut Vec<UpstreamId>, holder: &UpstreamId) -> u16 {
     let known = holders.iter().position(|other| other == holder);
     let index = known.unwrap_or_else(|| {
@@ -158,27 +158,30 @@
 impl BorshDeserialize for AssignmentPart {
     fn deserialize_reader<R: io::Read>(reader: &mut R) -> io::Result<Self> {
         let encoded = EncodedPart::deserialize_reader(reader)?;
-        let part = Part::from_number(encoded.part.0).ok_or_else(|| invalid("no such part"))?;
+        let part = Part::from_number(encoded.part.0)
+            .ok_or_else(|| invalid("part number is out of range"))?;
         let first = encoded.slices.first().map(|slice| slice.first);
         if first != Some(part.range().first) {
-            return Err(invalid("slices do not begin with the part"));
+            return Err(invalid(
+                "first slice does not start at the beginning of the part",
+            ));
         }
         let holder = |number: u16| {
             let holder = encoded.holders.get(usize::from(number));
             holder
                 .cloned()
-                .ok_or_else(|| invalid("holder is not listed"))
+                .ok_or_else(|| invalid("holder index is out of range"))
         };
         let mut slices = Vec::with_capacity(encoded.slices.len());
         for (index, slice) in encoded.slices.iter().enumerate() {
             let next = encoded.slices.get(index + 1).map(|next| next.first.0);
             let last = match next {
                 Some(next) if next > slice.first.0 => ShardKey(next - 1),
-                Some(_) => return Err(invalid("slices are not in order")),
+                Some(_) => return Err(invalid("slices are not in key order")),
                 None => part.range().last,
             };
             if Part::of(last) != part || last < slice.first {
-                return Err(invalid("a slice reaches over the part"));
+                return Err(invalid("slice crosses the end of the part"));
             }
             let state = match slice.state {
                 EncodedState::Free => SliceState::Free,
@@ -206,7 +209,7 @@
 }
 
 impl AssignmentRecord {
-    /// Its head.
+    /// The head of the record.
     pub fn head(&self) -> AssignmentHead {
         AssignmentHead {
             number: self.number(),
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Its parts, each with this record's number.
+    /// The parts of the record, each with the number of this record.
     pub fn parts(&self) -> Vec<AssignmentPart> {
         let mut parts: BTreeMap<Part, Vec<SliceRecord>> = BTreeMap::new();
         for slice in &self.slices {
@@ -235,7 +238,7 @@
     }
 }
 
-/// Who holds the keys of one service, as far as a node knows.
+/// The assignment of one service as known to a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Assignment {
     head: Option<AssignmentHead>,
@@ -243,7 +246,7 @@
 }
 
 impl Assignment {
-    /// Takes a head; whether it is newer.
+    /// Applies a head if it is newer than the known one, and returns whether it was.
     pub fn apply_head(&mut self, head: AssignmentHead) -> bool {
         let known = self.head.as_ref().map(|known| known.number);
         let is_newer = known < Some(head.number);
@@ -253,7 +256,7 @@
         is_newer
     }
 
-    /// Takes a part; whether it is newer.
+    /// Applies a part if it is newer than the known one, and returns whether it was.
     pub fn apply_part(&mut self, part: AssignmentPart) -> bool {
         let known = self.parts.get(&part.part).map(|known| known.number);
         let is_newer = known < Some(part.number);
@@ -263,35 +266,35 @@
         is_newer
     }
 
-    /// The newest record that is known whole.
+    /// The number of the newest record that is known to be complete.
     pub fn number(&self) -> Option<RecordNumber> {
         self.head.as_ref().map(|head| head.number)
     }
 
-    /// Nodes that may prolong the holds while there is no granter.
+    /// Nodes that may extend grants while there is no granter.
     pub fn standbys(&self) -> &[StandbyId] {
         let head = self.head.as_ref();
         head.map_or(&[], |head| &head.standbys)
     }
 
-    /// Keys of which a grant may lie with their holder.
+    /// Keys for which an upstream may still execute a grant.
     fn doubted(&self) -> &[DoubtedKeys] {
         let head = self.head.as_ref();
         head.map_or(&[], |head| &head.doubted)
     }
 
-    /// Upstreams that may still take old grants of keys that they lost.
+    /// Upstreams that may still accept old grants of keys that they lost.
     fn unfenced(&self) -> &[UnfencedUpstream] {
         let head = self.head.as_ref();
         head.map_or(&[], |head| &head.unfenced)
     }
 
-    /// The part of a key.
+    /// The part that contains a key.
     pub fn part(&self, key: ShardKey) -> Option<&AssignmentPart> {
         self.parts.get(&Part::of(key)).map(Rc::as_ref)
     }
 
-    /// The slice of a key.
+    /// The slice that contains a key.
     pub fn slice(&self, key: ShardKey) -> Option<&SliceRecord> {
         let slices = &self.part(key)?.slices;
         let above = slices.partition_point(|slice| slice.range.first <= key);
@@ -299,12 +302,12 @@
         slice.range.contains(key).then_some(slice)
     }
 
-    /// All slices that are known.
+    /// All known slices.
     pub fn slices(&self) -> impl Iterator<Item = &SliceRecord> {
         self.parts.values().flat_map(|part| &part.slices)
     }
 
-    /// Share of all keys that have a holder.
+    /// Fraction of all keys that have a holder.
     pub fn held_share(&self) -> f64 {
         let held = self
             .slices()
@@ -313,8 +316,8 @@
         f64::from(keys) / f64::from(KeyRange::ALL.len())
     }
 
-    /// The newest record with all parts. One that was never written, since the first
-    /// granter was lost on the way, has no holder.
+    /// The newest record with all parts. A part that was never written, because the first
+    /// granter failed before writing it, has no holder.
     pub fn to_record(&self) -> Option<AssignmentRecord> {
         let newest = self.parts.values().map(|part| part.number).max();
         let number = newest.max(self.number())?;
--- a/crates/sharding/src/range.rs
+++ b/crates/sharding/src/range.rs
@@ -1,9 +1,9 @@
-//! Keys and contiguous ranges of them.
+//! Shard keys and contiguous ranges of them.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::fmt;
 
-/// A key of a divided service.
+/// A key of a sharded service.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
@@ -15,7 +15,7 @@
     }
 }
 
-/// A contiguous range of keys, both ends included.
+/// A contiguous range of keys, inclusive at both ends.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
@@ -27,7 +27,7 @@
 }
 
 impl KeyRange {
-    /// Every key.
+    /// The whole key space.
     pub const ALL: KeyRange = KeyRange {
         first: ShardKey(0),
         last: ShardKey(u16::MAX),
@@ -38,28 +38,28 @@
         self.first <= key && key <= self.last
     }
 
-    /// Whether some key is in both.
+    /// Whether the ranges have a key in common.
     pub fn overlaps(self, other: KeyRange) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Whether every key of the other range is in this one.
+    /// Whether this range contains every key of the other one.
     pub fn covers(self, other: KeyRange) -> bool {
         self.first <= other.first && other.last <= self.last
     }
 
-    /// How many keys there are in the range.
+    /// Number of keys in the range.
     pub fn len(self) -> u32 {
         u32::from(self.last.0) - u32::from(self.first.0) + 1
     }
 
-    /// A range holds one key at least.
+    /// Always false: a range contains at least one key.
     pub fn is_empty(self) -> bool {
         false
     }
 
-    /// Divides the range so that the second part begins at `key`; `None` when
-    /// that would leave a part empty.
+    /// Splits the range so that the second part begins at `key`; `None` if either part would
+    /// be empty.
     pub fn split_at(self, key: ShardKey) -> Option<(KeyRange, KeyRange)> {
         if key <= self.first || key > self.last {
             return None;
@@ -75,8 +75,8 @@
         Some((below, above))
     }
 
-    /// Divides the range into that many of nearly the same length, or into single
-    /// keys if those are fewer.
+    /// Divides the range into `parts` ranges of nearly equal length, or into single keys if
+    /// there are fewer keys than that.
     pub fn divide(self, parts: u32) -> Vec<KeyRange> {
         let parts = parts.clamp(1, self.len());
         let bound = |part: u32| {
--- a/crates/sharding/src/record.rs
+++ b/crates/sharding/src/record.rs
@@ -1,4 +1,4 @@
-//! Who holds the keys of one divided service.
+//! The record of who holds the keys of a sharded service.
 
 use crate::lost_holders::UnfencedUpstream;
 use crate::range::{KeyRange, ShardKey};
@@ -8,34 +8,34 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::fmt;
 
-/// Bits of a token that count within one epoch: blocks of tokens, and orders within a block.
+/// Number of token bits that count within one epoch: blocks of tokens, and orders within a
+/// block.
 const COUNTER_BITS: u32 = 32;
-/// Bits of those that count orders within a block.
+/// Number of those bits that count orders within a block.
 const ORDER_BITS: u32 = 10;
-/// Number of the last token of a block.
+/// Index of the last token of a block.
 const LAST_IN_BLOCK: u64 = (1 << ORDER_BITS) - 1;
 
-/// Orders the holders of a key: a later holder has a higher token.
+/// Fencing token that orders the holders of a key: a later holder has a higher token.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The `counter`-th token of a granter's term. Above every token of the
-    /// terms before.
+    /// The `counter`-th token of a granter's term, higher than every token of earlier terms.
     pub fn new(epoch: Epoch, counter: u64) -> Self {
         Self((epoch.0 << COUNTER_BITS) + counter)
     }
 
-    /// The last token of the `block`-th block of a term. Records name blocks by it, and
-    /// whoever gives orders by a record alone has no other token of the block.
+    /// The last token of the `block`-th block of a term. Records identify blocks by it, so
+    /// whoever sends orders based on a record alone has no other token of the block.
     pub(crate) fn last_in_block(epoch: Epoch, block: u64) -> Self {
         Self::new(epoch, (block << ORDER_BITS) + LAST_IN_BLOCK)
     }
 
-    /// The token of the `number`-th order under a block, by the last token of the block; none
-    /// if the block has only its last token left.
+    /// The token of the `number`-th order in the block whose last token this is; `None` if
+    /// only the last token of the block is left.
     pub(crate) fn nth_in_block(self, number: u64) -> Option<Self> {
         let first = self.0.saturating_sub(LAST_IN_BLOCK);
         (number < LAST_IN_BLOCK).then_some(Self(first + number))
@@ -48,7 +48,7 @@
     }
 }
 
-/// Who may work on the keys of a slice.
+/// Who may serve the keys of a slice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SliceState {
     /// Nobody.
@@ -57,66 +57,65 @@
     Held {
         /// The upstream.
         holder: UpstreamId,
-        /// Its token.
+        /// Its fencing token.
         token: FencingToken,
     },
-    /// An upstream that is being asked to give the keys back. It gets no new
-    /// requests; nobody else gets the keys before it released them or its
-    /// grant ran out.
+    /// An upstream that is asked to give the keys back. It gets no new requests; nobody else
+    /// gets the keys before it has released them or its grant has expired.
     Leaving {
         /// The upstream.
         holder: UpstreamId,
-        /// Its token.
+        /// Its fencing token.
         token: FencingToken,
     },
 }
 
-/// One contiguous range of keys and who may work on it.
+/// A contiguous range of keys and who may serve it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceRecord {
     /// The keys.
     pub range: KeyRange,
-    /// Who may work on them.
+    /// Who may serve them.
     pub state: SliceState,
 }
 
-/// Tells one record of a service from the others; a later one is greater.
+/// Identifies a record of a service; later records compare greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct RecordNumber {
-    /// Term of the granter that wrote it.
+    /// Term of the granter that wrote the record.
     pub epoch: Epoch,
-    /// Counts the records of a term.
+    /// Number of the record within the term.
     pub sequence: u64,
 }
 
-/// Keys that go to nobody for a while unless they are given back.
+/// Keys that are not assigned for some time unless they are given back.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct DoubtedKeys {
     /// The keys.
     pub range: KeyRange,
-    /// For how long at most, in milliseconds from when the record was written.
+    /// Longest remaining time, in milliseconds from when the record was written.
     pub left_ms: u32,
 }
 
-/// All slices of one service, in the order of their keys, without gaps.
+/// All slices of one service, in key order and without gaps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignmentRecord {
-    /// Term of the granter that wrote it.
+    /// Term of the granter that wrote the record.
     pub epoch: Epoch,
-    /// Counts the records of a term.
+    /// Number of the record within the term.
     pub sequence: u64,
-    /// Nodes that may prolong the holds while there is no granter.
+    /// Nodes that may extend grants while there is no granter.
     pub standbys: Vec<StandbyId>,
-    /// Upstreams that may still take old grants of keys that they lost.
+    /// Upstreams that may still accept old grants of keys that they lost.
     pub unfenced: Vec<UnfencedUpstream>,
-    /// Keys of which a grant may lie with an upstream, or be in force unseen.
+    /// Keys for which an upstream may still execute a grant, or may hold an unrecorded one.
     pub doubted: Vec<DoubtedKeys>,
     /// The slices.
     pub slices: Vec<SliceRecord>,
 }
 
 impl AssignmentRecord {
-    /// Tells it from other records of the service.
+    /// Identifies the record among those of the service.
     pub fn number(&self) -> RecordNumber {
         RecordNumber {
             epoch: self.epoch,
@@ -124,7 +123,7 @@
         }
     }
 
-    /// The slice of a key.
+    /// The slice that contains a key.
     pub fn slice(&self, key: ShardKey) -> Option<&SliceRecord> {
         let above = self
             .slices
--- a/crates/sharding/src/slice.rs
+++ b/crates/sharding/src/slice.rs
@@ -1,4 +1,4 @@
-//! One slice as the granter runs it.
+//! State of one slice in the granter.
 
 use crate::order::{CallId, Handover};
 use crate::range::KeyRange;
@@ -7,25 +7,25 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// What becomes of a slice.
+/// Ownership phase of a slice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Nobody holds it.
     Free { handover: Option<Handover> },
-    /// An upstream holds it, or is to hold it.
+    /// An upstream holds it, or has been chosen to.
     Held {
         holder: UpstreamId,
         token: FencingToken,
-        /// Handed to the holder until it has taken the first grant.
+        /// Passed to the holder with each grant until it accepts the first one.
         handover: Option<Handover>,
     },
-    /// It is being taken back.
+    /// It is being revoked.
     Leaving {
         holder: UpstreamId,
         token: FencingToken,
-        /// Token of the release: once answered, no older grant is taken.
+        /// Token of the release. An upstream that has answered it refuses all older grants.
         release: FencingToken,
-        /// Who is to have it next, when that is decided.
+        /// The next holder, if already chosen.
         next: Option<UpstreamId>,
     },
 }
@@ -33,43 +33,44 @@
 /// Why a slice lost its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossCause {
-    /// The holder did not answer.
+    /// The holder did not reply.
     Silent,
-    /// It was shown to have ended.
+    /// The holder is known to have ended.
     Ended,
-    /// It leaves, or its registration is gone.
+    /// The holder is draining, or its registration is gone.
     Left,
-    /// The slice goes to an upstream that can do more.
+    /// The slice moves to an upstream with more spare capacity.
     Balance,
 }
 
-/// A slice that has no owner, or is about to lose it.
+/// An interval without an owner, current or imminent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unowned {
     pub cause: LossCause,
-    /// Since when requests for it may go unserved.
+    /// Since when requests for the slice may go unserved.
     pub since: Time,
 }
 
-/// A slice that has an owner again.
+/// Keys that have an owner again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnedAgain {
     /// The keys.
     pub range: KeyRange,
-    /// Why they had none.
+    /// Why they had no owner.
     pub cause: LossCause,
-    /// For how long.
+    /// How long they had no owner.
     pub after: Duration,
 }
 
-/// Which tokens of a block were given.
+/// Which tokens of a block have been used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BlockUse {
-    /// So many of this granter's own block, from its first one on.
+    /// The first so many tokens of a block of this granter.
     Used(u64),
-    /// Those of the granter before, which is not told; not the last one, unless a standby did.
+    /// Tokens used by the previous granter, whose number is unknown. The last token is unused
+    /// unless a standby used it.
     Inherited,
-    /// All of them.
+    /// All tokens.
     UsedUp,
 }
 
@@ -79,37 +80,37 @@
     }
 }
 
-/// A grant may lie with an upstream.
+/// A grant that its upstream may still execute.
 #[derive(Clone, Debug)]
 pub(crate) struct Doubt {
-    /// The upstream: all processes that have its name, one after the other.
+    /// The upstream, meaning all processes that run under its name, one after the other.
     pub upstream: UpstreamName,
-    /// When the grant has run out for certain.
+    /// When the grant has certainly expired.
     pub until: Time,
 }
 
-/// One slice as the granter runs it.
+/// State of one slice in the granter.
 #[derive(Clone, Debug)]
 pub(crate) struct Slice {
     pub range: KeyRange,
     pub phase: Phase,
-    /// Sequence of the record that first tells this phase.
+    /// Sequence number of the first record that contains the current phase.
     pub recorded_in: u64,
-    /// Which tokens of the holder's block were given.
+    /// Which tokens of the holder's block have been used.
     pub tokens: BlockUse,
-    /// After this no grant that was answered, or could have been, is in force.
+    /// When all grants that were or may have been accepted have expired.
     pub expires_at: Time,
-    /// Order under way.
+    /// The pending order.
     pub pending_call: Option<CallId>,
     /// When the next order is due.
     pub due_at: Time,
-    /// When the slice was last moved or split.
+    /// When the slice last changed hands or began to.
     pub changed_at: Time,
-    /// Set from its loss to the first answered grant of the next holder.
+    /// Set from the loss of the holder until the next holder accepts its first grant.
     pub unowned: Option<Unowned>,
-    /// A grant may lie with the holder, or with the one that the keys were taken from.
+    /// Set while the holder, or the previous one, may still execute a grant.
     pub doubt: Option<Doubt>,
-    /// Whether the keys are known to wait for that.
+    /// Whether the assignment of the keys is known to wait for that grant to expire.
     pub awaits_doubt_end: bool,
 }
 
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Puts another token in force that its holder has not seen.
+    /// Sets a token that the holder has not seen yet.
     pub fn set_token(&mut self, fresh: FencingToken) {
         if let Phase::Held { token, .. } = &mut self.phase {
             *token = fresh;
@@ -140,14 +141,14 @@
         }
     }
 
-    /// Puts it in another phase.
+    /// Enters another phase.
     pub fn set_phase(&mut self, phase: Phase) {
         self.awaits_doubt_end = false;
         self.phase = phase;
         self.tokens = BlockUse::default();
     }
 
-    /// The token under which it is held, or is to be.
+    /// The token under which the slice is held, or is to be held.
     pub fn token(&self) -> Option<FencingToken> {
         match &self.phase {
             Phase::Held { token, .. } | Phase::Leaving { token, .. } => Some(*token),
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Who holds it, is to hold it, or is to give it back.
+    /// The upstream that holds it, is to hold it, or is asked to give it back.
     pub fn current_holder(&self) -> Option<&UpstreamId> {
         match &self.phase {
             Phase::Held { holder, .. } | Phase::Leaving { holder, .. } => Some(holder),
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Who is to have it once it is given back, when that is decided.
+    /// The holder that follows after the release, if already chosen.
     pub fn next_holder(&self) -> Option<&UpstreamId> {
         match &self.phase {
             Phase::Leaving { next, .. } => next.as_ref(),
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Who holds it, or is to hold it.
+    /// The upstream that holds it or is to hold it.
     pub fn holder(&self) -> Option<&UpstreamId> {
         match &self.phase {
             Phase::Held { holder, .. } => Some(holder),
--- a/crates/sharding/src/standby.rs
+++ b/crates/sharding/src/standby.rs
@@ -1,20 +1,19 @@
-//! Standbys: nodes that may prolong recorded holds while there is no granter.
+//! Standbys: nodes that may extend recorded grants while there is no granter.
 //!
-//! When the granter and the metadata store are lost in the same moment, nobody
-//! can be elected and nobody has the right to grant; without standbys every key
-//! would be without an owner once the short holds have run out. A standby may
-//! order the *same* holder under the *same* token to hold on. It can neither
-//! move keys nor grant anything that no record names.
+//! If the granter and the metadata store fail at the same time, no successor can be elected
+//! and nobody is allowed to grant. Without standbys all keys would lose their owner as soon
+//! as the short grants expire. A standby may ask the *same* holder under the *same* token to
+//! keep its keys. It can neither move keys nor grant keys that no record assigns.
 //!
-//! A granter names its standbys in its records and sends them words; a word lets
-//! a standby prolong holds for [`STANDBY_AUTHORIZATION`]. A standby tells which record
-//! it knows.
+//! A granter names its standbys in its records and sends them authorizations; each one lets a
+//! standby extend grants for [`STANDBY_AUTHORIZATION`]. A standby reports which record it
+//! knows.
 //!
-//! Invariant: keys of a holder that does not answer go to another only when each
-//! standby that a record names knows the record in which they leave, or its last
-//! word has run out; and when no order that it sent before can be in force.
-//! Without it a standby that is cut off together with the holder, but not from
-//! it, keeps the holder alive while the granter gives the keys away.
+//! Invariant: keys of an unresponsive holder are assigned to another upstream only when each
+//! standby that a record names either knows the record in which the keys are leaving or has
+//! no valid authorization any more, and when no order that it sent before can be in force.
+//! Otherwise a standby that is partitioned together with the holder, but not from it, keeps
+//! extending its grants while the granter assigns the keys to another upstream.
 
 use crate::record::RecordNumber;
 use beamtray_types::Time;
@@ -23,64 +22,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a standby may prolong holds after the granter's last word: the
-/// longest outage of the store that is to be bridged, and an election.
+/// How long a standby may extend grants after the granter's last authorization: the longest
+/// store outage to be bridged, plus an election.
 pub const STANDBY_AUTHORIZATION: Duration = Duration::from_secs(11);
-/// How much slower a standby's clock may run than the granter's, in percent.
+/// How much slower than the granter's clock a standby's clock may run, in percent.
 const DRIFT_PERCENT: u32 = 2;
-/// A standby that told nothing for this long gets no further words.
+/// A standby that has not reported for this long gets no further authorizations.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// One run of a node, as a standby.
+/// One run of a node in the role of a standby.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct StandbyId {
-    /// Where the node hears other nodes.
+    /// Address at which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Tells one run of the node from the others.
+    /// Distinguishes the runs of the node.
     pub run: u64,
 }
 
-/// What a standby tells the granter.
+/// What a standby reports to the granter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandbyStatus {
-    /// The record that it knows.
+    /// The newest record that it knows.
     pub known_record: Option<RecordNumber>,
-    /// How long ago it last ordered a holder to hold on.
+    /// How long ago it last sent an order to extend a grant.
     pub prolonged: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Standby {
     known_record: Option<RecordNumber>,
-    /// Until when it may prolong holds.
+    /// Until when it may extend grants.
     authorized_until: Time,
-    /// Until when holds may be in force that it prolonged, as far as it told.
+    /// Until when grants that it reported to have extended may be in force.
     holds_until: Time,
-    /// When it last told something, or was named.
+    /// When it last reported, or was first named.
     last_report: Time,
-    /// Sequence of the first record that names it.
+    /// Sequence number of the first record that names it.
     named_in: u64,
-    /// If not, it gets no further words and leaves once the last has run out.
+    /// If false, it gets no further authorizations and is removed once the last one has
+    /// expired.
     is_wanted: bool,
 }
 
-/// How long what a standby orders may be in force.
+/// Bounds on how long an order of a standby may be in force.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StandbyBounds {
-    /// After a standby sent an order.
+    /// Longest duration of an extended grant.
     pub hold: Duration,
-    /// How long an order may take from the decision to its arrival.
+    /// Longest time from the decision to send an order to its arrival.
     pub transit: Duration,
 }
 
-/// The standbys that a granter's records name.
+/// The standbys named in a granter's records.
 #[derive(Clone, Debug)]
 pub(crate) struct Standbys {
     bounds: StandbyBounds,
     named: BTreeMap<StandbyId, Standby>,
-    /// Until when keys may be held because of standbys that no record names.
+    /// Until when standbys that no record names may have extended grants.
     unknown_until: Time,
 }
 
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Takes over those that the record of another term names, whose granter
-    /// has lost its right before `now`.
+    /// Adopts the standbys named by the record of an earlier term, whose granter lost its
+    /// authority before `now`.
     pub fn adopt(&mut self, now: Time, named: &[StandbyId]) {
         for id in named {
             self.named.insert(
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Takes over standbys of another term that no record tells of: each of them may have
-    /// had a word until `now`.
+    /// Accounts for unknown standbys of an earlier term: each of them may have been
+    /// authorized until `now`.
     pub fn adopt_unknown(&mut self, now: Time) {
         self.unknown_until = self.last_order_end(self.authorization_end(now));
     }
 
-    /// The end of a word. The standby counts from before the answer of its own
-    /// that the word echoes, so the way of neither of them matters.
+    /// The end of an authorization. A standby counts it from when it sent the report that the
+    /// authorization echoes, so the network delay of neither message matters.
     fn authorization_end(&self, sent: Time) -> Time {
         sent + STANDBY_AUTHORIZATION * (100 + DRIFT_PERCENT) / 100
     }
@@ -127,13 +127,13 @@
         sent + self.bounds.transit + self.bounds.hold
     }
 
-    /// Those that the next record names.
+    /// The standbys that the next record names.
     pub fn ids(&self) -> Vec<StandbyId> {
         self.named.keys().copied().collect()
     }
 
-    /// States which nodes are wanted; `sequence` is the number of the next
-    /// record. Whether that record differs from the last one in this.
+    /// Sets the wanted standbys and returns whether the set that records name has changed.
+    /// `sequence` is the number of the next record.
     pub fn set_wanted(&mut self, now: Time, wanted: &[StandbyId], sequence: u64) -> bool {
         let before = self.ids();
         let last_order = self.bounds.transit + self.bounds.hold;
@@ -145,7 +145,7 @@
         for id in wanted {
             self.named.entry(*id).or_insert(Standby {
                 known_record: None,
-                // It may have a word because of another service.
+                // It may be authorized on behalf of another service.
                 authorized_until,
                 holds_until: now,
                 last_report: now,
@@ -159,8 +159,8 @@
         before != self.ids()
     }
 
-    /// Those that are to be sent a word. `durable` is the sequence of the newest
-    /// durable record: a successor must know who has a word.
+    /// The standbys that are due an authorization. `durable` is the sequence number of the
+    /// newest durable record: a successor must know who may be authorized.
     pub fn to_authorize(&self, now: Time, durable: u64) -> Vec<StandbyId> {
         let due = self.named.iter().filter(|(_, standby)| {
             let answers = now.since(standby.last_report) < REPORT_TIMEOUT;
@@ -169,7 +169,7 @@
         due.map(|(id, _)| *id).collect()
     }
 
-    /// Notes that a word is sent.
+    /// Records that an authorization is sent.
     pub fn mark_authorized(&mut self, now: Time, id: &StandbyId) {
         let end = self.authorization_end(now);
         if let Some(standby) = self.named.get_mut(id) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Takes what a standby tells.
+    /// Applies a standby's report.
     pub fn apply_status(&mut self, now: Time, id: &StandbyId, status: StandbyStatus) {
         let holds_until = status.prolonged.map(|ago| self.order_end(now - ago));
         let Some(standby) = self.named.get_mut(id) else {
@@ -188,7 +188,7 @@
         standby.holds_until = standby.holds_until.max(holds_until.unwrap_or_default());
     }
 
-    /// Notes that the process of a standby has ended.
+    /// Records that the process of a standby has ended.
     pub fn mark_ended(&mut self, now: Time, id: &StandbyId) {
         let order_end = self.order_end(now);
         let Some(standby) = self.named.get_mut(id) else {
@@ -200,8 +200,7 @@
         }
     }
 
-    /// Until when keys that leave with that record may be held because of a
-    /// standby.
+    /// Until when a standby may have extended grants of the keys that leave with that record.
     pub fn hold_until(&self, record: RecordNumber) -> Time {
         let ends = self.named.values().map(|standby| {
             if standby.known_record >= Some(record) {
@@ -214,7 +213,7 @@
         ends.max().unwrap_or_default().max(self.unknown_until)
     }
 
-    /// The end of holds that a standby may have ordered at the end of its word.
+    /// The end of grants that a standby may have extended at the end of its authorization.
     fn last_order_end(&self, authorized_until: Time) -> Time {
         authorized_until + self.bounds.transit + self.bounds.hold
     }
