--- a/crates/sharding/tests/balance.rs
+++ b/crates/sharding/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Busy keys are spread, also where there are many upstreams and some are lost.
+//! Busy keys are spread, even with many upstreams and after losing some.
 
 mod common;
 
@@ -10,10 +10,11 @@
 use common::{LIMITS, answer, at, id, ready, timing, write_record};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long a busy holder takes to end its work on keys that it gives back.
+/// How long a busy holder takes to finish its work on keys that it gives back, in
+/// milliseconds.
 const RELEASE_MILLIS: u64 = 450;
 
-/// All keys granted to so many upstreams, at 2,000 ms.
+/// A granter that has granted all keys to that number of upstreams at 2,000 ms.
 fn granted(upstreams: usize) -> Granter {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     let names: Vec<String> = (0..upstreams).map(|index| format!("u{index:03}")).collect();
@@ -37,8 +38,9 @@
     holders.collect()
 }
 
-/// Found at 295 machines: 200 keys that lie together got 42% of the traffic, and at
-/// eight moves at a time their slices had one or two holders for seconds.
+/// Guards against hot spots that disperse too slowly: at 295 machines 200 adjacent keys got
+/// 42% of the traffic, and with eight moves at a time their slices had one or two holders for
+/// seconds.
 #[test]
 fn adjacent_busy_keys_soon_have_many_holders() {
     let keys = 20_000..20_200;
@@ -52,7 +54,7 @@
         }
         granter.rebalance(at(now), &LIMITS);
         while releases.front().is_some_and(|(due, _)| *due <= now) {
-            let order = releases.pop_front().expect("one is due").1;
+            let order = releases.pop_front().expect("a release is due").1;
             answer(&mut granter, at(now), &order);
         }
         for order in granter.poll(at(now)) {
@@ -63,12 +65,12 @@
         }
         last = write_record(&mut granter, at(now)).or(last);
     }
-    let count = holders(&last.expect("moves are told"), keys).len();
+    let count = holders(&last.expect("record with the moves"), keys).len();
     assert!(count >= 40, "{count} holders");
 }
 
-/// Slices of upstreams that went dark wait for their last grants to run out. They
-/// counted as moves, and nothing else moved meanwhile.
+/// Guards against stalled moves: slices of unreachable upstreams wait for their last grants
+/// to expire. They counted as moves, and no other slice was moved meanwhile.
 #[test]
 fn slices_of_lost_holders_do_not_block_moves() {
     let mut granter = granted(20);
@@ -95,8 +97,9 @@
     assert!(granter.rebalance(at(now), &few) > 0);
 }
 
-/// An upstream that has just gone dark is the idlest one. It got the busiest keys of
-/// others until it was given up on, 1.2 s after its first unanswered grant.
+/// Guards against moving keys to a failed upstream: one that has just become unreachable is
+/// the least busy. It got the busiest keys of others until it was given up on, 1.2 s after
+/// its first unanswered grant.
 #[test]
 fn no_keys_go_to_an_upstream_that_left_a_grant_unanswered() {
     let mut granter = granted(8);
@@ -106,7 +109,7 @@
         if order.holder == unreachable {
             granter.handle_reply(at(2_810), order.call, GrantReply::Unanswered);
         } else {
-            // All others have something to do.
+            // All other upstreams have some load.
             granter.load.add(order.range.first, 1.0);
             answer(&mut granter, at(2_810), &order);
         }
@@ -115,25 +118,26 @@
         granter.load.add(ShardKey(key), 0.5);
     }
     assert!(granter.rebalance(at(2_900), &LIMITS) > 0);
-    let record = write_record(&mut granter, at(2_900)).expect("moves are told");
+    let record = write_record(&mut granter, at(2_900)).expect("record with the moves");
     assert!(!holders(&record, 60_000..60_200).contains("u000"));
     for order in granter.poll(at(3_000)) {
         if order.holder != unreachable {
             answer(&mut granter, at(3_000), &order);
         }
     }
-    let record = write_record(&mut granter, at(3_010)).expect("new holders are told");
+    let record = write_record(&mut granter, at(3_010)).expect("record with the new holders");
     assert!(!holders(&record, 60_000..60_200).contains("u000"));
 }
 
-/// Found at 295 machines: with a hundred moves at once, what upstreams have by chance
-/// kept a hundred slices on the move, each without an owner for half a second.
+/// Guards against moves caused by random load differences: at 295 machines, with a hundred
+/// moves at once, these kept a hundred slices moving, each without an owner for half a
+/// second.
 #[test]
 fn random_load_differences_move_few_slices() {
     let mut granter = granted(200);
     let mut random = 0x2545_F491_4F6C_DD1D_u64;
     for _ in 0..4_000 {
-        // Half of what the upstreams can do, spread by chance.
+        // Half of the upstreams' capacity, distributed at random.
         random ^= random << 13;
         random ^= random >> 7;
         random ^= random << 17;
--- a/crates/sharding/tests/common/mod.rs
+++ b/crates/sharding/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of the granter share.
+//! Helpers shared by the granter tests.
 
 #![allow(dead_code, reason = "not every test file uses every helper")]
 
@@ -11,10 +11,10 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// How long a grant holds where slices are few.
+/// Duration of a grant where there are few slices.
 pub const HOLD: Duration = Duration::from_millis(3_000);
 
-/// The product's limits of the balance.
+/// The balance limits used in production.
 pub const LIMITS: BalanceLimits = BalanceLimits {
     max_moves: 8,
     max_overload_moves_share: 0.25,
@@ -26,7 +26,7 @@
     load_window_secs: 1.8,
 };
 
-/// The product's timing, with one pace for any number of slices.
+/// The timing used in production, with the same pace for any number of slices.
 pub fn timing() -> GranterTiming {
     GranterTiming {
         hold: HOLD,
@@ -52,7 +52,7 @@
     UpstreamId::from(name.to_owned())
 }
 
-/// An upstream that takes keys and was last heard then.
+/// A ready upstream that was last heard from at the given time.
 pub fn ready(name: &str, last_answered: Option<Time>) -> Candidate {
     Candidate {
         id: id(name),
@@ -76,7 +76,7 @@
     granter.handle_reply(now, order.call, reply);
 }
 
-/// Takes and answers orders until none is due: not all are given at once.
+/// Polls and answers orders until none is due, since not all are sent at once.
 pub fn grant_all(granter: &mut Granter, now: Time) {
     loop {
         let orders = granter.poll(now);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Slices that an upstream holds or is giving back.
+/// Number of slices that an upstream holds or is giving back.
 pub fn slices_of(record: &AssignmentRecord, name: &str) -> usize {
     let of_it = record.slices.iter().filter(|slice| match &slice.state {
         SliceState::Held { holder, .. } | SliceState::Leaving { holder, .. } => *holder == id(name),
@@ -98,7 +98,7 @@
     of_it.count()
 }
 
-/// All keys granted to "a" and "b", at 2,000 ms.
+/// A granter that has granted all keys to "a" and "b" at 2,000 ms.
 pub fn granted() -> Granter {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", None), ready("b", None)]);
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -1,4 +1,4 @@
-//! Keys whose holder may have left a grant lying.
+//! Keys whose holder may still execute a delayed grant.
 
 mod common;
 
@@ -10,16 +10,16 @@
 };
 use common::*;
 
-/// From the moment in which a grant is given up on to that in which it has run out: the
-/// lifetime of orders and a hold by a clock that is 2% slow.
+/// Time from when a grant is given up on until it has expired: the lifetime of orders and a
+/// grant by a clock that is 2% slow.
 const DOUBT: u64 = 12_000 + 3_060;
 
 fn is_grant(order: &GrantOrder) -> bool {
     matches!(order.kind, OrderKind::Grant { .. })
 }
 
-/// Plays on: "a" leaves its first grant lying and can't be reached from then on. The keys of
-/// that grant, and the record when it was given up on.
+/// Runs the granter until "a" receives its first grant without replying; "a" is unreachable
+/// from then on. Returns that grant, when it was given up on, and the record written then.
 fn leave_grant_unanswered(granter: &mut Granter) -> (GrantOrder, u64, AssignmentRecord) {
     for now in (2_010..4_000).step_by(10) {
         let mut delayed = None;
@@ -35,14 +35,14 @@
         if let Some(delayed) = delayed {
             let given_up = now + 500;
             granter.handle_reply(at(given_up), delayed.call, GrantReply::InDoubt);
-            let record = write_record(granter, at(given_up)).expect("the doubt is told");
+            let record = write_record(granter, at(given_up)).expect("record with the doubt");
             return (delayed, given_up, record);
         }
     }
-    panic!("a was asked nothing");
+    panic!("a was sent no order");
 }
 
-/// When the keys of an order have another holder, if "a" answers nothing.
+/// When the keys of an order are assigned to "b", if "a" never replies.
 fn reassigned_at(granter: &mut Granter, begin: u64, delayed: &GrantOrder) -> u64 {
     for now in (begin..begin + 40_000).step_by(10) {
         for order in granter.poll(at(now)) {
@@ -59,17 +59,18 @@
             return now;
         }
     }
-    panic!("the keys never went on");
+    panic!("the keys were never reassigned");
 }
 
-/// It stood still for 6.5 s, woke, and took the grant while another was at work on the keys.
+/// Guards against two owners: a holder was paused for 6.5 s, resumed, and accepted the grant
+/// while another upstream was serving the keys.
 #[test]
 fn keys_of_a_delayed_grant_wait_until_it_has_expired() {
     let mut granter = granted();
     let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let moved_at = reassigned_at(&mut granter, given_up, &delayed);
-    assert!(moved_at >= given_up + DOUBT, "went on at {moved_at}");
-    assert!(moved_at <= given_up + DOUBT + 200, "went on at {moved_at}");
+    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
+    assert!(moved_at <= given_up + DOUBT + 200, "moved at {moved_at}");
 }
 
 #[test]
@@ -91,8 +92,9 @@
     assert_eq!(left, 1, "{delayed:?}");
 }
 
-/// Plays on until 6 s after the give-up, when "a" can be reached again; then for so long. Who is
-/// granted the keys of the lying grant first, and when.
+/// Runs the granter until 6 s after the grant was given up on, when "a" becomes reachable
+/// again, and then for up to 6 s more. Returns who is first granted the keys of the delayed
+/// grant, and when.
 fn reassigned_to(
     delayed: &GrantOrder,
     granter: &mut Granter,
@@ -135,8 +137,9 @@
     assert!(after <= 400, "after {after} ms");
 }
 
-/// A restart of it may be registered again in a moment; its entry had gone with that of the
-/// process before, and the next restart took the grant from who had got the keys meanwhile.
+/// Guards against two owners after a re-registration: the entry of a restarted process was
+/// removed together with that of the process before it, and the next restart executed the
+/// delayed grant while another upstream had the keys.
 #[test]
 fn keys_in_doubt_wait_for_a_recently_registered_upstream() {
     let mut granter = granted();
@@ -146,7 +149,7 @@
     assert!((4_000..=4_400).contains(&after), "after {after} ms");
 }
 
-/// The granter ended; its successor read the doubt in the record.
+/// The granter ends, and its successor finds the doubt in the record.
 #[test]
 fn a_successor_waits_for_the_delayed_grant() {
     let mut granter = granted();
@@ -157,7 +160,7 @@
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
     let moved_at = reassigned_at(&mut successor, begin, &delayed);
-    assert!(moved_at >= given_up + DOUBT, "went on at {moved_at}");
+    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
 }
 
 fn born(birth: u64) -> Candidate {
@@ -167,8 +170,9 @@
     }
 }
 
-/// It ended with the grant, and was up again twice: the second restart took the grant when its
-/// keys had gone from the first one to another upstream.
+/// Guards against two owners after two restarts: an upstream ended with a delayed grant and
+/// was restarted twice. The second process executed the grant when its keys had moved from
+/// the first restart to another upstream.
 #[test]
 fn keys_in_doubt_return_to_the_restart_of_their_holder() {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
@@ -220,8 +224,8 @@
     assert_eq!(doubted, 0);
 }
 
-/// A grant goes to a process only that has just answered: what lies in the buffers of one
-/// that stands still is a question.
+/// A grant is sent only to a process that has just replied to a probe, so that the buffers of
+/// a paused process contain probes.
 #[test]
 fn a_liveness_probe_uses_a_key_of_another_holder_and_invalidates_nothing() {
     let mut granter = granted();
@@ -233,7 +237,7 @@
     for grant in grants {
         let key = granter
             .key_held_by_other(&grant.holder)
-            .expect("there are two");
+            .expect("the other upstream holds keys");
         let slice = record.slice(key).expect("a slice");
         let holds = |state: &SliceState| matches!(state, SliceState::Held { holder, .. } if *holder == grant.holder);
         assert!(!holds(&slice.state));
@@ -254,8 +258,8 @@
     assert_eq!(granter.key_held_by_other(&id("a")), None);
 }
 
-/// Each successor began the wait anew, and keys of an upstream that had ended were without an
-/// owner for 25 s.
+/// Guards against restarting the wait with each successor, which left keys of an ended
+/// upstream without an owner for 25 s.
 #[test]
 fn successors_do_not_restart_the_wait() {
     let mut granter = granted();
@@ -279,11 +283,12 @@
     let mut last = Granter::new(at(begin + 4_000), timing(), Epoch(6), Some(&record));
     last.set_candidates(at(begin + 4_000), [ready("a", None), ready("b", None)]);
     let moved_at = reassigned_at(&mut last, begin + 4_000, &delayed);
-    assert!(moved_at <= begin + 4_000 + 8_000, "went on at {moved_at}");
+    assert!(moved_at <= begin + 4_000 + 8_000, "moved at {moved_at}");
 }
 
-/// A granter found that keys had gone on unseen, wrote them down as free and was killed; its
-/// successor gave them away while their holders had them.
+/// Guards against assigning keys that still have holders: a granter found that keys had moved
+/// without its knowledge, recorded them as free and was killed, and its successor assigned
+/// them.
 #[test]
 fn a_successor_keeps_withholding_keys() {
     let mut granter = granted();
@@ -295,7 +300,7 @@
     for order in doubting.poll(at(5_010)) {
         doubting.handle_reply(at(5_020), order.call, GrantReply::Outdated);
     }
-    let record = write_record(&mut doubting, at(5_030)).expect("the keys are nobody's");
+    let record = write_record(&mut doubting, at(5_030)).expect("record with the free keys");
     assert!(
         record
             .slices
@@ -313,5 +318,5 @@
         granted += successor.poll(at(now)).len();
         write_record(&mut successor, at(now));
     }
-    assert!(granted > 0, "they never go to anybody");
+    assert!(granted > 0, "the keys were never assigned");
 }
--- a/crates/sharding/tests/granter.rs
+++ b/crates/sharding/tests/granter.rs
@@ -1,4 +1,4 @@
-//! Grants, take-backs and moves of one service.
+//! Grants, revocations and moves of one service.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_metastore::Epoch;
@@ -79,7 +79,7 @@
     }
 }
 
-/// Takes and answers orders until none is due: not all are given at once.
+/// Polls and answers orders until none is due, since not all are sent at once.
 fn grant_all(granter: &mut Granter, now: Time) -> Vec<GrantOrder> {
     let mut given = Vec::new();
     loop {
@@ -92,7 +92,7 @@
     }
 }
 
-/// All keys granted to two upstreams, at 2,000 ms.
+/// A granter that has granted all keys to two upstreams at 2,000 ms.
 fn granted() -> Granter {
     let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", 20.0), ready("b", 20.0)]);
@@ -156,7 +156,7 @@
     let releases = granter.poll(at(2_200));
     answer_all(&mut granter, at(2_200), &releases);
     assert!(granter.poll(at(2_210)).is_empty());
-    write_record(&mut granter, at(2_220)).expect("new holders are told");
+    write_record(&mut granter, at(2_220)).expect("record with the new holders");
     let grants = granter.poll(at(2_230));
     assert_eq!(grants.len(), releases.len());
     for grant in &grants {
@@ -177,7 +177,7 @@
     let mut granter = granted();
     let mut lost_at = 0;
     let mut now = 2_000;
-    // "a" answers nothing from now on.
+    // "a" does not reply from now on.
     while now < 14_000 {
         now += 50;
         for order in granter.poll(at(now)) {
@@ -202,8 +202,8 @@
             lost_at = now;
         }
     }
-    // Renewals are due from 4,000 ms on and are repeated for 1,500 ms, and the
-    // last of them may have been taken: its hold and the transit time count.
+    // Renewals are due from 4,000 ms on and are repeated for 1,500 ms, and the last of them
+    // may have been accepted: its duration and the transit time count.
     let last_grant = 4_000 + 1_500;
     assert!(lost_at > 2_000 + 8_160, "lost at {lost_at}");
     assert!(
@@ -217,7 +217,7 @@
     let mut granter = granted();
     granter.mark_ended(&id("a"));
     granter.poll(at(2_100));
-    let record = granter.take_record().expect("new holders are told");
+    let record = granter.take_record().expect("record with the new holders");
     let with_b = record
         .slices
         .iter()
@@ -243,8 +243,8 @@
     }
 }
 
-/// Found on a day at 78 machines: a successor was asked for orders before it was told
-/// which upstreams there are, and took all slices back.
+/// Guards against revoking all slices at a takeover: a successor at 78 machines was polled
+/// before it had been given the list of upstreams.
 #[test]
 fn a_successor_without_a_list_of_upstreams_revokes_nothing() {
     let mut first = granted();
@@ -268,7 +268,7 @@
     let orders = granter.poll(at(4_100));
     let refused = &orders[0];
     granter.handle_reply(at(4_110), refused.call, GrantReply::Outdated);
-    write_record(&mut granter, at(4_120)).expect("the new token is told");
+    write_record(&mut granter, at(4_120)).expect("record with the new token");
     let again = granter.poll(at(4_130));
     assert!(again[0].token > refused.token);
     assert_eq!(again[0].holder, refused.holder);
@@ -280,7 +280,7 @@
     assert!(FencingToken::new(Epoch(2), 1) > last);
 }
 
-/// Found on the quiet days: one key took more than its holder could do.
+/// Guards against a single key that takes more than the capacity of its holder.
 #[test]
 fn a_hot_key_goes_to_the_fastest_upstream() {
     let mut granter = granted();
@@ -291,12 +291,12 @@
     granter.load.add(ShardKey(24_716), 60.0);
     granter.load.add(ShardKey(24_000), 3.0);
     assert!(granter.rebalance(at(3_500), &LIMITS) > 0);
-    let record = write_record(&mut granter, at(3_500)).expect("the move is told");
+    let record = write_record(&mut granter, at(3_500)).expect("record with the move");
     let hot = record.slice(ShardKey(24_716)).expect("a slice");
     assert_eq!(hot.range.len(), 1);
     let releases = granter.poll(at(3_600));
     answer_all(&mut granter, at(3_600), &releases);
-    let record = granter.take_record().expect("the new holder is told");
+    let record = granter.take_record().expect("record with the new holder");
     let hot = record.slice(ShardKey(24_716)).expect("a slice");
     assert!(matches!(&hot.state, SliceState::Held { holder, .. } if *holder == id("fast")));
 }
@@ -310,7 +310,7 @@
     granter.set_candidates(at(2_100), [ready("a", 5.0), ready("b", 50.0)]);
     let moved = granter.rebalance(at(3_500), &LIMITS);
     assert!(moved > 0, "{:?}", granter.load.total());
-    let record = granter.take_record().expect("moves are told");
+    let record = granter.take_record().expect("record with the moves");
     let mut next = 0;
     for slice in &record.slices {
         assert_eq!(u32::from(slice.range.first.0), next);
@@ -326,20 +326,20 @@
     granter.set_candidates(at(2_100), [ready("a", 20.0), ready("fast", 40.0)]);
     granter.rebalance(at(3_500), &LIMITS);
     granter.poll(at(3_500));
-    let record = granter.take_record().expect("moves are told");
-    let bytes = borsh::to_vec(&record.head()).expect("it can be written");
+    let record = granter.take_record().expect("record with the moves");
+    let bytes = borsh::to_vec(&record.head()).expect("serializable");
     let mut read = Assignment::default();
-    read.apply_head(borsh::from_slice(&bytes).expect("it can be read"));
+    read.apply_head(borsh::from_slice(&bytes).expect("deserializable"));
     for part in record.parts() {
-        let bytes = borsh::to_vec(&part).expect("it can be written");
-        let part: AssignmentPart = borsh::from_slice(&bytes).expect("it can be read");
+        let bytes = borsh::to_vec(&part).expect("serializable");
+        let part: AssignmentPart = borsh::from_slice(&bytes).expect("deserializable");
         assert!(borsh::from_slice::<AssignmentPart>(&bytes[..bytes.len() - 1]).is_err());
         read.apply_part(part);
     }
     assert_eq!(read.to_record(), Some(record));
 }
 
-/// A record of parts whose slices reached over their ends could not be put together.
+/// A record cannot be reassembled from parts whose slices cross their ends.
 #[test]
 fn no_slice_crosses_the_end_of_a_part() {
     for upstreams in [1, 7, 50, 417, 1_000] {
@@ -358,7 +358,7 @@
     }
 }
 
-/// The first granter may be lost while it writes the first record.
+/// The first granter may fail while it writes the first record.
 #[test]
 fn parts_that_were_never_written_have_no_holder() {
     let mut granter = granted();
@@ -368,7 +368,7 @@
     for part in record.parts().into_iter().take(3) {
         read.apply_part(part);
     }
-    let whole = read.to_record().expect("what is known");
+    let whole = read.to_record().expect("record from the known parts");
     let free = whole
         .slices
         .iter()
@@ -377,7 +377,7 @@
     let mut second = Granter::new(at(5_000), TIMING, Epoch(2), Some(&whole));
     second.set_candidates(at(5_000), [ready("a", 20.0), ready("b", 20.0)]);
     second.poll(at(5_000));
-    let record = second.take_record().expect("all keys are given");
+    let record = second.take_record().expect("record with all keys assigned");
     assert!(
         record
             .slices
@@ -386,8 +386,8 @@
     );
 }
 
-/// Found by seed 10 of the simulator: the answer to an order for a dead holder
-/// made the next holder count as dead, until nobody was left to hold anything.
+/// Guards against applying a reply to the wrong holder (simulator seed 10): the reply to an
+/// order for an ended holder marked the next holder as ended, until no holder was left.
 #[test]
 fn a_reply_applies_to_the_holder_that_the_order_was_sent_to() {
     let mut granter = granted();
@@ -398,7 +398,7 @@
         .expect("a is renewed");
     granter.mark_ended(&id("a"));
     granter.poll(at(4_200));
-    write_record(&mut granter, at(4_210)).expect("new holders are told");
+    write_record(&mut granter, at(4_210)).expect("record with the new holders");
     granter.handle_reply(at(4_300), asked.call, GrantReply::Replaced);
     granter.set_candidates(at(4_400), [ready("b", 20.0), ready("c", 20.0)]);
     granter.poll(at(4_400));
@@ -425,11 +425,11 @@
     let early = granter.poll(at(3_800));
     answer_all(&mut granter, at(3_800), &early);
     let late = granter.poll(at(4_100));
-    assert!(!early.is_empty(), "none is early");
-    assert!(!late.is_empty(), "none is late");
+    assert!(!early.is_empty(), "no renewal is due early");
+    assert!(!late.is_empty(), "no renewal is due late");
 }
 
-/// A cold upstream takes few requests, and its keys bring all of theirs along.
+/// A cold upstream can serve few requests, but its keys bring all of theirs.
 #[test]
 fn a_cold_upstream_gets_no_keys_while_another_is_ready() {
     let mut granter = Granter::new(at(0), TIMING, Epoch(1), None);
@@ -449,14 +449,16 @@
     granter.mark_ended(&"warm".into());
     granter.set_candidates(at(1_600), [cold, ready("warm", 10.0)]);
     granter.poll(at(1_600));
-    let record = granter.take_record().expect("the keys are given away");
+    let record = granter
+        .take_record()
+        .expect("record with the keys reassigned");
     let holders = holders(&record);
     assert!(!holders.is_empty());
     assert!(holders.iter().all(|holder| holder == "cold"));
 }
 
-/// Takes over a record of the term before that may be older than the last grants, and renews
-/// its holders; the orders.
+/// Adopts a record of the previous term that may be older than the last grants, and renews
+/// its holders; returns the granter and its orders.
 fn adopt_doubted_record() -> (Granter, Vec<GrantOrder>) {
     let mut before = granted();
     before.mark_dirty();
@@ -471,8 +473,8 @@
     (granter, orders)
 }
 
-/// Guards against keys that are given to a holder of an old record under a fresh token, while
-/// a holder that the record does not know has them.
+/// Guards against granting keys to a holder of an old record under a fresh token while a
+/// holder that the record does not name has them.
 #[test]
 fn keys_with_an_unknown_holder_are_withheld_until_its_grants_expire() {
     let (mut granter, orders) = adopt_doubted_record();
@@ -500,8 +502,8 @@
     );
 }
 
-/// Guards against the same of a record that is not doubted: there the predecessor released
-/// the keys itself, and the same holder gets a higher token at once.
+/// Guards against withholding keys of a record that is not in doubt: there the predecessor
+/// released the keys itself, and the same holder gets a higher token at once.
 #[test]
 fn an_outdated_token_of_a_trusted_record_is_raised() {
     let mut before = granted();
--- a/crates/sharding/tests/holds.rs
+++ b/crates/sharding/tests/holds.rs
@@ -1,4 +1,4 @@
-//! How long grants hold, and when the keys of a silent holder are free.
+//! Duration of grants, and when the keys of an unresponsive holder are free.
 
 mod common;
 
@@ -7,19 +7,19 @@
 use common::{HOLD, answer, at, grant_all, granted, id, ready, slices_of, timing, write_record};
 use std::time::Duration;
 
-/// Why a holder answers nothing.
+/// Why a holder does not reply.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outage {
-    /// Its machine is gone: what is sent on an old connection gets no answer,
-    /// and no new one comes up.
+    /// Its machine is gone: data sent on an old connection gets no reply, and no new
+    /// connection is established.
     MachineLost,
-    /// No connection to it comes up.
+    /// No connection to it is established.
     Unreachable,
-    /// It takes connections and stands still.
+    /// It accepts connections but is paused.
     Paused,
 }
 
-/// Runs the granter until "a", which answers nothing, has no slice.
+/// Runs the granter until "a", which never replies, has no slice; returns the time.
 fn lost_at(granter: &mut Granter, begin: u64, outage: Outage) -> u64 {
     let mut pending: Vec<(u64, GrantOrder)> = Vec::new();
     let mut has_connection = outage == Outage::MachineLost;
@@ -56,8 +56,8 @@
 fn keys_of_an_unresponsive_holder_are_free_soon_after_its_grants_expire() {
     let mut granter = granted();
     let lost = lost_at(&mut granter, 2_010, Outage::MachineLost);
-    // The first renewal is due by 2,750 and given up on by 3,250; it may be
-    // taken for the time of transit after that.
+    // The first renewal is due by 2,750 and given up on by 3,250; it may be accepted within
+    // the transit time after that.
     assert!(lost >= 2_000 + 3_060, "lost at {lost}");
     assert!(lost <= 3_250 + 300 + 3_060 + 150, "lost at {lost}");
 }
@@ -70,7 +70,7 @@
     assert!(lost <= 2_000 + 3_060 + 250, "lost at {lost}");
 }
 
-/// Only the slice by which it is asked again waits longer.
+/// Only the slice whose renewal is retried waits longer.
 #[test]
 fn most_keys_of_a_paused_holder_are_free_as_soon() {
     let mut granter = granted();
@@ -123,8 +123,8 @@
     assert!(lost <= 5_000 + 3_060 + 300 + 250, "lost at {lost}");
 }
 
-/// Found by a hunt (OWNER): a renewal that is shorter than the grant that stands
-/// leaves the holder with the longer one.
+/// Guards against two owners: a renewal that is shorter than the grant in force leaves the
+/// holder with the longer one.
 #[test]
 fn a_reply_never_shortens_a_grant() {
     let mut first = granted();
@@ -137,8 +137,9 @@
     assert!(lost >= 5_000 + 3_060 + 300, "lost at {lost}");
 }
 
-/// Found by seed 30 of the simulator: the silence for which holders had lost
-/// keys was counted against them when they got keys again, for ever.
+/// Guards against keys that never get an owner again (simulator seed 30): the
+/// unresponsiveness for which holders had lost keys was still held against them when they got
+/// keys again.
 #[test]
 fn upstreams_get_keys_again_after_all_were_unresponsive() {
     let mut granter = granted();
@@ -159,8 +160,8 @@
     assert!(owned > 0 && owned < 11_000, "owned at {owned}");
 }
 
-/// Found on grown days: a granter of 400 slices spent its processor on renewals
-/// and did not have the time to give away the keys of dark upstreams.
+/// Guards against a granter of 400 slices that spends its processor time on renewals and has
+/// none left to reassign the keys of unreachable upstreams.
 #[test]
 fn many_slices_are_renewed_less_often_and_granted_longer() {
     let timing = GranterTiming {
--- a/crates/sharding/tests/many_upstreams.rs
+++ b/crates/sharding/tests/many_upstreams.rs
@@ -1,11 +1,11 @@
-//! What a granter's decisions cost where upstreams are many.
+//! Processor time of a granter's decisions with many upstreams.
 //!
-//! Seen: at 300 machines with 3,000 upstreams a service divided by key had no owner at all,
-//! from the start on. How: no grant was ever given. The nodes took the granter's place in
-//! turn, each 3 to 5 s, and each lost it before it had written a record. Cause: the choice of
-//! a holder looked at all 1,660 upstreams anew for each of 1,660 slices, 0.65 s of a whole
-//! core, which takes a node with a fifth of one 3.3 s, and its place runs out after 2 s. The
-//! nodes' lines show it: `granter_here` at -6.4, -1.2, 2.0 and 5.7 s, and no order between.
+//! Guards against a granter that loses its lease before its first grant. At 300 machines with
+//! 3,000 upstreams a sharded service never had an owner: the nodes became granter in turn,
+//! for 3 to 5 s each, and each lost its lease before it had written a record. Choosing
+//! holders scanned all 1,660 upstreams again for each of 1,660 slices, which took 0.65 s of a
+//! whole core, so 3.3 s on a node with a fifth of one, while the lease expires after 2 s. The
+//! logs showed `granter_here` at -6.4, -1.2, 2.0 and 5.7 s, and no order in between.
 
 mod common;
 
@@ -15,23 +15,23 @@
 use nix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Upstreams of the divided service of such a deployment.
+/// Upstreams of the sharded service in such a deployment.
 const UPSTREAMS: usize = 1_660;
-/// A granter that does not renew its place for 1.5 s (its life of 2 s, less the 0.5 s between
-/// renewals) loses it; the slowest machine that is asked for has a fifth of a core.
+/// A granter that does not renew its lease for 1.5 s (the lease of 2 s, less the 0.5 s
+/// between renewals) loses it; the slowest supported machine has a fifth of a core.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_millis(300);
 
-/// Between two orders of a granter with a whole core, and with a fifth of one.
+/// Interval between orders of a granter with a whole core, and with a fifth of one.
 const WHOLE_CORE: Duration = Duration::from_millis(1);
 const FIFTH_OF_A_CORE: Duration = Duration::from_millis(5);
 
-/// Time for which this thread ran: what else runs beside it does not count.
+/// Processor time of this thread; other load on the machine does not count.
 fn processor_time() -> Duration {
     let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
-    Duration::from(time.expect("the clock is there"))
+    Duration::from(time.expect("thread CPU clock"))
 }
 
-/// A granter that gives an order each so often, and renews a slice within 2 s.
+/// A granter that sends orders at that interval and renews each slice within 2 s.
 fn granter(min_order_interval: Duration) -> Granter {
     let timing = GranterTiming {
         min_order_interval,
@@ -55,7 +55,7 @@
     assert!(took < MAX_PROCESSOR_TIME, "{took:?}");
 }
 
-/// A third of the upstreams is lost at once: their slices go to the others.
+/// A third of the upstreams is lost at once, and their slices go to the others.
 #[test]
 fn loss_of_a_zone_does_not_cost_the_granter_its_lease() {
     let mut granter = granter(WHOLE_CORE);
@@ -87,7 +87,7 @@
     assert_eq!(granter.held_count(now), granter.slice_count());
 }
 
-/// What it can't renew it does not hand out.
+/// Slices that the granter cannot renew in time are not created.
 #[test]
 fn a_granter_creates_no_more_slices_than_it_renews_in_time() {
     let mut granter = granter(FIFTH_OF_A_CORE);
--- a/crates/sharding/tests/old_grants.rs
+++ b/crates/sharding/tests/old_grants.rs
@@ -1,14 +1,16 @@
-//! Grants that outlive the patience of who gave them.
+//! Grants that arrive after the granter has given them up.
 //!
-//! Seen: two upstreams held the same keys. One took a renewal six seconds after it was
-//! written, when its keys had gone on to the other.
-//! How: a holder was cut off right after a renewal had been written to its connection. The
-//! granter gave the call up, closed the connection, asked for the keys back, which could not
-//! be delivered, waited until every hold had run out, and gave the keys to the next holder.
-//! The kernel went on sending what had been written, and delivered it after the cut.
-//! Cause: with the move of the keys the granter stopped telling the old holder. It had seen
-//! no higher token on these keys, so nothing at it refused the old one.
-//! Proof: here the old holder refuses the copy only if somebody told it in between.
+//! Guards against two upstreams holding the same keys: one accepted a renewal six seconds
+//! after it was written, when its keys had already been assigned to the other. The holder was
+//! partitioned right after the renewal had been written to its connection. The granter gave
+//! the call up, closed the connection, sent releases that could not be delivered, waited
+//! until all grants had expired, and assigned the keys to the next holder. The kernel kept
+//! retransmitting the renewal and delivered it after the partition. The granter had stopped
+//! sending releases to the old holder when the keys moved, so that holder had seen no higher
+//! token that would make it refuse the renewal.
+//!
+//! In these tests the old holder refuses the renewal only if it received a release in
+//! between.
 
 mod common;
 
@@ -19,15 +21,16 @@
 };
 use common::{LIMITS, answer, at, granted, id, ready, slices_of, timing, write_record};
 
-/// Between two ends of the time in which a path is whole and the old holder hears nothing.
+/// Longest time from when the path to the old holder is restored until an order reaches it,
+/// in milliseconds.
 const MAX_PAUSE: u64 = 300;
 
-/// A granter whose holder "a" is cut off from 2,010 ms on.
+/// A granter whose holder "a" is partitioned from 2,010 ms on.
 struct Partition {
     granter: Granter,
-    /// The first order, written to a connection that "a" had answered on.
+    /// The first order, written to a connection on which "a" had replied.
     written: Option<GrantOrder>,
-    /// Orders to "a" and when they are given up on.
+    /// Orders to "a", and when they are given up on.
     pending: Vec<(u64, GrantOrder)>,
     record: Option<AssignmentRecord>,
     now: u64,
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Lets 10 ms pass; the orders to "a" that were given in that time.
+    /// Advances time by 10 ms and returns the orders sent to "a".
     fn step(&mut self) -> Vec<GrantOrder> {
         self.now += 10;
         let now = self.now;
@@ -75,7 +78,7 @@
         to_a
     }
 
-    /// Goes on until "a" has no slice.
+    /// Advances time until "a" has no slice.
     fn run_until_keys_moved(&mut self) {
         for _ in 0..1_000 {
             self.step();
@@ -88,7 +91,7 @@
     }
 }
 
-/// Tokens that an upstream has seen: it refuses lower ones.
+/// Highest token that an upstream has seen for each key; it refuses lower ones.
 struct SeenTokens(Vec<u64>);
 
 impl SeenTokens {
@@ -100,7 +103,7 @@
         &mut self.0[usize::from(range.first.0)..=usize::from(range.last.0)]
     }
 
-    /// Takes an order; whether it is refused.
+    /// Applies an order; returns whether it is refused.
     fn apply(&mut self, order: &GrantOrder) -> bool {
         let token = order.token.0;
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
@@ -129,9 +132,9 @@
             seen.apply(&order);
         }
     }
-    let written = partition.written.clone().expect("a renewal was written");
+    let written = partition.written.clone().expect("a renewal was sent");
     assert!(matches!(written.kind, OrderKind::Grant { .. }));
-    assert!(seen.apply(&written), "the old grant is taken");
+    assert!(seen.apply(&written), "the old grant was accepted");
 }
 
 #[test]
@@ -144,11 +147,11 @@
             last_sent_at = partition.now;
         }
         let pause = partition.now - last_sent_at;
-        assert!(pause <= MAX_PAUSE, "not told for {pause} ms");
+        assert!(pause <= MAX_PAUSE, "no order for {pause} ms");
     }
 }
 
-/// It registers again and is idle, so that the balance asks for moves to it.
+/// The upstream registers again and is idle, so that load balancing wants to move keys to it.
 #[test]
 fn a_lost_holder_gets_no_keys_before_it_replies() {
     const ANSWERS_FROM: u64 = 12_000;
@@ -182,7 +185,7 @@
             }
         }
     }
-    assert!(has_keys, "it never got keys again");
+    assert!(has_keys, "the holder never got keys again");
 }
 
 #[test]
@@ -196,12 +199,13 @@
     let orders = (begin..begin + MAX_PAUSE).step_by(10);
     let mut orders = orders.flat_map(|now| successor.poll(at(now)));
     let release = orders.find(|order| order.holder == id("a"));
-    let release = release.expect("a is told nothing");
+    let release = release.expect("an order to a");
     assert_eq!(release.kind, OrderKind::Release);
     assert!(release.token > FencingToken::new(Epoch(2), 0));
 }
-/// A record that gives keys away names who may still take them, and so does the one before,
-/// by which a successor goes that finds only some parts of the newer one.
+/// The record that reassigns keys names who may still accept old grants of them, and so does
+/// the record before it, which a successor relies on if it finds only some parts of the newer
+/// one.
 #[test]
 fn the_record_names_holders_whose_keys_are_being_revoked() {
     let mut partition = Partition::begin();
@@ -225,8 +229,8 @@
     assert!(leaving_named);
 }
 
-/// A release that waits for long work lets the hold run out at a holder that answers
-/// everything else: it keeps its other keys.
+/// A release that waits for long-running work lets the grant expire at a holder that answers
+/// everything else; it keeps its other keys.
 #[test]
 fn a_holder_of_other_keys_is_sent_releases_of_lost_keys_only() {
     let mut granter = granted();
@@ -255,13 +259,13 @@
         write_record(&mut granter, at(now));
     }
     let last = releases.last().expect("releases");
-    assert!(last.token > releases[0].token, "no fresh token");
+    assert!(last.token > releases[0].token, "the token was not renewed");
     let all = releases.iter().find(|order| order.range == KeyRange::ALL);
     assert!(all.is_none(), "{all:?}");
 }
 
-/// An upstream that was cut off from the store as well registers again a second or more
-/// after the cut.
+/// An upstream that was partitioned from the store as well registers again a second or more
+/// after the partition.
 #[test]
 fn an_unregistered_holder_is_sent_releases_as_often() {
     let mut partition = Partition::begin();
@@ -276,16 +280,16 @@
             last_sent_at = partition.now;
         }
         let pause = partition.now - last_sent_at;
-        assert!(pause <= MAX_PAUSE, "not told for {pause} ms");
+        assert!(pause <= MAX_PAUSE, "no order for {pause} ms");
     }
     let both = [ready("a", None), ready("b", None)];
     partition.granter.set_candidates(at(partition.now), both);
     assert_eq!(partition.step().len(), 1);
 }
 
-/// A successor of a granter that lost a hundred holders. All but the last one stay silent,
-/// and "z" answers from `answers_from` on; when it was told then, and the most releases in
-/// a second.
+/// Runs a successor of a granter that lost a hundred holders. All but the last one stay
+/// unresponsive, and "z" answers from `answers_from` on. Returns when "z" is first sent an
+/// order after that, and the maximum number of releases in a second.
 fn first_release_among_a_hundred(answers_from: u64) -> (u64, usize) {
     let lost = (0..100).map(|number| format!("dead-{number:02}"));
     let lost = lost.chain(["z".to_owned()]);
@@ -338,19 +342,19 @@
         }
         write_record(&mut granter, at(now));
     }
-    panic!("z is not told");
+    panic!("z was never sent a release");
 }
 
-/// The one that comes back is not kept waiting by those with lower names for good, and all
+/// An upstream that comes back is not starved by those with lower names, and all releases
 /// together stay within what a granter can send.
 #[test]
 fn one_of_a_hundred_lost_holders_is_sent_a_release_in_turn() {
-    let (release, max_per_second) = first_release_among_a_hundred(5_000);
-    assert!(release <= 6_000, "told at {release}");
+    let (sent_at, max_per_second) = first_release_among_a_hundred(5_000);
+    assert!(sent_at <= 6_000, "sent at {sent_at}");
     assert!(max_per_second <= 150, "{max_per_second} in a second");
 }
 
-/// A successor that finds keys on the move asks for them itself.
+/// A successor that finds keys being revoked sends the releases itself.
 #[test]
 fn a_holder_with_a_pending_revocation_gets_one_release_at_a_takeover() {
     let range = KeyRange::ALL.divide(2);
@@ -388,8 +392,8 @@
     assert_eq!(granter.unfenced_count(), 0);
 }
 
-/// A second release that is under way when the first is answered would take away what the
-/// upstream is given then.
+/// A second release that is still pending when the first is answered would revoke the keys
+/// that the upstream is granted next.
 #[test]
 fn a_holder_that_replied_gets_no_keys_while_another_release_is_pending() {
     let mut partition = Partition::begin();
--- a/crates/sharding/tests/restarts.rs
+++ b/crates/sharding/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Keys of an upstream that starts again under its name.
+//! Keys of an upstream that restarts under its name.
 
 mod common;
 
@@ -22,7 +22,8 @@
     }
 }
 
-/// All keys granted to the first incarnation and to another upstream; the highest token.
+/// A granter that has granted all keys to the first incarnation and another upstream; returns
+/// it with the highest token.
 fn granted() -> (Granter, FencingToken) {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [candidate(born(1)), ready("other", None)]);
@@ -50,16 +51,16 @@
     matches!(order.kind, OrderKind::Grant { .. })
 }
 
-/// The second incarnation has forgotten all tokens, so an order on its way to the first
-/// one may still be taken by it: until it has answered under a fresh token its keys are
-/// nobody else's, and none of them is renewed.
+/// The second incarnation knows no tokens, so it may still accept an order on its way to the
+/// first one. Until it has replied under a fresh token, its keys are assigned to nobody else
+/// and none of them is renewed.
 #[test]
 fn keys_of_a_restart_are_first_revoked_under_a_fresh_token() {
     let (mut granter, highest) = granted();
     let now = at(2_100);
     granter.set_candidates(now, [candidate(born(2)), ready("other", None)]);
     assert_eq!(granter.poll(now).iter().filter(|o| is_grant(o)).count(), 0);
-    let record = write_record(&mut granter, now).expect("keys are leaving");
+    let record = write_record(&mut granter, now).expect("record with leaving keys");
     assert!(!is_held_by(&record, &born(1)));
     let releases = granter.poll(at(2_120));
     assert!(!releases.is_empty());
@@ -69,7 +70,10 @@
         assert!(release.token > highest);
     }
     let unanswered = write_record(&mut granter, at(2_130));
-    assert!(unanswered.is_none(), "no key goes to another before");
+    assert!(
+        unanswered.is_none(),
+        "no key is reassigned before the reply"
+    );
 }
 
 #[test]
@@ -87,11 +91,11 @@
         }
         write_record(&mut granter, at(millis));
     }
-    assert!(granted > 0, "served again within 0.3 s");
+    assert!(granted > 0, "no key was granted again within 0.3 s");
 }
 
-/// An old order of keys that the one before had given back may still come: nothing else
-/// would make the restart refuse it.
+/// An old order for keys that the first incarnation had returned may still arrive, and
+/// nothing else would make the restart refuse it.
 #[test]
 fn a_restart_gets_no_keys_before_it_confirms_release_of_all_keys() {
     let (mut granter, _) = granted();
@@ -111,7 +115,7 @@
         }
         write_record(&mut granter, at(millis));
     }
-    assert!(asked > 5, "it is asked until it answers");
+    assert!(asked > 5, "releases stopped before a reply");
     assert_eq!(granter.held_count(at(4_000)), granter.slice_count());
 }
 
@@ -129,7 +133,7 @@
             }
         }
         write_record(&mut granter, now);
-        assert!(now < at(20_000), "it lost its keys without an answer");
+        assert!(now < at(20_000), "the upstream never lost its keys");
     }
     granter.set_candidates(now, [candidate(born(2)), ready("other", None)]);
     assert_eq!(granter.unfenced_count(), 2);
@@ -140,12 +144,12 @@
     assert_eq!(granter.unfenced_count(), 0);
 }
 
-/// A successor knows the one before from the record only.
+/// A successor knows the previous incarnation from the record only.
 #[test]
 fn a_successor_fences_a_restart_too() {
     let (mut granter, _) = granted();
     granter.mark_dirty();
-    let record = granter.take_record().expect("it is due");
+    let record = granter.take_record().expect("a record is due");
     let mut successor = Granter::new(at(3_000), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(3_000), [candidate(born(2)), ready("other", None)]);
     let orders = successor.poll(at(3_000));
@@ -154,7 +158,7 @@
     assert_eq!(kinds, [&OrderKind::Release]);
 }
 
-/// Nobody answers at the address of the one before: its last grant is waited for.
+/// Nobody replies at the address of the previous incarnation, so its last grant must expire.
 #[test]
 fn keys_of_an_unresponsive_restart_wait_for_the_last_grant_to_expire() {
     let (mut granter, _) = granted();
@@ -186,7 +190,7 @@
     of_it.count()
 }
 
-/// What was learned of the silence of the one before does not keep keys from the next.
+/// The unresponsiveness of the previous incarnation does not keep keys from the next one.
 #[test]
 fn a_restart_is_not_excluded_for_an_unresponsive_previous_incarnation() {
     let (mut granter, _) = granted();
@@ -214,8 +218,8 @@
     assert_eq!(granter.held_count(now), granter.slice_count());
 }
 
-/// The first incarnation vanished, gave its keys back to the last, and nothing holds or is
-/// registered that would name it.
+/// A granter whose first incarnation vanished and returned all its keys: it holds nothing and
+/// is not registered, so nothing names it.
 fn returned_all_keys() -> (Granter, FencingToken) {
     let (mut granter, highest) = granted();
     granter.set_candidates(at(2_100), [ready("other", None)]);
@@ -229,11 +233,11 @@
     (granter, highest)
 }
 
-/// Seen: an upstream gave its keys back and vanished; a second later it was up again under
-/// its name, and in three seconds nobody told it of a token, until it took a grant that had
-/// been left lying. How: nothing named the one before any more, since it held no keys and was
-/// not registered, so the one that came was taken for a new upstream. The simulator's lines
-/// show it: no order at all to the restart between its start and that grant.
+/// Guards against a restart that is not fenced. An upstream returned its keys and vanished; a
+/// second later it was up again under its name, and for three seconds no order told it a
+/// token, until it executed a delayed grant. Nothing named the previous incarnation any more,
+/// since it held no keys and was not registered, so the restart was treated as a new
+/// upstream.
 #[test]
 fn a_restart_is_fenced_even_if_the_previous_incarnation_returned_all_keys() {
     let (mut granter, highest) = returned_all_keys();
@@ -247,7 +251,8 @@
     assert!(orders[0].token > highest);
 }
 
-/// Nothing is left then that it could take: what is not taken for a minute is lost.
+/// By then no old order is left that it could accept: an order that is not accepted for a
+/// minute is lost.
 #[test]
 fn a_restart_after_a_long_absence_is_a_new_upstream() {
     let (mut granter, _) = returned_all_keys();
--- a/crates/sharding/tests/slow_granter.rs
+++ b/crates/sharding/tests/slow_granter.rs
@@ -1,5 +1,5 @@
-//! A granter that is itself slow: its machine has little processor time, so that orders
-//! and answers wait in it one behind the other.
+//! A granter whose machine has little processor time, so that orders and replies queue up in
+//! it.
 
 mod common;
 
@@ -14,14 +14,14 @@
 
 const HOLDERS: usize = 100;
 const SLICES: u32 = 400;
-/// How long an order is waited for, in milliseconds.
+/// How long a reply is waited for, in milliseconds.
 const ORDER_TIMEOUT: u64 = 500;
 
 fn holder(number: usize) -> String {
     format!("holder-{number}")
 }
 
-/// What a lost granter left: all keys held.
+/// The record of a failed granter: all keys are held.
 fn record() -> AssignmentRecord {
     let ranges = KeyRange::ALL.divide(SLICES).into_iter().enumerate();
     let slices = ranges.map(|(number, range)| SliceRecord {
@@ -47,18 +47,18 @@
     Granter::new(at(now), timing, Epoch(2), Some(&record()))
 }
 
-/// All holders, each heard at `last_answered` by the nodes that send it requests.
+/// All holders, each last heard from at `last_answered` by the nodes that send it requests.
 fn holders(last_answered: Option<u64>) -> Vec<Candidate> {
     let all = 0..HOLDERS;
     all.map(|number| ready(&holder(number), last_answered.map(at)))
         .collect()
 }
 
-/// The machine of a granter: each order takes that much of its time, one after the other.
+/// The granter's machine, which spends a fixed time on each order, one after the other.
 struct Machine {
     millis_per_order: u64,
     busy_until: u64,
-    /// Orders, when each was given, and when its answer is read.
+    /// Orders, when each was sent, and when its reply is read.
     queue: VecDeque<(GrantOrder, u64, u64)>,
     granted: usize,
     unanswered: usize,
@@ -80,8 +80,8 @@
         self.queue.push_back((order, now, self.busy_until));
     }
 
-    /// Hands the answers to the granter that were read by `now`; those that were read too
-    /// late were given up on.
+    /// Passes the replies read by `now` to the granter; orders whose replies are read too
+    /// late count as given up on.
     fn deliver_replies(&mut self, now: u64, granter: &mut Granter) {
         while let Some((order, sent, read)) = self.queue.front().cloned() {
             let given_up = sent + ORDER_TIMEOUT;
@@ -100,7 +100,8 @@
     }
 }
 
-/// Runs a granter on such a machine, while all holders serve; slices that left theirs.
+/// Runs a granter on such a machine while all holders respond; returns how many slices were
+/// revoked.
 fn run(granter: &mut Granter, machine: &mut Machine, begin: u64, end: u64) -> usize {
     let mut revoked = 0;
     for now in (begin..end).step_by(10) {
@@ -121,15 +122,15 @@
     revoked
 }
 
-/// SHORT on rkp-algas-grown: a new granter on a tenth of a core gave 440 orders at once,
-/// read nearly all answers too late, took the keys back from all holders, and so on for
-/// 20 s.
+/// Guards against overloading the granter (bench day `rkp-algas-grown`): a new granter on a
+/// tenth of a core sent 440 orders at once, read nearly all replies too late, revoked the
+/// keys of all holders, and repeated this for 20 s.
 #[test]
 fn a_slow_granter_limits_pending_orders_to_what_it_can_handle() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(4);
     let revoked = run(&mut granter, &mut machine, 10_000, 14_000);
-    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
     assert!(
         machine.unanswered < 20,
         "{} orders were given up on",
@@ -138,17 +139,17 @@
     assert!(machine.granted >= SLICES as usize, "{}", machine.granted);
 }
 
-/// However slow it is, its lateness says nothing of holders that answer other nodes.
+/// A granter's own slowness says nothing about holders that answer other nodes.
 #[test]
 fn a_granter_that_reads_all_replies_too_late_revokes_nothing_from_responsive_holders() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(600);
     let revoked = run(&mut granter, &mut machine, 10_000, 16_000);
     assert!(machine.unanswered > 0);
-    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
 }
 
-/// Holders that neither answer the granter nor other nodes are silent.
+/// Holders that answer neither the granter nor other nodes are unresponsive.
 #[test]
 fn a_slow_granter_revokes_keys_of_holders_that_answer_no_node() {
     let mut granter = successor(10_000);
@@ -178,14 +179,14 @@
     assert!(was_revoked);
 }
 
-/// It can renew 83 holds a second, where 94 are needed for all: it keeps what it can, and
-/// takes nothing back.
+/// The granter can renew 83 grants a second, while 94 are needed for all of them: it keeps
+/// what it can and revokes nothing.
 #[test]
 fn a_granter_too_slow_for_all_renewals_keeps_some_grants() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(12);
     let revoked = run(&mut granter, &mut machine, 10_000, 30_000);
-    assert_eq!(revoked, 0, "slices were taken back from holders that serve");
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
     let held = granter.held_count(at(30_000));
     assert!(held >= 150, "{held} of {SLICES} held");
 }
--- a/crates/sharding/tests/standbys.rs
+++ b/crates/sharding/tests/standbys.rs
@@ -1,4 +1,4 @@
-//! What a granter relies on of its standbys.
+//! How a granter accounts for its standbys.
 
 mod common;
 
@@ -21,17 +21,17 @@
 /// How a standby behaves.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behavior {
-    /// It tells of each record.
+    /// It reports each record.
     Reports,
-    /// It tells of none after 2,000 ms.
+    /// It reports nothing after 2,000 ms.
     StopsReporting,
-    /// It falls silent and its process is shown to have ended 1 s later.
+    /// It stops reporting, and its process is found to have ended 1 s later.
     Ends,
-    /// It follows, and says that it prolonged holds at 4,000 ms.
+    /// It reports each record, and that it extended grants at 4,000 ms.
     Extends,
 }
 
-/// When the slices of "a", which answers nothing after 2,000 ms, are free.
+/// When the slices of "a", which does not reply after 2,000 ms, are free.
 fn lost_at(behavior: Behavior) -> u64 {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", None), ready("b", None)]);
@@ -87,7 +87,7 @@
 fn an_unresponsive_standby_is_waited_for_until_its_authorization_expires() {
     let lost = lost_at(Behavior::StopsReporting);
     let authorization = STANDBY_AUTHORIZATION.as_millis() as u64;
-    // The last word is sent between 2,000 ms and the end of the patience.
+    // The last authorization is sent between 2,000 ms and the report timeout.
     assert!(lost >= 2_000 + authorization + 3_060, "lost at {lost}");
     assert!(
         lost <= 3_200 + authorization + authorization / 50 + 4_000,
