--- a/crates/sharding/src/granter/contact.rs
+++ b/crates/sharding/src/granter/contact.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How long a grant may be pending before further ones wait for its reply.
-const PROMPT_ANSWER: Duration = Duration::from_millis(100);
+const MAX_PENDING_AGE: Duration = Duration::from_millis(100);
 /// Delay after an unanswered grant.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long after an answer to a request the granter may learn of it: nodes report the
@@ -51,7 +51,7 @@
         let Some(oldest) = self.pending.values().min() else {
             return true;
         };
-        now.since(*oldest) < PROMPT_ANSWER || last_answered.is_some_and(|at| at > *oldest)
+        now.since(*oldest) < MAX_PENDING_AGE || last_answered.is_some_and(|at| at > *oldest)
     }
 
     /// Records that a grant is sent.
--- a/crates/sharding/tests/old_grants.rs
+++ b/crates/sharding/tests/old_grants.rs
@@ -203,6 +203,7 @@
     assert_eq!(release.kind, OrderKind::Release);
     assert!(release.token > FencingToken::new(Epoch(2), 0));
 }
+
 /// The record that reassigns keys names who may still accept old grants of them, and so does
 /// the record before it, which a successor relies on if it finds only some parts of the newer
 /// one.
