--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -6,11 +6,11 @@
 mod suspicions;
 mod term;
 
-use crate::core::grants::{Grants, candidates, probe_claimed};
+use crate::core::grants::{Grants, candidates, probe_contested};
 use crate::core::message::{OrderTask, StoreTask};
-use crate::core::records::{NodeRecord, OwnKeys};
+use crate::core::records::{NodeRecord, RouterKeys};
 use crate::core::registration::Registrar;
-use crate::core::standby_words::StandbyWords;
+use crate::core::standby_leases::StandbyLeases;
 use crate::core::views::{Snapshot, ViewName, Views};
 use beamtray_catalog::{Directory, UpstreamId};
 use beamtray_dispatch::{Dispatcher, KeyReport, SpeedTable};
@@ -30,20 +30,20 @@
 use term::Term;
 
 /// Between two looks at the balance.
-const REBALANCE: Duration = Duration::from_millis(150);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(150);
 /// Share of the counted load that is left after one look.
-const LOAD_KEPT: f64 = 0.917;
+const LOAD_DECAY: f64 = 0.917;
 /// Between looks at which orders are due, when nothing asks for one sooner.
-const ORDERS: Duration = Duration::from_millis(10);
+const ORDER_INTERVAL: Duration = Duration::from_millis(10);
 /// Between two writes of learned speeds.
-const KEEP_SPEEDS: Duration = Duration::from_secs(4);
+const SPEEDS_WRITE_INTERVAL: Duration = Duration::from_secs(4);
 /// Between renewals of a relay's entry.
-const RELAY_RENEWAL: Duration = Duration::from_millis(300);
+const RELAY_LEASE_RENEWAL: Duration = Duration::from_millis(300);
 /// How much longer than a relay another node leaves the granter's place vacant.
-const HANDICAP: Duration = Duration::from_millis(300);
+const NON_RELAY_ELECTION_DELAY: Duration = Duration::from_millis(300);
 /// How much longer a node that can do next to nothing leaves it vacant than the one
 /// that can do most.
-const WEAK_HANDICAP: Duration = Duration::from_millis(250);
+const LOW_CAPACITY_ELECTION_DELAY: Duration = Duration::from_millis(250);
 
 /// Fixed values of a node's control.
 #[derive(Clone, Debug)]
@@ -55,10 +55,10 @@
     /// Lease of the granter's place.
     pub granter_lease: LeaseTiming,
     /// How long the place is left vacant before this node tries to take it.
-    pub patience: Duration,
+    pub election_delay: Duration,
     /// Whether the granter keeps in the store which requests end upstreams. Only a test
     /// that shows why turns it off.
-    pub keeps_suspicions: bool,
+    pub persist_suspicions: bool,
     /// Grants.
     pub grants: GranterTiming,
     /// Balance.
@@ -69,10 +69,10 @@
 pub type KnownAssignments = BTreeMap<ServiceName, Rc<Assignment>>;
 
 /// A write that the store takes only from the granter.
-fn granters_write(authority: &Authority, key: &str, value: Vec<u8>) -> StoreCall {
+fn granter_write(authority: &Authority, key: &str, value: Vec<u8>) -> StoreCall {
     StoreCall::Commit(Transaction {
         conditions: vec![Condition {
-            key: OwnKeys::GRANTER.to_owned(),
+            key: RouterKeys::GRANTER.to_owned(),
             revision: authority.revision,
         }],
         writes: vec![Write {
@@ -92,10 +92,10 @@
     term: Option<Term>,
     addresses: BTreeMap<UpstreamId, SocketAddr>,
     /// State of the directory that the addresses were last taken from.
-    addresses_of: Option<u64>,
-    standbys: StandbyWords,
+    addresses_version: Option<u64>,
+    standbys: StandbyLeases,
     /// Assignments in the store that this node's views don't show yet.
-    written: Vec<Item>,
+    own_writes: Vec<Item>,
     /// The store's era.
     era: StoreEra,
     /// The last term of this node that had its grants, if an era ended it.
@@ -103,8 +103,8 @@
     /// What that term would have written next.
     last_records: BTreeMap<ServiceName, AssignmentRecord>,
     /// What was read at the start of the term.
-    reading: Option<Snapshot>,
-    speeds_at: Time,
+    loaded_state: Option<Snapshot>,
+    next_speeds_write: Time,
     suspicions: SuspicionWriter,
 }
 
@@ -112,28 +112,28 @@
     /// A node that is not registered yet.
     pub fn new(config: ControlConfig) -> Self {
         let election = Election::new(ElectionConfig {
-            granter_key: OwnKeys::GRANTER.to_owned(),
-            epoch_key: OwnKeys::EPOCH.to_owned(),
+            granter_key: RouterKeys::GRANTER.to_owned(),
+            epoch_key: RouterKeys::EPOCH.to_owned(),
             node: config.record.name.clone(),
             run: config.record.run,
             peers: config.record.peers,
             lease: config.granter_lease,
-            patience: config.patience,
+            patience: config.election_delay,
         });
         Self {
             registrar: Registrar::new(config.record.clone(), config.node_lease),
             election,
             term: None,
-            standbys: StandbyWords::default(),
-            written: Vec::new(),
+            standbys: StandbyLeases::default(),
+            own_writes: Vec::new(),
             era: StoreEra::default(),
             last_term: None,
             last_records: BTreeMap::new(),
-            reading: None,
-            speeds_at: Time::ZERO,
+            loaded_state: None,
+            next_speeds_write: Time::ZERO,
             suspicions: SuspicionWriter::default(),
             addresses: BTreeMap::new(),
-            addresses_of: None,
+            addresses_version: None,
             config,
         }
     }
@@ -143,22 +143,33 @@
     /// looks after its path to the store more often; so does a standby that
     /// misses the granter.
     ///
-    /// `ability` is this node's processor share, as a part of the ablest one's.
-    pub fn set_relay(&mut self, is_relay: bool, follows: bool, misses_granter: bool, ability: f64) {
+    /// `relative_capacity` is this node's processor share, as a part of the ablest one's.
+    pub fn set_relay(
+        &mut self,
+        is_relay: bool,
+        follows: bool,
+        misses_granter: bool,
+        relative_capacity: f64,
+    ) {
         let renewal = if (is_relay && follows) || misses_granter {
-            RELAY_RENEWAL
+            RELAY_LEASE_RENEWAL
         } else {
             self.config.node_lease.renewal
         };
         self.registrar.set_renewal(renewal);
-        let handicap = if is_relay { Duration::ZERO } else { HANDICAP };
-        let weak = WEAK_HANDICAP.mul_f64((1.0 - ability).clamp(0.0, 1.0));
-        self.election.set_handicap(handicap + weak);
+        let relay_delay = if is_relay {
+            Duration::ZERO
+        } else {
+            NON_RELAY_ELECTION_DELAY
+        };
+        let capacity_delay =
+            LOW_CAPACITY_ELECTION_DELAY.mul_f64((1.0 - relative_capacity).clamp(0.0, 1.0));
+        self.election.set_handicap(relay_delay + capacity_delay);
     }
 
     /// When the last call was sent that shows a sound path to the store.
-    pub fn store_sound_at(&self) -> Option<Time> {
-        self.registrar.sound_at()
+    pub fn last_store_contact(&self) -> Option<Time> {
+        self.registrar.last_renewal_at()
     }
 
     /// Whether this node has the right to grant.
@@ -189,10 +200,12 @@
         dispatcher: &Dispatcher,
     ) -> Vec<(StoreTask, StoreCall)> {
         let mirror = views.replica(ViewName::Members).mirror();
-        let view = mirror
-            .at()
-            .filter(|at| at.era >= self.era)
-            .map(|_| (mirror.get(OwnKeys::GRANTER), mirror.get(OwnKeys::EPOCH)));
+        let view = mirror.at().filter(|at| at.era >= self.era).map(|_| {
+            (
+                mirror.get(RouterKeys::GRANTER),
+                mirror.get(RouterKeys::EPOCH),
+            )
+        });
         let mut calls = Vec::new();
         if let Some(call) = self.election.poll(now, view) {
             calls.push((StoreTask::Election, call));
@@ -201,7 +214,7 @@
         if let Some(call) = self.registrar.poll(now, entry) {
             calls.push((StoreTask::Registration, call));
         }
-        self.follow_authority(now);
+        self.update_term(now);
         calls.extend(self.poll_term(now));
         calls.extend(self.poll_speeds(now, dispatcher.speeds()));
         calls.extend(self.poll_suspicions(now, dispatcher.quarantine()));
@@ -211,16 +224,16 @@
     /// Keeps what was learned of speeds for the processes after this one.
     fn poll_speeds(&mut self, now: Time, speeds: &SpeedTable) -> Option<(StoreTask, StoreCall)> {
         let authority = self.election.authority(now)?;
-        if now < self.speeds_at {
+        if now < self.next_speeds_write {
             return None;
         }
         let record = speeds.record();
-        self.speeds_at = now + KEEP_SPEEDS;
+        self.next_speeds_write = now + SPEEDS_WRITE_INTERVAL;
         if record.services.is_empty() {
             return None;
         }
         let value = borsh::to_vec(&record).unwrap_or_default();
-        let call = granters_write(&authority, OwnKeys::SPEEDS, value);
+        let call = granter_write(&authority, RouterKeys::SPEEDS, value);
         Some((StoreTask::Speeds, call))
     }
 
@@ -235,8 +248,8 @@
         match task {
             StoreTask::Election => self.election.handle(now, &outcome),
             StoreTask::Registration => self.registrar.handle(now, &outcome),
-            StoreTask::TakeOver => self.taken_over(now, outcome, known),
-            StoreTask::Record(service) => self.recorded(now, service, outcome),
+            StoreTask::TakeOver => self.handle_takeover_page(now, outcome, known),
+            StoreTask::Record(service) => self.handle_record_write(now, service, outcome),
             StoreTask::Suspicions => self.suspicions_written(now, &outcome),
             StoreTask::View(..) | StoreTask::Speeds | StoreTask::Farewell => {}
         }
@@ -249,7 +262,7 @@
         views: &Views,
         dispatcher: &Dispatcher,
     ) -> Vec<OrderTask> {
-        self.follow_addresses(&views.directory);
+        self.update_addresses(&views.directory);
         let Some(authority) = self.election.authority(now) else {
             return Vec::new();
         };
@@ -260,7 +273,7 @@
         if now < term.orders_at {
             return Vec::new();
         }
-        term.orders_at = now + ORDERS;
+        term.orders_at = now + ORDER_INTERVAL;
         // Before they are known all holders would seem to have left.
         if term.grants.is_none() || !views.knows_upstreams() {
             return Vec::new();
@@ -271,24 +284,24 @@
         };
         let rebalance = now >= term.rebalance_at;
         if rebalance {
-            term.rebalance_at = now + REBALANCE;
+            term.rebalance_at = now + REBALANCE_INTERVAL;
         }
         let mut tasks = Vec::new();
         for (service, grants) in all.iter_mut() {
             let granter = &mut grants.granter;
             if refreshes {
                 granter.set_candidates(now, candidates(now, service, views, dispatcher));
-                probe_claimed(now, granter, views);
+                probe_contested(now, granter, views);
             }
             if rebalance {
                 granter.rebalance(now, &self.config.balance);
-                granter.load.decay(LOAD_KEPT);
+                granter.load.decay(LOAD_DECAY);
             }
             for order in granter.poll(now) {
                 tasks.push(OrderTask {
                     service: service.clone(),
                     address: self.addresses.get(&order.holder).copied(),
-                    asks_about: granter.key_of_others(&order.holder),
+                    probe_key: granter.key_of_others(&order.holder),
                     order,
                     until: authority.until,
                 });
@@ -299,11 +312,11 @@
 
     /// Follows where upstreams listen. An address never changes during the life of
     /// an upstream.
-    fn follow_addresses(&mut self, directory: &Directory) {
-        if self.addresses_of == Some(directory.changes()) {
+    fn update_addresses(&mut self, directory: &Directory) {
+        if self.addresses_version == Some(directory.changes()) {
             return;
         }
-        self.addresses_of = Some(directory.changes());
+        self.addresses_version = Some(directory.changes());
         for registration in directory.iter() {
             let record = &registration.record;
             if !self.addresses.contains_key(&record.id) {
@@ -326,19 +339,19 @@
             return;
         };
         let epoch = term.authority.epoch;
-        let lacks_records = term.lacks_records;
+        let may_have_lost_records = term.may_have_lost_records;
         if configuration
             .services
             .iter()
             .any(|service| service.divided && !all.contains_key(&service.name))
         {
-            term.candidates_of = None;
+            term.candidates_version = None;
         }
         let divided = configuration.services.iter().filter(|s| s.divided);
         for service in divided {
             all.entry(service.name.clone()).or_insert_with(|| {
                 let mut grants = Grants::new(now, self.config.grants, epoch);
-                if lacks_records {
+                if may_have_lost_records {
                     grants.granter.withhold(now, KeyRange::ALL);
                 }
                 grants
@@ -384,7 +397,7 @@
     }
 
     /// Takes a report of requests by key.
-    pub fn report(&mut self, report: &KeyReport) {
+    pub fn add_key_report(&mut self, report: &KeyReport) {
         let Some(all) = self.term.as_mut().and_then(|term| term.grants.as_mut()) else {
             return;
         };
--- a/crates/router/src/core/control/standbys.rs
+++ b/crates/router/src/core/control/standbys.rs
@@ -2,7 +2,7 @@
 //! while it is the granter, and whether it declines to be one.
 
 use super::Control;
-use crate::core::standby::{StandbyReport, StandbyWord};
+use crate::core::standby::{StandbyLease, StandbyReport};
 use crate::core::views::Views;
 use beamtray_sharding::{Granter, StandbyId};
 use beamtray_types::Time;
@@ -16,12 +16,12 @@
 
     /// Words to standbys that are due. `wanted` are the nodes that are to be
     /// standbys.
-    pub fn poll_standbys(
+    pub fn poll_standby_leases(
         &mut self,
         now: Time,
         views: &Views,
         wanted: &[StandbyId],
-    ) -> Vec<(SocketAddr, StandbyWord)> {
+    ) -> Vec<(SocketAddr, StandbyLease)> {
         let Some(authority) = self.election.authority(now) else {
             return Vec::new();
         };
@@ -40,10 +40,10 @@
     }
 
     /// Takes a standby's report.
-    pub fn standby_reported(&mut self, now: Time, from: SocketAddr, report: &StandbyReport) {
+    pub fn handle_standby_report(&mut self, now: Time, from: SocketAddr, report: &StandbyReport) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         if let Some(all) = all {
-            self.standbys.reported(now, from, report, all);
+            self.standbys.handle_report(now, from, report, all);
         }
     }
 }
--- a/crates/router/src/core/control/term.rs
+++ b/crates/router/src/core/control/term.rs
@@ -3,7 +3,7 @@
 
 use super::Control;
 use super::KnownAssignments;
-use crate::core::grants::{Grants, RecordTrust, adopt, read_state};
+use crate::core::grants::{Grants, RecordTrust, read_state, restore_grants};
 use crate::core::message::StoreTask;
 use crate::core::views::{Snapshot, ViewName};
 use beamtray_metastore::{Authority, Epoch, Item, Revision, StoreCall, StoreOutcome};
@@ -14,17 +14,17 @@
 use std::time::Duration;
 
 /// Pause between two records, so that changes close together go in one.
-const GATHER: Duration = Duration::from_millis(20);
+const RECORD_INTERVAL: Duration = Duration::from_millis(20);
 /// Added to that for each slice: every node takes every record.
-const GATHER_A_SLICE: Duration = Duration::from_micros(120);
+const RECORD_INTERVAL_PER_SLICE: Duration = Duration::from_micros(120);
 /// Pause after a record that was not written.
-const REWRITE: Duration = Duration::from_millis(80);
+const REWRITE_DELAY: Duration = Duration::from_millis(80);
 /// Pause after a failed reading at a takeover.
-const REREAD: Duration = Duration::from_millis(100);
+const REREAD_DELAY: Duration = Duration::from_millis(100);
 /// Between looks at what nodes heard of upstreams, and at their speeds, when the
 /// directory does not change: a holder that leaves a grant unanswered for that
 /// long may have answered requests meanwhile.
-const REFRESH_CANDIDATES: Duration = Duration::from_millis(100);
+const CANDIDATE_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One term of this node as the granter.
 pub(super) struct Term {
@@ -43,9 +43,9 @@
     /// When candidates are looked at next, and the state of the directory that
     /// they were last taken from.
     pub(super) candidates_at: Time,
-    pub(super) candidates_of: Option<u64>,
+    pub(super) candidates_version: Option<u64>,
     /// Whether a service without a record may have had one that the store has forgotten.
-    pub(super) lacks_records: bool,
+    pub(super) may_have_lost_records: bool,
 }
 
 impl Term {
@@ -60,17 +60,17 @@
             rebalance_at: now,
             orders_at: now,
             candidates_at: now,
-            candidates_of: None,
-            lacks_records: false,
+            candidates_version: None,
+            may_have_lost_records: false,
         }
     }
 
     /// Whether candidates are to be taken from the directory again.
     pub(super) fn refreshes_candidates(&mut self, now: Time, changes: u64) -> bool {
-        let refreshes = self.candidates_of != Some(changes) || now >= self.candidates_at;
+        let refreshes = self.candidates_version != Some(changes) || now >= self.candidates_at;
         if refreshes {
-            self.candidates_of = Some(changes);
-            self.candidates_at = now + REFRESH_CANDIDATES;
+            self.candidates_version = Some(changes);
+            self.candidates_at = now + CANDIDATE_REFRESH_INTERVAL;
         }
         refreshes
     }
@@ -78,7 +78,7 @@
 
 impl Control {
     /// Begins and ends terms as the authority comes and goes.
-    pub(super) fn follow_authority(&mut self, now: Time) {
+    pub(super) fn update_term(&mut self, now: Time) {
         let Some(authority) = self.election.authority(now) else {
             // The lease may prove to have lasted after all: the term is kept
             // and nothing is sent meanwhile.
@@ -126,7 +126,7 @@
     /// They may be older than what was granted, where no term of this era has written them
     /// yet. What this node knows of newer records counts beside them; and unless the last
     /// term before was its own, it knows that there may be more.
-    pub(super) fn taken_over(
+    pub(super) fn handle_takeover_page(
         &mut self,
         now: Time,
         outcome: StoreOutcome,
@@ -137,7 +137,7 @@
         };
         term.reading = false;
         let StoreOutcome::Page { items, more, at } = outcome else {
-            term.read_at = now + REREAD;
+            term.read_at = now + REREAD_DELAY;
             return;
         };
         // Later pages may hold newer items, so the first one's revision counts.
@@ -162,15 +162,15 @@
             true => &with_last_records(known, &self.last_records),
             false => known,
         };
-        term.lacks_records = !trust.continues && newest > Epoch(0) && predecessor < first;
-        term.grants = Some(adopt(now, timing, epoch, &read, known, trust));
-        term.candidates_of = None;
-        self.reading = Some(Snapshot {
+        term.may_have_lost_records = !trust.continues && newest > Epoch(0) && predecessor < first;
+        term.grants = Some(restore_grants(now, timing, epoch, &read, known, trust));
+        term.candidates_version = None;
+        self.loaded_state = Some(Snapshot {
             view: ViewName::State,
             at: from,
             items: read,
             removals: Vec::new(),
-            is_whole: true,
+            is_full: true,
         });
     }
 
@@ -179,16 +179,21 @@
     ///
     /// Invariant: that view is whole before this node adds what it writes. It tells the
     /// others of the view up to its last write, and what it lacked they would lack.
-    pub fn take_reading(&mut self) -> Option<Snapshot> {
-        self.reading.take()
+    pub fn take_loaded_state(&mut self) -> Option<Snapshot> {
+        self.loaded_state.take()
     }
 
     /// Assignments that this node wrote.
-    pub fn take_written(&mut self) -> Vec<Item> {
-        std::mem::take(&mut self.written)
+    pub fn take_own_writes(&mut self) -> Vec<Item> {
+        std::mem::take(&mut self.own_writes)
     }
 
-    pub(super) fn recorded(&mut self, now: Time, service: &ServiceName, outcome: StoreOutcome) {
+    pub(super) fn handle_record_write(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        outcome: StoreOutcome,
+    ) {
         let Some(term) = &mut self.term else {
             return;
         };
@@ -203,17 +208,17 @@
         match outcome {
             StoreOutcome::Committed { revision } => {
                 let slices = grants.granter.slice_count() as u32;
-                grants.write_at = now + GATHER + GATHER_A_SLICE * slices;
-                let written = grants.written(now, service, revision);
-                self.written.extend(written);
+                grants.write_at = now + RECORD_INTERVAL + RECORD_INTERVAL_PER_SLICE * slices;
+                let written = grants.write_succeeded(now, service, revision);
+                self.own_writes.extend(written);
             }
             StoreOutcome::Conflict { items } => {
-                grants.write_at = now + REWRITE;
-                grants.conflict(epoch, &items);
+                grants.write_at = now + REWRITE_DELAY;
+                grants.write_conflicted(epoch, &items);
             }
             _ => {
-                grants.write_at = now + REWRITE;
-                grants.not_written();
+                grants.write_at = now + REWRITE_DELAY;
+                grants.write_unconfirmed();
             }
         }
         term.orders_at = now;
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -1,7 +1,7 @@
 //! The grants of one service, and their record in the store.
 
 use crate::core::control::KnownAssignments;
-use crate::core::records::{AssignmentKey, OwnKeys, decode_part};
+use crate::core::records::{AssignmentKey, RouterKeys, decode_part};
 use crate::core::views::Views;
 use beamtray_catalog::{Directory, Registration, RequestRate, UpstreamId, UpstreamState};
 use beamtray_dispatch::{Dispatcher, UpstreamHash};
@@ -16,24 +16,24 @@
 use std::net::SocketAddr;
 
 /// Time of a request where nothing is learned yet, in seconds.
-const UNKNOWN_WORK: f64 = 0.1;
+const DEFAULT_REQUEST_SECONDS: f64 = 0.1;
 
 /// Entries that one transaction may have; each condition and each write is one.
-const MOST_ENTRIES: usize = 32;
+const MAX_TRANSACTION_ENTRIES: usize = 32;
 /// Parts that fit one transaction, next to the head and the condition on the
 /// granter's place.
-const PARTS_A_WRITE: usize = (MOST_ENTRIES - 3) / 2;
+const PARTS_PER_WRITE: usize = (MAX_TRANSACTION_ENTRIES - 3) / 2;
 
 /// A write under way: some parts of a record, and its head with the last of them.
 #[derive(Clone, Debug)]
-struct Writing {
+struct PendingWrite {
     parts: Vec<AssignmentPart>,
     head: Option<AssignmentHead>,
 }
 
 /// What is left to write of a record.
 #[derive(Clone, Debug)]
-struct Unwritten {
+struct UnwrittenRecord {
     head: AssignmentHead,
     parts: Vec<AssignmentPart>,
 }
@@ -51,8 +51,8 @@
     pub(crate) granter: Granter,
     head_revision: Revision,
     stored: BTreeMap<Part, StoredPart>,
-    unwritten: Option<Unwritten>,
-    writing: Option<Writing>,
+    unwritten: Option<UnwrittenRecord>,
+    pending_write: Option<PendingWrite>,
     pub(crate) write_at: Time,
 }
 
@@ -64,7 +64,7 @@
             head_revision: Revision::ABSENT,
             stored: BTreeMap::new(),
             unwritten: None,
-            writing: None,
+            pending_write: None,
             write_at: now,
         }
     }
@@ -74,16 +74,16 @@
         &mut self,
         now: Time,
         service: &ServiceName,
-        place: Revision,
+        granter_revision: Revision,
     ) -> Option<StoreCall> {
-        if self.writing.is_some() || now < self.write_at {
+        if self.pending_write.is_some() || now < self.write_at {
             return None;
         }
         let mut unwritten = match self.unwritten.take() {
             Some(unwritten) => unwritten,
             None => self.changes()?,
         };
-        let count = unwritten.parts.len().min(PARTS_A_WRITE);
+        let count = unwritten.parts.len().min(PARTS_PER_WRITE);
         let parts: Vec<AssignmentPart> = unwritten.parts.drain(..count).collect();
         let head = if unwritten.parts.is_empty() {
             Some(unwritten.head)
@@ -91,31 +91,36 @@
             self.unwritten = Some(unwritten);
             None
         };
-        let writing = Writing { parts, head };
-        let call = self.write(service, &writing, place);
-        self.writing = Some(writing);
+        let pending_write = PendingWrite { parts, head };
+        let call = self.write(service, &pending_write, granter_revision);
+        self.pending_write = Some(pending_write);
         Some(call)
     }
 
     /// The parts of the next record that differ from what stands in the store.
-    fn changes(&mut self) -> Option<Unwritten> {
+    fn changes(&mut self) -> Option<UnwrittenRecord> {
         let record = self.granter.record()?;
         let differs = |part: &AssignmentPart| {
             let stored = self.stored.get(&part.part);
             let slices = stored.and_then(|stored| stored.slices.as_ref());
             slices != Some(&part.slices)
         };
-        Some(Unwritten {
+        Some(UnwrittenRecord {
             head: record.head(),
             parts: record.parts().into_iter().filter(differs).collect(),
         })
     }
 
-    fn write(&self, service: &ServiceName, writing: &Writing, place: Revision) -> StoreCall {
+    fn write(
+        &self,
+        service: &ServiceName,
+        pending_write: &PendingWrite,
+        granter_revision: Revision,
+    ) -> StoreCall {
         let mut transaction = Transaction::default();
         transaction.conditions.push(Condition {
-            key: OwnKeys::GRANTER.to_owned(),
-            revision: place,
+            key: RouterKeys::GRANTER.to_owned(),
+            revision: granter_revision,
         });
         let mut put = |key: String, value, revision| {
             transaction.conditions.push(Condition {
@@ -128,22 +133,27 @@
                 lease: None,
             });
         };
-        for part in &writing.parts {
+        for part in &pending_write.parts {
             let stored = self.stored.get(&part.part);
             let revision = stored.map_or(Revision::ABSENT, |stored| stored.revision);
-            let key = OwnKeys::assignment_part(service, part.part);
+            let key = RouterKeys::assignment_part(service, part.part);
             put(key, encode(part), revision);
         }
-        if let Some(head) = &writing.head {
-            let key = OwnKeys::assignment_head(service);
+        if let Some(head) = &pending_write.head {
+            let key = RouterKeys::assignment_head(service);
             put(key, encode(head), self.head_revision);
         }
         StoreCall::Commit(transaction)
     }
 
     /// Notes that the write under way was done; what stands in the store now.
-    pub fn written(&mut self, now: Time, service: &ServiceName, revision: Revision) -> Vec<Item> {
-        let Some(writing) = self.writing.take() else {
+    pub fn write_succeeded(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        revision: Revision,
+    ) -> Vec<Item> {
+        let Some(pending_write) = self.pending_write.take() else {
             return Vec::new();
         };
         let item = |key, value| Item {
@@ -152,8 +162,8 @@
             revision,
         };
         let mut items = Vec::new();
-        for part in writing.parts {
-            let key = OwnKeys::assignment_part(service, part.part);
+        for part in pending_write.parts {
+            let key = RouterKeys::assignment_part(service, part.part);
             items.push(item(key, encode(&part)));
             let stored = StoredPart {
                 revision,
@@ -161,8 +171,8 @@
             };
             self.stored.insert(part.part, stored);
         }
-        if let Some(head) = writing.head {
-            items.push(item(OwnKeys::assignment_head(service), encode(&head)));
+        if let Some(head) = pending_write.head {
+            items.push(item(RouterKeys::assignment_head(service), encode(&head)));
             self.head_revision = revision;
             self.granter.written(now, head.number.sequence);
         }
@@ -170,8 +180,11 @@
     }
 
     /// Notes that the write under way may or may not have been done.
-    pub fn not_written(&mut self) {
-        let parts = self.writing.take().map(|writing| writing.parts);
+    pub fn write_unconfirmed(&mut self) {
+        let parts = self
+            .pending_write
+            .take()
+            .map(|pending_write| pending_write.parts);
         for part in parts.into_iter().flatten() {
             let unknown = StoredPart {
                 revision: Revision::ABSENT,
@@ -185,10 +198,10 @@
 
     /// Takes what the store has in place of a write that failed its conditions: an
     /// earlier write of this term whose answer was lost.
-    pub fn conflict(&mut self, epoch: Epoch, items: &[Item]) {
-        self.not_written();
+    pub fn write_conflicted(&mut self, epoch: Epoch, items: &[Item]) {
+        self.write_unconfirmed();
         for item in items {
-            match OwnKeys::assignment_key(&item.key) {
+            match RouterKeys::assignment_key(&item.key) {
                 Some(AssignmentKey::Head(_)) => {
                     let head = AssignmentHead::try_from_slice(&item.value);
                     if head.is_ok_and(|head| head.number.epoch == epoch) {
@@ -214,21 +227,21 @@
 /// Reads all that granters write: the assignments, and what else the view of them has.
 pub(crate) fn read_state(after: Option<String>) -> StoreCall {
     StoreCall::Range {
-        prefix: OwnKeys::STATE.to_owned(),
+        prefix: RouterKeys::STATE.to_owned(),
         after,
     }
 }
 
 /// One service's assignment as it was read at the start of a term.
 #[derive(Default)]
-struct ReadAssignment {
+struct LoadedAssignment {
     assignment: Assignment,
     head_revision: Revision,
     stored: BTreeMap<Part, StoredPart>,
     /// Parts that can't be read.
     unreadable: Vec<Part>,
     /// Whether the head can't be read.
-    lacks_head: bool,
+    head_unreadable: bool,
 }
 
 /// How far a new term trusts the records that it takes over.
@@ -244,7 +257,7 @@
 /// Continues the grants that were read from the store, or that this node knows newer records
 /// of; keys of items that can't be read are without a holder until their last grants have
 /// run out.
-pub(crate) fn adopt(
+pub(crate) fn restore_grants(
     now: Time,
     timing: GranterTiming,
     epoch: Epoch,
@@ -252,13 +265,13 @@
     known: &KnownAssignments,
     trust: RecordTrust,
 ) -> BTreeMap<ServiceName, Grants> {
-    let mut read: BTreeMap<ServiceName, ReadAssignment> = BTreeMap::new();
+    let mut read: BTreeMap<ServiceName, LoadedAssignment> = BTreeMap::new();
     for (service, assignment) in known {
         let read = read.entry(service.clone()).or_default();
         read.assignment = Assignment::clone(assignment);
     }
     for item in items {
-        match OwnKeys::assignment_key(&item.key) {
+        match RouterKeys::assignment_key(&item.key) {
             Some(AssignmentKey::Head(service)) => {
                 let read = read.entry(service).or_default();
                 read.head_revision = item.revision;
@@ -266,7 +279,7 @@
                     Ok(head) => {
                         read.assignment.take_head(head);
                     }
-                    Err(_) => read.lacks_head = true,
+                    Err(_) => read.head_unreadable = true,
                 }
             }
             Some(AssignmentKey::Part(service, part)) => {
@@ -293,7 +306,7 @@
         for part in &read.unreadable {
             granter.withhold(now, part.range());
         }
-        if read.lacks_head {
+        if read.head_unreadable {
             granter.standbys_unknown(now);
         }
         let epoch = read.assignment.number().map_or(Epoch(0), |one| one.epoch);
@@ -309,7 +322,7 @@
             head_revision: read.head_revision,
             stored: read.stored,
             unwritten: None,
-            writing: None,
+            pending_write: None,
             write_at: now,
         };
         (service, grants)
@@ -332,7 +345,9 @@
     let config = configuration.and_then(|known| known.service(service));
     let cold_start = config.and_then(|config| config.cold_start);
     let speeds = dispatcher.speeds();
-    let work = speeds.service_mean(service).unwrap_or(UNKNOWN_WORK);
+    let request_seconds = speeds
+        .service_mean(service)
+        .unwrap_or(DEFAULT_REQUEST_SECONDS);
     let directory = &views.directory;
     let of_service = directory
         .iter()
@@ -342,7 +357,7 @@
             let record = &registration.record;
             let hash = UpstreamHash::of(&record.id);
             let slowness = speeds.slowness(hash);
-            let capacity = f64::from(record.slots) / (work * slowness);
+            let capacity = f64::from(record.slots) / (request_seconds * slowness);
             let is_cold = now < registration.warm_at;
             let cold_rate = cold_start.filter(|_| is_cold).map(|cold| cold.rate);
             // Keys go on to holders with room, sooner than requests wait for permits.
@@ -356,7 +371,7 @@
             }
         })
         .collect();
-    relieve_resting(now, &mut candidates, dispatcher);
+    drain_resting(now, &mut candidates, dispatcher);
     candidates
 }
 
@@ -365,7 +380,7 @@
 ///
 /// Counter-case for the bound: where all shed, each for the load that others gave up, keys
 /// would go round and nobody would serve them.
-fn relieve_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
+fn drain_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
     let ready = candidates.iter_mut();
     let ready: Vec<&mut Candidate> = ready
         .filter(|one| one.standing == Standing::Ready)
@@ -394,7 +409,7 @@
 
 /// Asks holders whose address another upstream claims too: whoever has the
 /// address tells.
-pub(crate) fn probe_claimed(now: Time, granter: &mut Granter, views: &Views) {
+pub(crate) fn probe_contested(now: Time, granter: &mut Granter, views: &Views) {
     let mut claims: BTreeMap<SocketAddr, Vec<&UpstreamId>> = BTreeMap::new();
     for registration in views.directory.iter() {
         let record = &registration.record;
--- a/crates/router/src/core/membership.rs
+++ b/crates/router/src/core/membership.rs
@@ -15,9 +15,9 @@
 
 /// How long a node without an entry counts as there since it was heard: as long
 /// as a node that lost the store may serve by what others tell it.
-const HEARD_FOR: Duration = Duration::from_secs(3);
+const UNREGISTERED_PEER_TTL: Duration = Duration::from_secs(3);
 /// Between looks for nodes that fell silent.
-const FORGET_PAUSE: Duration = Duration::from_millis(250);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Whom a datagram is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,9 +25,9 @@
     /// All other nodes.
     All,
     /// Other nodes of the same zone.
-    Near,
+    SameZone,
     /// Other nodes of the same zone, and the relays of the others.
-    NearAndRelays,
+    SameZoneAndRelays,
 }
 
 /// The other nodes, as this one knows them.
@@ -39,8 +39,8 @@
     /// The same by their short names.
     addresses: HashMap<NodeHash, SocketAddr>,
     all: Vec<SocketAddr>,
-    near: Vec<SocketAddr>,
-    near_and_relays: Vec<SocketAddr>,
+    same_zone: Vec<SocketAddr>,
+    same_zone_and_relays: Vec<SocketAddr>,
     /// The run of each other node with an entry.
     runs: HashMap<SocketAddr, u64>,
     /// When each node was last heard.
@@ -52,8 +52,8 @@
     zones: HashMap<SocketAddr, String>,
     relays: Relays,
     is_relay: bool,
-    ability: f64,
-    forget_at: Time,
+    relative_capacity: f64,
+    next_expiry: Time,
 }
 
 fn rendezvous_weight(fingerprint: Fingerprint, address: &SocketAddr) -> u64 {
@@ -75,21 +75,21 @@
             entries: HashSet::new(),
             addresses: HashMap::new(),
             all: Vec::new(),
-            near: Vec::new(),
-            near_and_relays: Vec::new(),
+            same_zone: Vec::new(),
+            same_zone_and_relays: Vec::new(),
             runs: HashMap::new(),
             heard: HashMap::new(),
             unregistered: BTreeSet::new(),
             zones: HashMap::new(),
             relays: Relays::default(),
             is_relay: false,
-            ability: 1.0,
-            forget_at: Time::ZERO,
+            relative_capacity: 1.0,
+            next_expiry: Time::ZERO,
         }
     }
 
     /// Takes the nodes that have an entry; the other ones whose process is a new one.
-    pub fn registered(
+    pub fn set_nodes(
         &mut self,
         own: &NodeRecord,
         nodes: &BTreeMap<String, NodeRecord>,
@@ -99,7 +99,7 @@
         self.relays = Relays::choose(&with_own);
         self.is_relay = self.relays.contains(&self.own);
         let most = with_own.values().map(|node| node.capacity).max();
-        self.ability = f64::from(own.capacity) / f64::from(most.unwrap_or(1).max(1));
+        self.relative_capacity = f64::from(own.capacity) / f64::from(most.unwrap_or(1).max(1));
         let zones = with_own.values();
         self.zones
             .extend(zones.map(|node| (node.peers, node.zone.clone())));
@@ -110,13 +110,13 @@
             .collect();
         let others = nodes.values().filter(|node| node.peers != self.own);
         let others: Vec<&NodeRecord> = others.collect();
-        let is_near = |node: &&&NodeRecord| node.zone == self.own_zone;
+        let is_same_zone = |node: &&&NodeRecord| node.zone == self.own_zone;
         let address = |node: &&NodeRecord| node.peers;
         self.all = others.iter().map(address).collect();
-        self.near = others.iter().filter(is_near).map(address).collect();
+        self.same_zone = others.iter().filter(is_same_zone).map(address).collect();
         let relays = &self.relays;
-        let is_told = |node: &&&NodeRecord| is_near(node) || relays.contains(&node.peers);
-        self.near_and_relays = others.iter().filter(is_told).map(address).collect();
+        let receives = |node: &&&NodeRecord| is_same_zone(node) || relays.contains(&node.peers);
+        self.same_zone_and_relays = others.iter().filter(receives).map(address).collect();
         let heard = self.heard.keys().copied();
         let unregistered = heard.filter(|address| !self.entries.contains(address));
         self.unregistered = unregistered.collect();
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a node was heard.
-    pub fn hear(&mut self, now: Time, from: SocketAddr) {
+    pub fn record_heard(&mut self, now: Time, from: SocketAddr) {
         let is_new = self.heard.insert(from, now).is_none();
         if is_new && !self.entries.contains(&from) {
             self.unregistered.insert(from);
@@ -141,19 +141,19 @@
     }
 
     /// Whether a node was heard within that time.
-    pub fn is_heard(&self, now: Time, address: &SocketAddr, within: Duration) -> bool {
+    pub fn heard_within(&self, now: Time, address: &SocketAddr, within: Duration) -> bool {
         self.heard(address)
             .is_some_and(|heard| now.since(heard) < within)
     }
 
     /// Forgets nodes that fell silent.
-    pub fn forget_silent(&mut self, now: Time) {
-        if now < self.forget_at {
+    pub fn expire_silent(&mut self, now: Time) {
+        if now < self.next_expiry {
             return;
         }
-        self.forget_at = now + FORGET_PAUSE;
+        self.next_expiry = now + EXPIRY_INTERVAL;
         let (heard, entries) = (&mut self.heard, &self.entries);
-        heard.retain(|_, at| now.since(*at) < HEARD_FOR);
+        heard.retain(|_, at| now.since(*at) < UNREGISTERED_PEER_TTL);
         self.unregistered
             .retain(|address| heard.contains_key(address));
         self.zones
@@ -184,8 +184,8 @@
     }
 
     /// This node's processor share, as a part of the ablest node's.
-    pub fn ability(&self) -> f64 {
-        self.ability
+    pub fn relative_capacity(&self) -> f64 {
+        self.relative_capacity
     }
 
     /// The zone of a node, if it is known.
@@ -194,7 +194,7 @@
     }
 
     /// Whether a node is in this one's zone.
-    pub fn is_near(&self, address: &SocketAddr) -> bool {
+    pub fn is_same_zone(&self, address: &SocketAddr) -> bool {
         self.zone(address) == Some(&self.own_zone)
     }
 
@@ -213,15 +213,15 @@
     fn registered_peers(&self, audience: Audience) -> &[SocketAddr] {
         match audience {
             Audience::All => &self.all,
-            Audience::Near => &self.near,
-            Audience::NearAndRelays => &self.near_and_relays,
+            Audience::SameZone => &self.same_zone,
+            Audience::SameZoneAndRelays => &self.same_zone_and_relays,
         }
     }
 
     fn unregistered_peers(&self, audience: Audience) -> impl Iterator<Item = SocketAddr> + '_ {
         let unregistered = self.unregistered.iter().copied();
         unregistered.filter(move |address| {
-            let is_meant = audience == Audience::All || self.is_near(address);
+            let is_meant = audience == Audience::All || self.is_same_zone(address);
             *address != self.own && is_meant
         })
     }
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -1,8 +1,8 @@
 //! What goes into a node's core and what comes out of it.
 
 use crate::core::node::CoreConfig;
-use crate::core::standby::{StandbyReport, StandbyState, StandbyWord};
-use crate::core::views::{Snapshot, ViewHeads, ViewName, ViewNotice, ViewRequest};
+use crate::core::standby::{StandbyLease, StandbyReport, StandbyState};
+use crate::core::views::{LatestRevisions, Snapshot, ViewName, ViewNotice, ViewRequest};
 use beamtray_catalog::{ClientLimits, RateWord, UpstreamId};
 use beamtray_dispatch::{
     Admission, Answers, AttemptOutcome, DoubtedUpstream, Ending, Forward, KeyReport, LimitNotice,
@@ -21,58 +21,58 @@
 pub struct Timing {
     /// Between looks at what is due, where others wait for this node: it grants,
     /// prolongs holds, tells sums, or has requests waiting.
-    pub tick: Duration,
+    pub tick_interval: Duration,
     /// The same at all other times.
-    pub idle_tick: Duration,
+    pub idle_tick_interval: Duration,
     /// Between reports of requests under way to nodes of the same zone.
-    pub report: Duration,
+    pub load_report_interval: Duration,
     /// Between reports that tell of answers, too.
-    pub answers_report: Duration,
+    pub answers_report_interval: Duration,
     /// Between sums of a zone to the others where there are few nodes.
-    pub few_zone_report: Duration,
+    pub direct_zone_report_interval: Duration,
     /// Between reports to relays, and their sums to the nodes of their zones.
-    pub relayed_report: Duration,
+    pub relayed_report_interval: Duration,
     /// Between sums to relays of other zones.
-    pub zone_report: Duration,
+    pub zone_report_interval: Duration,
     /// Between the passing on of answers.
-    pub answers: Duration,
+    pub answers_interval: Duration,
     /// Between the same when nothing is under way.
-    pub idle_report: Duration,
+    pub idle_report_interval: Duration,
     /// Between words of the newest changes seen.
-    pub heads: Duration,
+    pub revisions_interval: Duration,
     /// Between the same to nodes of other zones that are no relays.
-    pub far_heads: Duration,
+    pub far_revisions_interval: Duration,
     /// Before word of a change is repeated.
-    pub repeat: Duration,
+    pub repeat_interval: Duration,
     /// How long assignments are waited for before another node is asked.
-    pub fetch: Duration,
+    pub assignment_fetch_timeout: Duration,
     /// The same for other copies, which may be large.
-    pub fetch_large: Duration,
+    pub snapshot_fetch_timeout: Duration,
     /// Between reports of requests by key.
-    pub key_report: Duration,
+    pub key_report_interval: Duration,
     /// Between questions to other nodes while the store is in trouble.
-    pub ask_peers: Duration,
+    pub peer_query_interval: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            tick: Duration::from_millis(10),
-            idle_tick: Duration::from_millis(30),
-            report: Duration::from_millis(10),
-            answers_report: Duration::from_millis(40),
-            few_zone_report: Duration::from_millis(25),
-            relayed_report: Duration::from_millis(30),
-            zone_report: Duration::from_millis(50),
-            answers: Duration::from_millis(500),
-            idle_report: Duration::from_millis(400),
-            heads: Duration::from_millis(200),
-            far_heads: Duration::from_millis(400),
-            repeat: Duration::from_millis(15),
-            fetch: Duration::from_millis(300),
-            fetch_large: Duration::from_millis(1_200),
-            key_report: Duration::from_millis(120),
-            ask_peers: Duration::from_millis(250),
+            tick_interval: Duration::from_millis(10),
+            idle_tick_interval: Duration::from_millis(30),
+            load_report_interval: Duration::from_millis(10),
+            answers_report_interval: Duration::from_millis(40),
+            direct_zone_report_interval: Duration::from_millis(25),
+            relayed_report_interval: Duration::from_millis(30),
+            zone_report_interval: Duration::from_millis(50),
+            answers_interval: Duration::from_millis(500),
+            idle_report_interval: Duration::from_millis(400),
+            revisions_interval: Duration::from_millis(200),
+            far_revisions_interval: Duration::from_millis(400),
+            repeat_interval: Duration::from_millis(15),
+            assignment_fetch_timeout: Duration::from_millis(300),
+            snapshot_fetch_timeout: Duration::from_millis(1_200),
+            key_report_interval: Duration::from_millis(120),
+            peer_query_interval: Duration::from_millis(250),
         }
     }
 }
@@ -91,7 +91,7 @@
     pub order: GrantOrder,
     /// A key that the upstream does not hold: it is asked to release that before a grant, so
     /// that no grant is sent to a process that does not read. None if it holds them all.
-    pub asks_about: Option<ShardKey>,
+    pub probe_key: Option<ShardKey>,
     /// Until when it may be sent.
     pub until: Time,
 }
@@ -129,23 +129,23 @@
     /// Answers of upstreams, passed on by a relay.
     Answers(Vec<Answers>),
     /// An upstream is gone: another one answered at its address.
-    Gone(UpstreamId),
+    UpstreamGone(UpstreamId),
     /// To the granter: an upstream asked the node for rest.
     Rest(RestNotice),
     /// Upstreams that said in answers that they leave.
-    Leaving(Vec<UpstreamId>),
+    UpstreamsLeaving(Vec<UpstreamId>),
     /// Upstreams that ended under requests.
     Suspicions(Vec<Suspicion>),
     /// Requests by key, for the granter.
-    Keys(KeyReport),
+    KeyReport(KeyReport),
     /// Newest changes that it has seen.
-    Heads(ViewHeads),
+    LatestRevisions(LatestRevisions),
     /// Asks a relay where to send a request.
     SlotRequest(SlotRequest),
     /// The relay's answer.
     SlotReply(SlotReply),
     /// From the granter to a standby: it may prolong holds for a while.
-    StandbyWord(StandbyWord),
+    StandbyLease(StandbyLease),
     /// From a standby to the granter.
     StandbyReport(StandbyReport),
     /// Asks for a permit to send a request that is under suspicion.
@@ -155,7 +155,7 @@
     /// How such a trial ended.
     TrialReport(TrialReport),
     /// Rates that upstreams name, or have ceased to.
-    Limits(Vec<LimitWord>),
+    RateLimits(Vec<LimitWord>),
     /// Asks for permits to send requests to an upstream that names a rate.
     PermitRequest(PermitRequest),
     /// The lender's answer.
@@ -194,7 +194,7 @@
         head: RequestHead,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         ticket: Ticket,
         /// How.
@@ -203,12 +203,12 @@
         rate: Option<RateWord>,
     },
     /// An upstream said in an answer that it leaves.
-    Leaves {
+    UpstreamLeaving {
         /// The upstream.
         upstream: UpstreamId,
     },
     /// An upstream turned a request away and asked this node for rest.
-    Rests {
+    RestRequested {
         /// The upstream.
         upstream: UpstreamId,
         /// For so long.
@@ -253,13 +253,13 @@
         liveness: Liveness,
     },
     /// The machine was suspended; the time that comes with this counts that.
-    Woke,
+    Resumed,
     /// Another node's word.
     Datagram(SocketAddr, Datagram),
     /// Another node's copies.
     Snapshots(SocketAddr, Vec<Snapshot>),
     /// Another node did not give its copies.
-    NotAnswered(SocketAddr),
+    SnapshotsUnavailable(SocketAddr),
     /// The settings changed.
     Settings(Box<CoreConfig>),
     /// The process is to end.
@@ -292,7 +292,7 @@
     /// Tell other nodes.
     Send(Datagram, Vec<SocketAddr>),
     /// Ask another node for its copies, and wait so long.
-    Ask(SocketAddr, ViewRequest, Duration),
+    FetchSnapshots(SocketAddr, ViewRequest, Duration),
     /// Try to connect to an upstream, to see whether it still listens.
     Probe(DoubtedUpstream),
     /// What is known of requests that end upstreams changed.
@@ -307,9 +307,9 @@
         era: StoreEra,
     },
     /// Bounds on clients changed.
-    Limits(ClientLimits),
+    ClientLimits(ClientLimits),
     /// A belief changed.
-    Notice(ViewNotice),
+    ViewChanged(ViewNotice),
     /// This node became the granter, or ceased to be.
     Granter(Option<u64>),
     /// As the granter: what became of keys of a service, or of their holders.
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -10,7 +10,7 @@
 mod relays;
 mod replica;
 mod standby;
-mod standby_words;
+mod standby_leases;
 mod views;
 
 pub use control::{Control, ControlConfig};
@@ -18,12 +18,15 @@
     Datagram, GRANT_TIMEOUT, Input, Liveness, OrderTask, Output, OwnershipNotice, StoreTask, Timing,
 };
 pub use node::{CoreConfig, NodeCore};
-pub use records::{AssignmentKey, NodeRecord, OwnKeys};
+pub use records::{AssignmentKey, NodeRecord, RouterKeys};
 pub use registration::Registrar;
-pub use relays::{RelayedContact, Relays, RelaysHeard, STANDBY_TRUST, TIERED_TRUST, TRUST};
+pub use relays::{
+    RELAY_MAX_AGE, RelayContacts, RelayedContact, Relays, STANDBY_RELAY_MAX_AGE,
+    TIERED_RELAY_MAX_AGE,
+};
 pub use replica::{Replica, ReplicaHealth, ReplicaTiming};
-pub use standby::{KnownRecord, STANDBY_TERM, StandbyReport, StandbyState, StandbyWord};
+pub use standby::{KnownRecord, STANDBY_TERM, StandbyLease, StandbyReport, StandbyState};
 pub use views::{
-    Snapshot, StoreContact, UnusableCounts, ViewHeads, ViewName, ViewNotice, ViewRequest, Views,
-    WantedView,
+    LatestRevisions, Snapshot, StoreContact, UnusableCounts, ViewName, ViewNotice, ViewRequest,
+    Views, WantedView,
 };
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -1,6 +1,7 @@
 //! One node's core: inputs and the time go in, outputs come out.
 
 mod fetch;
+mod gossip;
 mod leaving;
 mod load;
 mod quarantine;
@@ -8,8 +9,7 @@
 mod rests;
 mod slots;
 mod standby;
-mod store_path;
-mod talk;
+mod store_health;
 mod trials;
 mod zone_load;
 
@@ -17,7 +17,7 @@
 use crate::core::membership::{Audience, Membership};
 use crate::core::message::{Datagram, Input, Output, StoreTask, Timing};
 use crate::core::relays::RelayedContact;
-use crate::core::standby::{STANDBY_TERM, StandbyConfig, StandbyDuty, StandbyState};
+use crate::core::standby::{STANDBY_TERM, StandbyConfig, StandbyRole, StandbyState};
 use crate::core::views::{Snapshot, ViewName, ViewRequest, Views};
 use beamtray_catalog::{DirectoryPolicy, UpstreamId};
 use beamtray_dialect::Dialect;
@@ -28,12 +28,12 @@
 use beamtray_sharding::{GrantReply, StandbyId};
 use beamtray_types::Time;
 use fetch::Fetches;
+use gossip::RevisionsSchedule;
 use load::ReportSchedule;
-use quarantine::SuspicionNews;
+use quarantine::SuspicionQueue;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use talk::HeadsSchedule;
 
 /// Fixed values of a core.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     /// Directory.
     pub directory: DirectoryPolicy,
     /// Longest wait of a watch.
-    pub watch_wait: Duration,
+    pub watch_timeout: Duration,
     /// How long the nodes are not read after the start. Where all start
     /// together, each then sees all and few of them become relays.
     pub start_delay: Duration,
@@ -55,27 +55,27 @@
     pub timing: Timing,
     /// Whether upstreams that say in answers that they leave are taken at their word. Only a
     /// test that shows why turns it off.
-    pub hears_leaving: bool,
+    pub accept_leaving_notices: bool,
     /// Whether nodes tell each other of requests that end upstreams. Only a test that
     /// shows why turns it off.
-    pub tells_suspicions: bool,
+    pub share_suspicions: bool,
 }
 
 /// Trouble with the store longer ago than this is not told to others.
-const TROUBLE_TOLD: Duration = Duration::from_secs(2);
+const STORE_FAILURE_REPORT_WINDOW: Duration = Duration::from_secs(2);
 
 /// One node's core.
 pub struct NodeCore {
     config: CoreConfig,
     views: Views,
     control: Control,
-    standby: StandbyDuty,
+    standby: StandbyRole,
     standby_state: StandbyState,
     dispatcher: Dispatcher,
     stopping: bool,
     started_at: Option<Time>,
     reports: ReportSchedule,
-    heads: HeadsSchedule,
+    revisions: RevisionsSchedule,
     /// The other nodes.
     membership: Membership,
     /// Whether this is the relay that its zone relies on.
@@ -83,17 +83,17 @@
     /// The store's era, as far as known.
     era: Option<StoreEra>,
     /// When a call to the store last got no answer.
-    trouble_at: Option<Time>,
+    store_failed_at: Option<Time>,
     key_report_at: Time,
-    suspicion_news: SuspicionNews,
+    suspicion_queue: SuspicionQueue,
     /// When rates that upstreams name may be told next.
-    limits_told_at: Time,
+    limits_due_at: Time,
     fetches: Fetches,
     /// Relays of this node's zone that a node which has just started still asks for
     /// their copies; none before it knows who they are.
-    first_asked: Option<Vec<SocketAddr>>,
-    ask_at: Time,
-    asked: usize,
+    startup_relays: Option<Vec<SocketAddr>>,
+    next_peer_query: Time,
+    peer_query_count: usize,
     /// Whether a call got no answer since one last did.
     path_failed: bool,
     /// Whether the store refused a call since it last took one.
@@ -104,12 +104,12 @@
 }
 
 /// Nodes that share the retry allowance while none is known.
-const UNKNOWN_NODES: usize = 16;
+const ASSUMED_NODE_COUNT: usize = 16;
 
 /// A dispatcher that takes the allowance for shared before it knows any node.
 fn new_dispatcher(config: &CoreConfig) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(config.dispatch.clone());
-    dispatcher.set_nodes(UNKNOWN_NODES);
+    dispatcher.set_nodes(ASSUMED_NODE_COUNT);
     dispatcher
 }
 
@@ -117,9 +117,9 @@
     /// A node that knows nothing yet.
     pub fn new(config: CoreConfig, dialect: Rc<dyn Dialect>) -> Self {
         Self {
-            views: Views::new(dialect, config.directory, config.watch_wait),
+            views: Views::new(dialect, config.directory, config.watch_timeout),
             control: Control::new(config.control.clone()),
-            standby: StandbyDuty::new(StandbyConfig {
+            standby: StandbyRole::new(StandbyConfig {
                 id: StandbyId {
                     address: config.control.record.peers,
                     run: config.control.record.run,
@@ -131,18 +131,18 @@
             stopping: false,
             started_at: None,
             reports: ReportSchedule::default(),
-            heads: HeadsSchedule::default(),
+            revisions: RevisionsSchedule::default(),
             membership: Membership::new(&config.control.record),
             acts_as_relay: false,
             era: None,
-            trouble_at: None,
+            store_failed_at: None,
             key_report_at: Time::ZERO,
-            suspicion_news: SuspicionNews::default(),
-            limits_told_at: Time::ZERO,
+            suspicion_queue: SuspicionQueue::default(),
+            limits_due_at: Time::ZERO,
             fetches: Fetches::default(),
-            first_asked: None,
-            ask_at: Time::ZERO,
-            asked: 0,
+            startup_relays: None,
+            next_peer_query: Time::ZERO,
+            peer_query_count: 0,
             path_failed: false,
             was_refused: false,
             configured: 0,
@@ -154,7 +154,7 @@
 
     /// Takes one input; what is to be done about it.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Output> {
-        let may_decide = may_free_requests(&input);
+        let may_decide = may_unblock_requests(&input);
         match input {
             Input::Tick => self.tick(now),
             Input::Request { ticket, head } => {
@@ -162,7 +162,7 @@
                     self.outputs.push(Output::Deny(ticket, admission));
                 }
             }
-            Input::Ended {
+            Input::AttemptEnded {
                 ticket,
                 outcome,
                 rate,
@@ -177,13 +177,15 @@
                     self.outputs.push(Output::Conclude(ticket, ending));
                 }
             }
-            Input::Leaves { upstream } => self.heard_leaving(now, upstream),
-            Input::Rests { upstream, rest } => self.asked_to_rest(now, &upstream, rest),
+            Input::UpstreamLeaving { upstream } => self.handle_leaving(now, upstream),
+            Input::RestRequested { upstream, rest } => {
+                self.handle_rest_request(now, &upstream, rest)
+            }
             Input::Cancelled { ticket } => {
                 self.dispatcher.cancel(ticket);
             }
-            Input::StoreEra(era) => self.store_era(now, era),
-            Input::Store { task, outcome } => self.store(now, &task, outcome),
+            Input::StoreEra(era) => self.handle_store_era(now, era),
+            Input::Store { task, outcome } => self.handle_store(now, &task, outcome),
             Input::Order {
                 service,
                 order,
@@ -192,10 +194,10 @@
             } => {
                 if reply == GrantReply::Replaced {
                     self.views.proved_gone(now, &order.holder);
-                    self.viewed(now);
+                    self.apply_view_changes(now);
                 }
                 if epoch == STANDBY_TERM {
-                    self.standby.handle(now, order.call, &reply);
+                    self.standby.handle_reply(now, order.call, &reply);
                 } else {
                     self.control
                         .handle_order(now, &service, &order, epoch, reply);
@@ -204,24 +206,24 @@
             }
             Input::Replaced { upstream } => {
                 self.control.proved_gone(&upstream);
-                self.found_gone(now, upstream);
+                self.handle_gone(now, upstream);
             }
-            Input::Probed { upstream, liveness } => self.probed(now, &upstream, liveness),
-            Input::Woke => self.woke(now),
+            Input::Probed { upstream, liveness } => self.handle_probe(now, &upstream, liveness),
+            Input::Resumed => self.resumed(now),
             Input::Datagram(from, datagram) => self.datagram(now, from, &datagram),
             Input::Snapshots(from, snapshots) => {
                 self.fetches.ended(from);
-                self.judge_store(now);
+                self.update_store_health(now);
                 self.views.adopt(now, snapshots);
-                self.viewed(now);
+                self.apply_view_changes(now);
             }
-            Input::NotAnswered(from) => self.not_answered(now, from),
+            Input::SnapshotsUnavailable(from) => self.snapshots_unavailable(now, from),
             Input::Settings(config) => self.take_settings(*config),
             Input::Stop => self.stop(),
         }
-        self.follow_quarantine(now);
-        self.follow_rate_limits(now);
-        self.tell_changes(now);
+        self.poll_quarantine(now);
+        self.poll_rate_limits(now);
+        self.announce_changes(now);
         if may_decide {
             self.dispatch(now);
         }
@@ -230,37 +232,39 @@
     }
 
     fn datagram(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
-        self.membership.hear(now, from);
+        self.membership.record_heard(now, from);
         match datagram {
-            Datagram::Load(report) => self.take_load(now, report),
+            Datagram::Load(report) => self.handle_load(now, report),
             Datagram::ZoneLoad(zone, sum) => {
                 self.dispatcher.take_sum(now, SumSource::Zone(*zone), sum);
-                self.take_zone_word(now, from, datagram);
+                self.forward_zone_load(now, from, datagram);
             }
-            Datagram::AllLoad(sum) => self.take_all_load(now, from, sum),
-            Datagram::Answers(answers) => self.take_answers(now, from, answers),
+            Datagram::AllLoad(sum) => self.handle_all_load(now, from, sum),
+            Datagram::Answers(answers) => self.handle_answers(now, from, answers),
             // The granter gives keys to another on its own evidence alone.
-            Datagram::Gone(upstream) => {
+            Datagram::UpstreamGone(upstream) => {
                 self.views.proved_gone(now, upstream);
-                self.viewed(now);
-                self.upstream_ended(now, upstream);
+                self.apply_view_changes(now);
+                self.handle_upstream_ended(now, upstream);
             }
-            Datagram::Rest(notice) => self.take_rest_notice(now, notice),
-            Datagram::Leaving(upstreams) => self.take_leaving(now, upstreams),
-            Datagram::SlotRequest(request) => self.give_slot(now, from, request),
+            Datagram::Rest(notice) => self.handle_rest_notice(now, notice),
+            Datagram::UpstreamsLeaving(upstreams) => self.handle_leaving_notice(now, upstreams),
+            Datagram::SlotRequest(request) => self.assign_slot(now, from, request),
             Datagram::SlotReply(reply) => self.dispatcher.slot_given(now, *reply),
             Datagram::TrialRequest(request) => self.lend_trial(now, from, request),
-            Datagram::TrialReply(reply) => self.trial_answered(now, reply),
-            Datagram::TrialReport(report) => self.trial_reported(now, report),
-            Datagram::Limits(words) => self.take_limits(now, words),
+            Datagram::TrialReply(reply) => self.handle_trial_reply(now, reply),
+            Datagram::TrialReport(report) => self.handle_trial_report(now, report),
+            Datagram::RateLimits(words) => self.handle_limits(now, words),
             Datagram::PermitRequest(request) => self.lend_permits(now, from, request),
             Datagram::PermitReply(reply) => self.dispatcher.permits_lent(now, reply),
-            Datagram::Suspicions(suspicions) => self.take_suspicions(now, suspicions),
-            Datagram::Keys(report) => self.control.report(report),
-            Datagram::StandbyWord(word) => self.standby.hear(now, word),
-            Datagram::StandbyReport(report) => self.control.standby_reported(now, from, report),
-            Datagram::Heads(heads) => {
-                let lacking = self.views.heads(now, from, heads);
+            Datagram::Suspicions(suspicions) => self.handle_suspicions(now, suspicions),
+            Datagram::KeyReport(report) => self.control.add_key_report(report),
+            Datagram::StandbyLease(lease) => self.standby.handle_lease(now, lease),
+            Datagram::StandbyReport(report) => {
+                self.control.handle_standby_report(now, from, report)
+            }
+            Datagram::LatestRevisions(revisions) => {
+                let lacking = self.views.handle_revisions(now, from, revisions);
                 if self.fetches_from(now, from) {
                     self.fetch(now, from, &lacking);
                 }
@@ -270,18 +274,18 @@
 
     /// Takes the proof that an upstream is gone and tells the other nodes, so that
     /// not each of them has to send it a request.
-    fn found_gone(&mut self, now: Time, upstream: UpstreamId) {
+    fn handle_gone(&mut self, now: Time, upstream: UpstreamId) {
         let was_known = self.views.directory.get(&upstream).is_some();
         self.views.proved_gone(now, &upstream);
-        self.viewed(now);
-        self.upstream_ended(now, &upstream);
+        self.apply_view_changes(now);
+        self.handle_upstream_ended(now, &upstream);
         if was_known {
-            self.send(Datagram::Gone(upstream), Audience::All);
+            self.send(Datagram::UpstreamGone(upstream), Audience::All);
         }
     }
 
     /// Passes changed views on to where they are used.
-    fn viewed(&mut self, now: Time) {
+    fn apply_view_changes(&mut self, now: Time) {
         if let Some(speeds) = self.views.speeds.take() {
             self.dispatcher.adopt_speeds(&speeds);
         }
@@ -289,10 +293,10 @@
             self.dispatcher.quarantine_mut().adopt(now, &record);
         }
         if self.views.take_nodes_changed() {
-            self.choose_relays(now);
-            self.begin_with_relays(now);
+            self.update_members(now);
+            self.query_startup_relays(now);
         }
-        for service in self.views.take_assigned() {
+        for service in self.views.take_changed_assignments() {
             if let Some(assignment) = self.views.assignments.get(&service) {
                 self.dispatcher.assign(now, service, assignment.clone());
             }
@@ -307,18 +311,20 @@
         {
             self.configured = configuration.version.0;
             self.dispatcher.configure(configuration);
-            self.outputs.push(Output::Limits(configuration.limits));
+            self.outputs
+                .push(Output::ClientLimits(configuration.limits));
         }
         self.report_as_standby(now, true);
         self.dispatcher.follow(now, &self.views.directory);
-        self.outputs.extend(notices.into_iter().map(Output::Notice));
+        self.outputs
+            .extend(notices.into_iter().map(Output::ViewChanged));
     }
 
     /// Follows changes among the nodes.
-    fn choose_relays(&mut self, now: Time) {
+    fn update_members(&mut self, now: Time) {
         let own = &self.config.control.record;
-        let started = self.membership.registered(own, &self.views.nodes);
-        self.tell_started(now, started);
+        let started = self.membership.set_nodes(own, &self.views.nodes);
+        self.update_started_nodes(now, started);
         self.dispatcher.set_nodes(self.node_count());
         let members = self.views.nodes.keys().map(|name| NodeHash::of(name));
         self.dispatcher.set_members(now, members.collect());
@@ -328,19 +334,19 @@
     /// relied on.
     fn is_first_relay(&self, now: Time) -> bool {
         let relays = self.membership.relays();
-        let before = relays.before(&self.config.control.record.peers);
-        before.is_some_and(|before| !self.views.relays.any_of(now, before))
+        let before = relays.preceding(&self.config.control.record.peers);
+        before.is_some_and(|before| !self.views.relays.any_fresh_of(now, before))
     }
 
     /// What a relay of another zone, which follows the store for the site, tells of
     /// it. Where there are few nodes each zone's relay follows the store.
     fn relayed_contact(&self, now: Time) -> Option<RelayedContact> {
-        if self.are_few() {
+        if self.is_small_deployment() {
             return None;
         }
         let relays = self.membership.relays();
-        let before = relays.of_zones_before(&self.config.control.record.zone);
-        self.views.relays.newest_of(now, before)
+        let before = relays.in_zones_before(&self.config.control.record.zone);
+        self.views.relays.freshest_of(now, before)
     }
 
     fn is_relay(&self) -> bool {
@@ -351,21 +357,21 @@
     /// there may be many.
     fn node_count(&self) -> usize {
         match self.views.nodes.len() {
-            0 => UNKNOWN_NODES,
+            0 => ASSUMED_NODE_COUNT,
             known => known,
         }
     }
 
     fn poll_control(&mut self, now: Time) {
-        self.views.relays.set_tiered(!self.are_few());
+        self.views.relays.set_tiered(!self.is_small_deployment());
         self.acts_as_relay = self.is_first_relay(now);
         let follows_first = self.acts_as_relay && self.relayed_contact(now).is_none();
         self.views.follow(now, follows_first);
         let misses_granter = self.standby.misses_granter(now);
-        let ability = self.membership.ability();
-        let (is_relay, follows) = (self.is_relay(), self.views.follows());
+        let relative_capacity = self.membership.relative_capacity();
+        let (is_relay, follows) = (self.is_relay(), self.views.follows_store());
         self.control
-            .set_relay(is_relay, follows, misses_granter, ability);
+            .set_relay(is_relay, follows, misses_granter, relative_capacity);
         for view in ViewName::ALL {
             if let Some(call) = self.views.poll(now, view) {
                 let generation = self.views.replica(view).generation();
@@ -382,7 +388,7 @@
             let orders = orders.into_iter().map(|order| Output::Order(order, epoch));
             self.outputs.extend(orders);
         }
-        self.poll_standbys(now);
+        self.poll_standby_leases(now);
         let notices = self.control.take_ownership_notices().into_iter();
         let notices = notices.map(|(service, notice)| Output::Ownership(service, notice));
         self.outputs.extend(notices);
@@ -391,7 +397,7 @@
             .epoch()
             .filter(|_| self.control.is_granter(now));
         if granter.is_some() {
-            self.views.granter_is_here(now);
+            self.views.note_own_granter(now);
         }
         if granter != self.was_granter {
             self.was_granter = granter;
@@ -405,18 +411,18 @@
             self.views.wait_for_members(now + self.config.start_delay);
         }
         self.views.expire(now);
-        self.viewed(now);
+        self.apply_view_changes(now);
         self.dispatcher.expire(now);
-        self.membership.forget_silent(now);
-        self.decide_standby(now);
+        self.membership.expire_silent(now);
+        self.update_standby(now);
         self.poll_control(now);
         self.report(now);
-        self.tell_heads(now);
+        self.send_revisions(now);
         self.report_keys(now);
-        self.tell_suspicions(now);
+        self.send_suspicions(now);
         self.report_as_standby(now, false);
         self.prolong_holds(now);
-        self.ask_peers(now);
+        self.query_peers(now);
     }
 
     fn dispatch(&mut self, now: Time) {
@@ -435,8 +441,8 @@
                     let relay = relay.into_iter().collect();
                     self.outputs.push(Output::Send(datagram, relay));
                 }
-                Decision::AskTrial(request) => self.ask_trial(now, request),
-                Decision::AskPermit(request) => self.ask_permits(request),
+                Decision::AskTrial(request) => self.request_trial(now, request),
+                Decision::AskPermit(request) => self.request_permits(request),
             }
         }
     }
@@ -473,18 +479,18 @@
     ///
     /// Most nodes of a large deployment have little to do; each wake-up costs
     /// processor time, of which they have a tenth of a core.
-    pub fn tick_pause(&self, now: Time) -> Duration {
+    pub fn tick_interval(&self, now: Time) -> Duration {
         let timing = self.config.timing;
         let (waiting, _) = self.dispatcher.counts();
-        let is_awaited = self.are_few()
+        let is_awaited = self.is_small_deployment()
             || waiting > 0
             || self.control.epoch().is_some()
             || self.standby.state(now) == StandbyState::Prolongs
-            || self.leads(now);
+            || self.is_lead_relay(now);
         if is_awaited {
-            timing.tick
+            timing.tick_interval
         } else {
-            timing.idle_tick
+            timing.idle_tick_interval
         }
     }
 
@@ -502,21 +508,21 @@
 /// Whether an input may let a request go that waits, or brings one. Reports of
 /// single nodes are many where this node is a relay, and each would have every
 /// waiting request look at every upstream.
-fn may_free_requests(input: &Input) -> bool {
+fn may_unblock_requests(input: &Input) -> bool {
     !matches!(
         input,
         Input::Datagram(
             _,
             Datagram::Load(_)
-                | Datagram::Heads(_)
+                | Datagram::LatestRevisions(_)
                 | Datagram::SlotRequest(_)
                 | Datagram::TrialRequest(_)
                 | Datagram::PermitRequest(_)
-                | Datagram::Keys(_)
+                | Datagram::KeyReport(_)
                 | Datagram::Rest(_)
                 | Datagram::Answers(_)
                 | Datagram::StandbyReport(_)
-                | Datagram::StandbyWord(_)
+                | Datagram::StandbyLease(_)
         )
     )
 }
--- a/crates/router/src/core/node/fetch.rs
+++ b/crates/router/src/core/node/fetch.rs
@@ -48,10 +48,10 @@
     /// between zones are dear.
     pub(super) fn fetches_from(&self, now: Time, from: SocketAddr) -> bool {
         let own = &self.config.control.record;
-        let near = self.membership.relays().of_zone(&own.zone);
+        let near = self.membership.relays().in_zone(&own.zone);
         let is_far = !near.contains(&from) && self.membership.relays().contains(&from);
-        let relies_near = self.views.relays.any_of(now, near);
-        !is_far || self.views.follows() || !relies_near
+        let relies_near = self.views.relays.any_fresh_of(now, near);
+        !is_far || self.views.follows_store() || !relies_near
     }
 
     /// Asks another node for its copies, unless a question for such is under
@@ -60,7 +60,10 @@
         let is_state = |view: &&ViewName| **view == ViewName::State;
         let (state, others): (Vec<&ViewName>, Vec<&ViewName>) = views.iter().partition(is_state);
         let timing = self.config.timing;
-        for (views, wait) in [(state, timing.fetch), (others, timing.fetch_large)] {
+        for (views, wait) in [
+            (state, timing.assignment_fetch_timeout),
+            (others, timing.snapshot_fetch_timeout),
+        ] {
             let views: Vec<ViewName> = views.into_iter().copied().collect();
             self.fetch_group(now, from, &views, wait);
         }
@@ -78,30 +81,31 @@
         let until = now + wait;
         *slot = Some(Fetch { from, until });
         let request = self.views.request(views);
-        self.outputs.push(Output::Ask(from, request, wait));
+        self.outputs
+            .push(Output::FetchSnapshots(from, request, wait));
     }
 
     /// Asks the first relay of this zone for its copies once this node, which has
     /// just started, knows who it is. Where all nodes start together it would
     /// otherwise ask whichever relay it hears first, as all others do.
-    pub(super) fn begin_with_relays(&mut self, now: Time) {
-        if self.first_asked.is_some() || self.are_few() {
+    pub(super) fn query_startup_relays(&mut self, now: Time) {
+        if self.startup_relays.is_some() || self.is_small_deployment() {
             return;
         }
         let mut relays = if self.is_relay() {
             Vec::new()
         } else {
-            self.near_relays()
+            self.zone_relays()
         };
         relays.reverse();
-        self.first_asked = Some(relays);
+        self.startup_relays = Some(relays);
         // What was asked of a relay that happened to be heard first may not come.
         self.fetches = Fetches::default();
-        self.ask_next_relay(now);
+        self.query_next_relay(now);
     }
 
-    fn ask_next_relay(&mut self, now: Time) {
-        let relays = self.first_asked.as_mut();
+    fn query_next_relay(&mut self, now: Time) {
+        let relays = self.startup_relays.as_mut();
         let next = relays.and_then(Vec::pop);
         if let Some(relay) = next.filter(|_| !self.views.is_ready()) {
             self.fetch(now, relay, &ViewName::ALL);
@@ -109,12 +113,12 @@
     }
 
     /// Asks another relay for what is still missing.
-    pub(super) fn not_answered(&mut self, now: Time, from: SocketAddr) {
+    pub(super) fn snapshots_unavailable(&mut self, now: Time, from: SocketAddr) {
         self.fetches.ended(from);
-        self.views.relays.distrust(from);
-        self.ask_next_relay(now);
+        self.views.relays.forget(from);
+        self.query_next_relay(now);
         let lacking = self.views.lacking(now);
-        let other = self.views.relays.trusted(now).next();
+        let other = self.views.relays.fresh(now).next();
         if let Some(other) = other {
             self.fetch(now, other, &lacking);
         }
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -14,27 +14,27 @@
 use std::time::Duration;
 
 /// Between two tellings: an upstream may name another rate with each answer.
-const PAUSE: Duration = Duration::from_millis(50);
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 /// Rates in one datagram, 17 bytes each.
-const LIMITS_A_DATAGRAM: usize = 60;
+const LIMITS_PER_DATAGRAM: usize = 60;
 
 impl NodeCore {
     /// Passes on what became known of rates.
-    pub(super) fn follow_rate_limits(&mut self, now: Time) {
+    pub(super) fn poll_rate_limits(&mut self, now: Time) {
         for notice in self.dispatcher.take_limit_notices() {
             let id = self.registered_as(notice.upstream());
             self.outputs.push(Output::RateLimit(id, notice));
         }
-        if now < self.limits_told_at {
+        if now < self.limits_due_at {
             return;
         }
         let words = self.dispatcher.take_untold_limits(now);
         if words.is_empty() {
             return;
         }
-        self.limits_told_at = now + PAUSE;
-        let audience = self.news_audience();
-        self.tell_limits(&words, &audience);
+        self.limits_due_at = now + SEND_INTERVAL;
+        let audience = self.broadcast_targets();
+        self.send_limits(&words, &audience);
     }
 
     fn registered_as(&self, upstream: UpstreamHash) -> Option<UpstreamId> {
@@ -42,43 +42,43 @@
         ids.find(|id| UpstreamHash::of(id) == upstream).cloned()
     }
 
-    fn tell_limits(&mut self, words: &[LimitWord], audience: &[SocketAddr]) {
+    fn send_limits(&mut self, words: &[LimitWord], audience: &[SocketAddr]) {
         if audience.is_empty() {
             return;
         }
-        for part in words.chunks(LIMITS_A_DATAGRAM) {
-            let datagram = Datagram::Limits(part.to_vec());
+        for part in words.chunks(LIMITS_PER_DATAGRAM) {
+            let datagram = Datagram::RateLimits(part.to_vec());
             self.outputs.push(Output::Send(datagram, audience.to_vec()));
         }
     }
 
     /// Tells nodes that have just started all that is known, so that they don't send at full
     /// pace up to their first answers.
-    pub(super) fn tell_started(&mut self, now: Time, mut started: Vec<SocketAddr>) {
-        if !self.are_few() {
+    pub(super) fn update_started_nodes(&mut self, now: Time, mut started: Vec<SocketAddr>) {
+        if !self.is_small_deployment() {
             let is_relay = self.is_relay();
-            started.retain(|address| is_relay && self.membership.is_near(address));
+            started.retain(|address| is_relay && self.membership.is_same_zone(address));
         }
         let words = self.dispatcher.limit_words(now);
-        self.tell_limits(&words, &started);
-        self.tell_started_of_leaving(&started);
+        self.send_limits(&words, &started);
+        self.send_leaving_to_started(&started);
     }
 
     /// Takes other nodes' words; as a relay of many, passes on what was news.
-    pub(super) fn take_limits(&mut self, now: Time, words: &[LimitWord]) {
+    pub(super) fn handle_limits(&mut self, now: Time, words: &[LimitWord]) {
         let mut news = Vec::new();
         for word in words {
             if self.dispatcher.limit_told(now, word) {
                 news.extend(self.dispatcher.limit_word(now, word.upstream));
             }
         }
-        let audience = self.passed_on_to();
-        self.tell_limits(&news, &audience);
+        let audience = self.forward_targets();
+        self.send_limits(&news, &audience);
     }
 
     /// Asks a lender for permits. One that has no entry any more is not heard from, and
     /// counts as silent.
-    pub(super) fn ask_permits(&mut self, request: PermitRequest) {
+    pub(super) fn request_permits(&mut self, request: PermitRequest) {
         let lender = self.membership.address(request.lender);
         let datagram = Datagram::PermitRequest(request);
         self.outputs
--- a/crates/router/src/core/node/slots.rs
+++ b/crates/router/src/core/node/slots.rs
@@ -11,16 +11,16 @@
     /// The relay that is asked where to send requests without a key: the one that tells
     /// the sums of this zone. None where there are few nodes, or if it is this one.
     pub(super) fn slot_relay(&self, now: Time) -> Option<SocketAddr> {
-        if self.are_few() || self.leads(now) {
+        if self.is_small_deployment() || self.is_lead_relay(now) {
             return None;
         }
-        let mut relays = self.near_relays().into_iter();
-        relays.find(|relay| self.tells_sums(now, relay))
+        let mut relays = self.zone_relays().into_iter();
+        relays.find(|relay| self.is_sending_sums(now, relay))
     }
 
     /// As the relay of a zone: chooses an upstream for another node's request.
-    pub(super) fn give_slot(&mut self, now: Time, from: SocketAddr, request: &SlotRequest) {
-        self.take_load(now, &request.report);
+    pub(super) fn assign_slot(&mut self, now: Time, from: SocketAddr, request: &SlotRequest) {
+        self.handle_load(now, &request.report);
         let directory = &self.views.directory;
         let reply = self.dispatcher.give_slot(now, directory, request);
         let datagram = Datagram::SlotReply(reply);
--- a/crates/router/src/core/node/standby.rs
+++ b/crates/router/src/core/node/standby.rs
@@ -4,27 +4,27 @@
 use crate::core::message::{Datagram, Output};
 use crate::core::records::NodeRecord;
 use crate::core::standby::STANDBY_TERM;
-use crate::core::standby_words::choose_standbys;
+use crate::core::standby_leases::choose_standbys;
 use beamtray_sharding::StandbyId;
 use beamtray_types::Time;
 use std::time::Duration;
 
 /// A node that was not heard for this long does not become a standby.
-const SILENCE: Duration = Duration::from_millis(1_000);
+const STANDBY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A granter that was not heard for this long is silent.
-const GRANTER_SILENCE: Duration = Duration::from_millis(700);
+const GRANTER_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl NodeCore {
     /// As the granter: sends words to the standbys.
-    pub(super) fn poll_standbys(&mut self, now: Time) {
+    pub(super) fn poll_standby_leases(&mut self, now: Time) {
         if !self.control.is_granter(now) {
             return;
         }
         let wanted = self.wanted_standbys(now);
-        let words = self.control.poll_standbys(now, &self.views, &wanted);
-        for (address, word) in words {
-            let datagram = Datagram::StandbyWord(word);
+        let leases = self.control.poll_standby_leases(now, &self.views, &wanted);
+        for (address, lease) in leases {
+            let datagram = Datagram::StandbyLease(lease);
             self.outputs.push(Output::Send(datagram, vec![address]));
         }
     }
@@ -33,11 +33,14 @@
     /// deployment of 78 machines keys of dark upstreams waited for standbys for 15
     /// s after each election, for a cause that is not found yet.
     fn wanted_standbys(&self, now: Time) -> Vec<StandbyId> {
-        if !self.are_few() {
+        if !self.is_small_deployment() {
             return Vec::new();
         }
         let is_heard = |node: &&NodeRecord| {
-            !node.declines_standby && self.membership.is_heard(now, &node.peers, SILENCE)
+            !node.declines_standby
+                && self
+                    .membership
+                    .heard_within(now, &node.peers, STANDBY_TIMEOUT)
         };
         let heard: Vec<&NodeRecord> = self.views.nodes.values().filter(is_heard).collect();
         choose_standbys(&self.config.control.record, &heard)
@@ -57,15 +60,15 @@
     }
 
     /// As a standby: declines where another granter can be elected.
-    pub(super) fn decide_standby(&mut self, now: Time) {
+    pub(super) fn update_standby(&mut self, now: Time) {
         let granter = self.views.granter.as_ref();
         let is_heard = granter.is_some_and(|granter| {
             self.membership
-                .is_heard(now, &granter.peers, GRANTER_SILENCE)
+                .heard_within(now, &granter.peers, GRANTER_TIMEOUT)
         });
         let is_heard = is_heard || self.control.is_granter(now);
-        let sound_at = self.control.store_sound_at();
-        self.standby.decide(now, sound_at, is_heard);
+        let last_contact = self.control.last_store_contact();
+        self.standby.update_declined(now, last_contact, is_heard);
         self.control.set_declines_standby(self.standby.declines());
         let state = self.standby.state(now);
         if state != self.standby_state {
--- a/crates/router/src/core/node/trials.rs
+++ b/crates/router/src/core/node/trials.rs
@@ -14,12 +14,12 @@
 
 impl NodeCore {
     /// Asks the lender for a permit.
-    pub(super) fn ask_trial(&mut self, now: Time, request: TrialRequest) {
-        match self.lender_besides(request.fingerprint) {
+    pub(super) fn request_trial(&mut self, now: Time, request: TrialRequest) {
+        match self.other_lender(request.fingerprint) {
             Some(lender) => self.send_to(Datagram::TrialRequest(request), lender),
             None => {
                 let reply = self.dispatcher.quarantine_mut().lend(now, &request);
-                self.trial_answered(now, &reply);
+                self.handle_trial_reply(now, &reply);
                 if reply.is_lent {
                     self.dispatch(now);
                 }
@@ -34,12 +34,12 @@
     }
 
     /// Takes the lender's answer.
-    pub(super) fn trial_answered(&mut self, now: Time, reply: &TrialReply) {
+    pub(super) fn handle_trial_reply(&mut self, now: Time, reply: &TrialReply) {
         self.dispatcher.quarantine_mut().trial_answered(now, reply);
     }
 
     /// As the lender: takes the outcome of a trial.
-    pub(super) fn trial_reported(&mut self, now: Time, report: &TrialReport) {
+    pub(super) fn handle_trial_report(&mut self, now: Time, report: &TrialReport) {
         let quarantine = self.dispatcher.quarantine_mut();
         quarantine.take_trial_report(now, report);
     }
@@ -49,15 +49,15 @@
         let node = &self.config.dispatch.node;
         let reports = self.dispatcher.quarantine_mut().take_trial_reports(node);
         for report in reports {
-            match self.lender_besides(report.fingerprint) {
+            match self.other_lender(report.fingerprint) {
                 Some(lender) => self.send_to(Datagram::TrialReport(report), lender),
-                None => self.trial_reported(now, &report),
+                None => self.handle_trial_report(now, &report),
             }
         }
     }
 
     /// The lender of a request, unless it is this node.
-    fn lender_besides(&self, fingerprint: Fingerprint) -> Option<SocketAddr> {
+    fn other_lender(&self, fingerprint: Fingerprint) -> Option<SocketAddr> {
         let lender = self.membership.lender(fingerprint)?;
         (lender != self.config.control.record.peers).then_some(lender)
     }
--- a/crates/router/src/core/node/zone_load.rs
+++ b/crates/router/src/core/node/zone_load.rs
@@ -17,30 +17,30 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A node that was not heard for this long does not lead its zone.
-const LEAD_SILENCE: Duration = Duration::from_millis(250);
+const ZONE_LEADER_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl NodeCore {
     /// Tells the other zones, if this node leads its own.
     pub(super) fn report_zone(&mut self, now: Time) {
-        if !self.leads_zone(now) {
+        if !self.is_zone_leader(now) {
             // Whoever leads tells of the answers.
-            self.reports.untold.clear();
+            self.reports.pending_answers.clear();
             return;
         }
         if now < self.reports.zone_at {
             return;
         }
         let timing = self.config.timing;
-        let contacts = self.contacts(now);
+        let contacts = self.zone_contacts(now);
         let sums = self.dispatcher.load_sum(false);
         let is_empty = sums.iter().all(|sum| sum.in_flight.is_empty());
-        let quiet = is_empty && self.reports.zone_told_empty;
-        self.reports.zone_told_empty = is_empty;
+        let quiet = is_empty && self.reports.reported_zone_idle;
+        self.reports.reported_zone_idle = is_empty;
         self.reports.zone_at = now
             + if quiet {
-                timing.idle_report
+                timing.idle_report_interval
             } else {
-                timing.few_zone_report
+                timing.direct_zone_report_interval
             };
         if contacts.is_empty() {
             return;
@@ -51,66 +51,70 @@
             self.outputs.push(Output::Send(datagram, contacts.clone()));
         }
         if now >= self.reports.answers_at {
-            self.tell_answers(now, &contacts);
+            self.send_answers(now, &contacts);
         }
     }
 
     /// Whether no node of this zone comes before this one that is alive.
-    fn leads_zone(&self, now: Time) -> bool {
+    fn is_zone_leader(&self, now: Time) -> bool {
         let own = self.config.control.record.peers;
-        let near = self.membership.peers(Audience::Near).into_iter();
+        let near = self.membership.peers(Audience::SameZone).into_iter();
         let mut before = near.filter(|address| *address < own);
-        !before.any(|address| self.was_heard(now, address))
+        !before.any(|address| self.is_alive(now, address))
     }
 
-    fn was_heard(&self, now: Time, address: SocketAddr) -> bool {
-        self.membership.is_heard(now, &address, LEAD_SILENCE)
+    fn is_alive(&self, now: Time, address: SocketAddr) -> bool {
+        self.membership
+            .heard_within(now, &address, ZONE_LEADER_TIMEOUT)
     }
 
     /// Whom to tell in the other zones: those who told of theirs of late, or
     /// everybody in a zone that is silent.
-    fn contacts(&self, now: Time) -> Vec<SocketAddr> {
-        let near: BTreeSet<SocketAddr> =
-            self.membership.peers(Audience::Near).into_iter().collect();
+    fn zone_contacts(&self, now: Time) -> Vec<SocketAddr> {
+        let near: BTreeSet<SocketAddr> = self
+            .membership
+            .peers(Audience::SameZone)
+            .into_iter()
+            .collect();
         let far: Vec<SocketAddr> = self
             .membership
             .peers(Audience::All)
             .into_iter()
             .filter(|address| !near.contains(address))
             .collect();
-        let told = |address: &SocketAddr| {
-            let told = self.reports.zones_told.get(address);
-            told.is_some_and(|told| now.since(*told) < LEAD_SILENCE * 2)
+        let reported = |address: &SocketAddr| {
+            let reported = self.reports.zone_reporters.get(address);
+            reported.is_some_and(|reported| now.since(*reported) < ZONE_LEADER_TIMEOUT * 2)
         };
         let reached: BTreeSet<&String> = far
             .iter()
-            .filter(|address| told(address))
+            .filter(|address| reported(address))
             .filter_map(|address| self.membership.zone(address))
             .collect();
         let is_contact = |address: &SocketAddr| {
             let zone = self.membership.zone(address);
-            told(address) || zone.is_none_or(|zone| !reached.contains(zone))
+            reported(address) || zone.is_none_or(|zone| !reached.contains(zone))
         };
         far.iter().copied().filter(is_contact).collect()
     }
 
     /// Notes who told of another zone, and passes it on in this one.
-    pub(super) fn take_zone_word(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
-        if !self.are_few() || self.is_near(from) {
+    pub(super) fn forward_zone_load(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
+        if !self.is_small_deployment() || self.is_same_zone(from) {
             return;
         }
-        self.reports.zones_told.insert(from, now);
-        self.pass_on_near(from, datagram);
+        self.reports.zone_reporters.insert(from, now);
+        self.forward_to_zone(from, datagram);
     }
 
     /// Passes a word of another zone on to the nodes of this one.
-    pub(super) fn pass_on_near(&mut self, from: SocketAddr, datagram: &Datagram) {
-        if !self.is_near(from) {
-            self.send(datagram.clone(), Audience::Near);
+    pub(super) fn forward_to_zone(&mut self, from: SocketAddr, datagram: &Datagram) {
+        if !self.is_same_zone(from) {
+            self.send(datagram.clone(), Audience::SameZone);
         }
     }
 
-    fn is_near(&self, address: SocketAddr) -> bool {
-        self.membership.is_near(&address)
+    fn is_same_zone(&self, address: SocketAddr) -> bool {
+        self.membership.is_same_zone(&address)
     }
 }
--- a/crates/router/src/core/records.rs
+++ b/crates/router/src/core/records.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 
 /// Keys of the router's own records.
-pub struct OwnKeys;
+pub struct RouterKeys;
 
-impl OwnKeys {
+impl RouterKeys {
     /// Prefix of what tells of nodes; every node watches it.
     pub const MEMBERS: &'static str = "beamtray/members/";
     /// The granter, under its lease.
@@ -46,7 +46,7 @@
         format!("{}{:02}/{service}", Self::ASSIGNMENTS, part.number())
     }
 
-    /// What a key below [`OwnKeys::ASSIGNMENTS`] stands for.
+    /// What a key below [`RouterKeys::ASSIGNMENTS`] stands for.
     pub fn assignment_key(key: &str) -> Option<AssignmentKey> {
         if let Some(service) = key.strip_prefix(Self::HEADS) {
             return Some(AssignmentKey::Head(service.into()));
@@ -68,7 +68,7 @@
 
 /// What a key of a record stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum OwnRecord {
+pub(crate) enum RouterRecord {
     /// The granter.
     Granter,
     /// The node of that name.
@@ -83,22 +83,22 @@
     Suspicions,
 }
 
-impl OwnRecord {
+impl RouterRecord {
     /// What that key stands for, if the router's views take it.
-    pub fn of(key: &str) -> Option<Self> {
-        if let Some(assignment) = OwnKeys::assignment_key(key) {
+    pub fn parse(key: &str) -> Option<Self> {
+        if let Some(assignment) = RouterKeys::assignment_key(key) {
             return Some(match assignment {
                 AssignmentKey::Head(service) => Self::Head(service),
                 AssignmentKey::Part(service, part) => Self::Part(service, part),
             });
         }
-        if let Some(name) = key.strip_prefix(OwnKeys::NODES) {
+        if let Some(name) = key.strip_prefix(RouterKeys::NODES) {
             return Some(Self::Node(name.to_owned()));
         }
         match key {
-            OwnKeys::GRANTER => Some(Self::Granter),
-            OwnKeys::SPEEDS => Some(Self::Speeds),
-            OwnKeys::SUSPICIONS => Some(Self::Suspicions),
+            RouterKeys::GRANTER => Some(Self::Granter),
+            RouterKeys::SPEEDS => Some(Self::Speeds),
+            RouterKeys::SUSPICIONS => Some(Self::Suspicions),
             _ => None,
         }
     }
--- a/crates/router/src/core/registration.rs
+++ b/crates/router/src/core/registration.rs
@@ -1,6 +1,6 @@
 //! Keeps this node's entry in the metadata store, under a lease.
 
-use crate::core::records::{NodeRecord, OwnKeys};
+use crate::core::records::{NodeRecord, RouterKeys};
 use beamtray_metastore::{
     Item, LeaseKeeper, LeaseTiming, StoreCall, StoreOutcome, Transaction, Write,
 };
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Pause before a write that failed is repeated.
-const REWRITE: Duration = Duration::from_millis(500);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long after a write its effect may stay unseen.
-const UNSEEN: Duration = Duration::from_secs(2);
+const WRITE_VISIBILITY_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
@@ -28,7 +28,7 @@
     keeper: LeaseKeeper,
     pending: Option<(Step, Time)>,
     write_at: Time,
-    sound_at: Option<Time>,
+    last_renewal_at: Option<Time>,
     stopped: bool,
 }
 
@@ -36,13 +36,13 @@
     /// A registrar of an entry that is not written yet.
     pub fn new(record: NodeRecord, timing: LeaseTiming) -> Self {
         Self {
-            key: OwnKeys::node(&record.name),
+            key: RouterKeys::node(&record.name),
             value: encode(&record),
             record,
             keeper: LeaseKeeper::new(timing),
             pending: None,
             write_at: Time::ZERO,
-            sound_at: None,
+            last_renewal_at: None,
             stopped: false,
         }
     }
@@ -64,7 +64,7 @@
         if written || now < self.write_at {
             return self.lease_call(now);
         }
-        self.write_at = now + REWRITE;
+        self.write_at = now + WRITE_RETRY_DELAY;
         self.pending = Some((Step::Write, now));
         Some(StoreCall::Commit(Transaction {
             writes: vec![Write {
@@ -87,7 +87,7 @@
         match self.pending.take() {
             Some((Step::Lease, sent)) => self.lease_answered(now, sent, outcome),
             Some((Step::Write, _)) if matches!(outcome, StoreOutcome::Committed { .. }) => {
-                self.write_at = now + UNSEEN;
+                self.write_at = now + WRITE_VISIBILITY_DELAY;
             }
             Some((Step::Write, _)) | None => {}
         }
@@ -96,7 +96,7 @@
     fn lease_answered(&mut self, now: Time, sent: Time, outcome: &StoreOutcome) {
         self.keeper.handle(now, sent, outcome);
         match outcome {
-            StoreOutcome::Leased { .. } => self.sound_at = Some(sent),
+            StoreOutcome::Leased { .. } => self.last_renewal_at = Some(sent),
             // What was written under it went with it.
             StoreOutcome::Absent => self.write_at = now,
             _ => {}
@@ -104,8 +104,8 @@
     }
 
     /// When the last renewal was sent that was answered.
-    pub fn sound_at(&self) -> Option<Time> {
-        self.sound_at
+    pub fn last_renewal_at(&self) -> Option<Time> {
+        self.last_renewal_at
     }
 
     /// States whether the node declines to be a standby.
--- a/crates/router/src/core/relays.rs
+++ b/crates/router/src/core/relays.rs
@@ -13,7 +13,7 @@
 //! its way, so that two relays can't keep each other's trust alive.
 //!
 //! Invariant: a node relies on a relay only as long as an answer of the store
-//! to that relay was asked for less than [`TRUST`] ago ([`TIERED_TRUST`] with two
+//! to that relay was asked for less than [`RELAY_MAX_AGE`] ago ([`TIERED_RELAY_MAX_AGE`] with two
 //! tiers). A relay that lost the
 //! store, and one that fell silent, end within that time, and the node follows
 //! the store by itself. Without it, a node whose relays are all cut off would
@@ -28,18 +28,18 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How old a relay's last answer of the store may be.
-pub const TRUST: Duration = Duration::from_millis(1_000);
+pub const RELAY_MAX_AGE: Duration = Duration::from_millis(1_000);
 /// The same for relays that stand by.
-pub const STANDBY_TRUST: Duration = Duration::from_millis(700);
-/// The same as [`TRUST`] with two tiers: the word of a relay's relay is older by one
+pub const STANDBY_RELAY_MAX_AGE: Duration = Duration::from_millis(700);
+/// The same as [`RELAY_MAX_AGE`] with two tiers: the word of a relay's relay is older by one
 /// pause between words, and one of them may get lost.
-pub const TIERED_TRUST: Duration = Duration::from_millis(1_400);
+pub const TIERED_RELAY_MAX_AGE: Duration = Duration::from_millis(1_400);
 /// The same for the first relays of zones that rely on another zone's.
-const ZONE_TRUST: Duration = Duration::from_millis(1_000);
+const ZONE_RELAY_MAX_AGE: Duration = Duration::from_millis(1_000);
 /// Nodes of a zone for each of its relays.
-const NODES_A_RELAY: usize = 4;
+const NODES_PER_RELAY: usize = 4;
 /// Most relays of a zone: two that fail together leave one.
-const MOST_RELAYS: usize = 3;
+const MAX_RELAYS_PER_ZONE: usize = 3;
 
 /// The relays of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -59,14 +59,17 @@
         }
         let relays = |(zone, mut nodes): (String, Vec<&NodeRecord>)| {
             nodes.sort_by_key(|node| (Reverse(node.capacity), xxh3_64(node.name.as_bytes())));
-            let count = nodes.len().div_ceil(NODES_A_RELAY).min(MOST_RELAYS);
+            let count = nodes
+                .len()
+                .div_ceil(NODES_PER_RELAY)
+                .min(MAX_RELAYS_PER_ZONE);
             let relays = nodes.into_iter().take(count).map(|node| node.peers);
             (zone, relays.collect())
         };
         let mut first: Vec<(Reverse<u32>, u64, String)> = Vec::new();
         for (zone, nodes) in &zones {
-            let ablest = nodes.iter().map(|node| node.capacity).max();
-            let capacity = Reverse(ablest.unwrap_or_default());
+            let highest = nodes.iter().map(|node| node.capacity).max();
+            let capacity = Reverse(highest.unwrap_or_default());
             first.push((capacity, xxh3_64(zone.as_bytes()), zone.clone()));
         }
         first.sort();
@@ -77,9 +80,9 @@
     }
 
     /// The relays of the zones that come before a zone, for the site.
-    pub fn of_zones_before<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
+    pub fn in_zones_before<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
         let before = self.order.iter().take_while(move |other| *other != zone);
-        before.flat_map(|zone| self.of_zone(zone)).copied()
+        before.flat_map(|zone| self.in_zone(zone)).copied()
     }
 
     /// Whether that node is a relay.
@@ -88,12 +91,12 @@
     }
 
     /// The relays of a zone, the first one first.
-    pub fn of_zone(&self, zone: &str) -> &[SocketAddr] {
+    pub fn in_zone(&self, zone: &str) -> &[SocketAddr] {
         self.zones.get(zone).map_or(&[], Vec::as_slice)
     }
 
     /// The relays of its zone that come before a relay; `None` if it is none.
-    pub fn before(&self, address: &SocketAddr) -> Option<&[SocketAddr]> {
+    pub fn preceding(&self, address: &SocketAddr) -> Option<&[SocketAddr]> {
         self.zones.values().find_map(|relays| {
             let index = relays.iter().position(|relay| relay == address)?;
             Some(&relays[..index])
@@ -101,20 +104,20 @@
     }
 
     /// The relays of all other zones.
-    pub fn of_others<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
+    pub fn in_other_zones<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
         let others = self.zones.iter().filter(move |(other, _)| *other != zone);
         others.flat_map(|(_, relays)| relays.iter().copied())
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Contact {
     at: Time,
     store_age: Duration,
-    trouble_age: Option<Duration>,
+    failure_age: Option<Duration>,
 }
 
-impl Heard {
+impl Contact {
     fn age(&self, now: Time) -> Duration {
         now.since(self.at) + self.store_age
     }
@@ -126,32 +129,32 @@
     /// Time since the last answer was asked for.
     pub age: Duration,
     /// Time since a call got no answer, if the other one told of that.
-    pub trouble_age: Option<Duration>,
+    pub failure_age: Option<Duration>,
 }
 
 /// The relays that this node hears.
 #[derive(Clone, Debug, Default)]
-pub struct RelaysHeard {
-    heard: BTreeMap<SocketAddr, Heard>,
+pub struct RelayContacts {
+    contacts: BTreeMap<SocketAddr, Contact>,
     tiered: bool,
 }
 
-impl RelaysHeard {
+impl RelayContacts {
     /// Takes the word of a relay whose last answer of the store was asked for
     /// `store_age` ago.
-    pub fn hear(
+    pub fn record(
         &mut self,
         now: Time,
         relay: SocketAddr,
         store_age: Duration,
-        trouble_age: Option<Duration>,
+        failure_age: Option<Duration>,
     ) {
-        let heard = Heard {
+        let contact = Contact {
             at: now,
             store_age,
-            trouble_age,
+            failure_age,
         };
-        self.heard.insert(relay, heard);
+        self.contacts.insert(relay, contact);
     }
 
     /// States whether there are two tiers of relays.
@@ -160,61 +163,70 @@
     }
 
     /// Relies no more on a relay that did not answer, until it is heard again.
-    pub fn distrust(&mut self, relay: SocketAddr) {
-        self.heard.remove(&relay);
+    pub fn forget(&mut self, relay: SocketAddr) {
+        self.contacts.remove(&relay);
     }
 
     /// Forgets relays that can't be relied on any more.
     pub fn expire(&mut self, now: Time) {
-        let trust = self.trust();
-        self.heard.retain(|_, heard| heard.age(now) < trust);
+        let max_age = self.max_age();
+        self.contacts
+            .retain(|_, contact| contact.age(now) < max_age);
     }
 
     /// Whether some relay can be relied on.
-    pub fn any(&self, now: Time) -> bool {
-        let trust = self.trust();
-        self.heard.values().any(|heard| heard.age(now) < trust)
+    pub fn any_fresh(&self, now: Time) -> bool {
+        let max_age = self.max_age();
+        self.contacts
+            .values()
+            .any(|contact| contact.age(now) < max_age)
     }
 
     /// Whether one of those relays can be relied on by one that stands by.
-    pub fn any_of(&self, now: Time, relays: &[SocketAddr]) -> bool {
-        let heard = relays.iter().filter_map(|relay| self.heard.get(relay));
-        heard
-            .map(|heard| heard.age(now))
-            .any(|age| age < STANDBY_TRUST)
+    pub fn any_fresh_of(&self, now: Time, relays: &[SocketAddr]) -> bool {
+        let contacts = relays.iter().filter_map(|relay| self.contacts.get(relay));
+        contacts
+            .map(|contact| contact.age(now))
+            .any(|age| age < STANDBY_RELAY_MAX_AGE)
     }
 
     /// What the one of those relays tells that had the store's answer last, if a
     /// relay of another zone can rely on it.
-    pub fn newest_of(
+    pub fn freshest_of(
         &self,
         now: Time,
         relays: impl Iterator<Item = SocketAddr>,
     ) -> Option<RelayedContact> {
-        let heard = relays.filter_map(|relay| self.heard.get(&relay));
-        let newest = heard.min_by_key(|heard| heard.age(now))?;
-        (newest.age(now) < ZONE_TRUST).then_some(RelayedContact {
+        let contacts = relays.filter_map(|relay| self.contacts.get(&relay));
+        let newest = contacts.min_by_key(|contact| contact.age(now))?;
+        (newest.age(now) < ZONE_RELAY_MAX_AGE).then_some(RelayedContact {
             age: newest.age(now),
-            trouble_age: newest.trouble_age.map(|age| age + now.since(newest.at)),
+            failure_age: newest.failure_age.map(|age| age + now.since(newest.at)),
         })
     }
 
     /// Whether some relay had answers of the store until now and no call without one.
-    pub fn any_untroubled(&self, now: Time) -> bool {
-        let mut heard = self.heard.values();
-        heard.any(|heard| heard.age(now) < STANDBY_TRUST && heard.trouble_age.is_none())
+    pub fn any_healthy(&self, now: Time) -> bool {
+        let mut contacts = self.contacts.values();
+        contacts.any(|contact| {
+            contact.age(now) < STANDBY_RELAY_MAX_AGE && contact.failure_age.is_none()
+        })
     }
 
-    fn trust(&self) -> Duration {
-        if self.tiered { TIERED_TRUST } else { TRUST }
+    fn max_age(&self) -> Duration {
+        if self.tiered {
+            TIERED_RELAY_MAX_AGE
+        } else {
+            RELAY_MAX_AGE
+        }
     }
 
     /// The relays that can be relied on.
-    pub fn trusted(&self, now: Time) -> impl Iterator<Item = SocketAddr> + '_ {
-        let trust = self.trust();
-        let trusted = self.heard.iter();
-        trusted
-            .filter(move |(_, heard)| heard.age(now) < trust)
+    pub fn fresh(&self, now: Time) -> impl Iterator<Item = SocketAddr> + '_ {
+        let max_age = self.max_age();
+        let fresh = self.contacts.iter();
+        fresh
+            .filter(move |(_, contact)| contact.age(now) < max_age)
             .map(|(relay, _)| *relay)
     }
 }
--- a/crates/router/src/core/replica.rs
+++ b/crates/router/src/core/replica.rs
@@ -8,24 +8,24 @@
 use std::time::Duration;
 
 /// First pause after a failure.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Longest pause after failures. A call of another sort that is answered ends
 /// it: lease renewals, which are cheap, are tried more often.
-const LONGEST_RETRY: Duration = Duration::from_millis(1_200);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
 /// Wait of the first watch after a reading; each further one waits twice as long. A watch
 /// that begins while the store drops its history may hear nothing until its wait is over,
 /// and tells only then that history was lost: with the whole wait, changes were missed for
 /// 25 s.
-const FIRST_WATCH: Duration = Duration::from_millis(500);
+const INITIAL_WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How the last call went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
     /// It was answered.
-    Sound,
+    Healthy,
     /// It was not, or history was lost.
-    Troubled,
+    Failed,
 }
 
 #[derive(Clone, Debug)]
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTiming {
     /// Longest wait of a watch.
-    pub wait: Duration,
+    pub max_watch_timeout: Duration,
     /// Pause after changes, so that several come with one call.
-    pub gather: Duration,
+    pub batch_delay: Duration,
 }
 
 /// Follows one prefix.
@@ -52,9 +52,9 @@
     prefix: String,
     timing: ReplicaTiming,
     /// Longest value that is kept, in bytes.
-    longest_value: usize,
+    max_value_size: usize,
     /// Wait of the next watch.
-    watch_wait: Duration,
+    next_watch_timeout: Duration,
     mirror: Mirror,
     /// Newest change that was seen.
     latest: Revision,
@@ -74,8 +74,8 @@
         Self {
             prefix: prefix.to_owned(),
             timing,
-            longest_value: usize::MAX,
-            watch_wait: FIRST_WATCH.min(timing.wait),
+            max_value_size: usize::MAX,
+            next_watch_timeout: INITIAL_WATCH_TIMEOUT.min(timing.max_watch_timeout),
             mirror: Mirror::default(),
             latest: Revision::default(),
             generation: 0,
@@ -92,28 +92,28 @@
 
     /// Keeps longer values than so many bytes as empty ones, which nothing can be read from:
     /// another writer's would fill the memory of every node and the links between them.
-    pub fn with_longest_value(mut self, bytes: usize) -> Self {
-        self.longest_value = bytes;
+    pub fn with_max_value_size(mut self, bytes: usize) -> Self {
+        self.max_value_size = bytes;
         self
     }
 
-    fn bound_values(&self, mut outcome: StoreOutcome) -> StoreOutcome {
+    fn drop_oversized_values(&self, mut outcome: StoreOutcome) -> StoreOutcome {
         match &mut outcome {
-            StoreOutcome::Page { items, .. } => self.bound_items(items.iter_mut()),
+            StoreOutcome::Page { items, .. } => self.drop_oversized_items(items.iter_mut()),
             StoreOutcome::Events { events, .. } => {
                 let items = events.iter_mut().filter_map(|event| match event {
                     StoreEvent::Put(item) => Some(item),
                     StoreEvent::Removed { .. } => None,
                 });
-                self.bound_items(items);
+                self.drop_oversized_items(items);
             }
             _ => {}
         }
         outcome
     }
 
-    fn bound_items<'a>(&self, items: impl Iterator<Item = &'a mut Item>) {
-        for item in items.filter(|item| item.value.len() > self.longest_value) {
+    fn drop_oversized_items<'a>(&self, items: impl Iterator<Item = &'a mut Item>) {
+        for item in items.filter(|item| item.value.len() > self.max_value_size) {
             item.value = Vec::new();
         }
     }
@@ -134,7 +134,7 @@
     }
 
     /// Whether the last call failed.
-    pub fn is_troubled(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failures > 0 || self.last_answer.is_none()
     }
 
@@ -153,7 +153,7 @@
             (Phase::Watching, Some(after)) => StoreCall::Watch {
                 prefix: self.prefix.clone(),
                 after,
-                wait: self.watch_wait,
+                wait: self.next_watch_timeout,
             },
             (Phase::Watching, None) => StoreCall::Range {
                 prefix: self.prefix.clone(),
@@ -177,7 +177,7 @@
     }
 
     /// Whether a change of that revision has passed this replica by.
-    pub fn lacks(&self, revision: Revision) -> bool {
+    pub fn is_behind(&self, revision: Revision) -> bool {
         revision > self.latest && self.mirror.at().is_none_or(|at| revision > at)
     }
 
@@ -187,14 +187,14 @@
         self.pending = false;
         self.retry_at = now;
         if matches!(self.phase, Phase::Reading { .. }) {
-            self.read_again();
+            self.restart_reading();
         }
     }
 
     /// Gives up on the call under way, and reads the prefix again: the path to the store
     /// was dead, and the watch with it.
     pub fn reread(&mut self, now: Time) {
-        self.read_again();
+        self.restart_reading();
         self.restart(now);
     }
 
@@ -205,60 +205,61 @@
         generation: u32,
         outcome: StoreOutcome,
     ) -> (ReplicaHealth, Vec<MirrorChange>) {
-        let outcome = self.bound_values(outcome);
+        let outcome = self.drop_oversized_values(outcome);
         if generation != self.generation {
-            return (ReplicaHealth::Sound, self.take_late(outcome));
+            return (ReplicaHealth::Healthy, self.apply_late(outcome));
         }
         self.pending = false;
         match outcome {
             StoreOutcome::Page { items, more, at } => {
-                self.sound(now);
-                (ReplicaHealth::Sound, self.page(items, more, at))
+                self.mark_healthy(now);
+                (ReplicaHealth::Healthy, self.add_page(items, more, at))
             }
-            StoreOutcome::Events { at, .. } if self.is_of_other_era(at) => {
-                self.read_again();
-                (ReplicaHealth::Troubled, Vec::new())
+            StoreOutcome::Events { at, .. } if self.is_other_era(at) => {
+                self.restart_reading();
+                (ReplicaHealth::Failed, Vec::new())
             }
             StoreOutcome::Events { events, at } => {
-                self.sound(now);
-                self.watch_wait = (self.watch_wait * 2).min(self.timing.wait);
+                self.mark_healthy(now);
+                self.next_watch_timeout =
+                    (self.next_watch_timeout * 2).min(self.timing.max_watch_timeout);
                 if !events.is_empty() {
-                    self.retry_at = now + self.timing.gather;
+                    self.retry_at = now + self.timing.batch_delay;
                 }
                 if events.is_empty() {
                     // A watch that heard nothing proves nothing: changes may have
                     // been kept from it. The next one asks for the same ones, or
                     // learns that they are forgotten.
-                    return (ReplicaHealth::Sound, Vec::new());
+                    return (ReplicaHealth::Healthy, Vec::new());
                 }
                 for event in &events {
-                    self.note(event.revision());
+                    self.note_revision(event.revision());
                 }
-                (ReplicaHealth::Sound, self.mirror.apply(at, events))
+                (ReplicaHealth::Healthy, self.mirror.apply(at, events))
             }
             StoreOutcome::Compacted => {
-                self.read_again();
-                (ReplicaHealth::Troubled, Vec::new())
+                self.restart_reading();
+                (ReplicaHealth::Failed, Vec::new())
             }
             outcome => {
                 self.failures += 1;
-                let pause = RETRY * 2u32.saturating_pow(self.failures.min(8) - 1);
-                self.retry_at = now + pause.min(LONGEST_RETRY);
+                let pause = RETRY_DELAY * 2u32.saturating_pow(self.failures.min(8) - 1);
+                self.retry_at = now + pause.min(MAX_RETRY_DELAY);
                 // A watch that was cut may have heard nothing for a while, and the history
                 // may be gone: the next watch from the same revision waits for a change,
                 // and only then learns that it has missed some.
                 let was_cut = matches!(outcome, StoreOutcome::Unknown);
                 if was_cut || matches!(self.phase, Phase::Reading { .. }) {
-                    self.read_again();
+                    self.restart_reading();
                 }
-                (ReplicaHealth::Troubled, Vec::new())
+                (ReplicaHealth::Failed, Vec::new())
             }
         }
     }
 
     /// Whether the store has begun another era since this copy was filled: the revision
     /// that a watch began at may be another state by now.
-    fn is_of_other_era(&self, at: Revision) -> bool {
+    fn is_other_era(&self, at: Revision) -> bool {
         self.mirror.at().is_none_or(|known| known.era != at.era)
     }
 
@@ -272,7 +273,7 @@
     /// Takes the answer to a watch that was given up on. It tells of all changes
     /// since a revision that this copy had then, so it is as good as in time: on
     /// a slow node each watch would be given up on before it answers, for ever.
-    fn take_late(&mut self, outcome: StoreOutcome) -> Vec<MirrorChange> {
+    fn apply_late(&mut self, outcome: StoreOutcome) -> Vec<MirrorChange> {
         let StoreOutcome::Events { events, at } = outcome else {
             return Vec::new();
         };
@@ -280,17 +281,17 @@
             return Vec::new();
         }
         for event in &events {
-            self.note(event.revision());
+            self.note_revision(event.revision());
         }
         self.mirror.apply(at, events)
     }
 
-    fn sound(&mut self, now: Time) {
+    fn mark_healthy(&mut self, now: Time) {
         self.failures = 0;
         self.last_answer = Some(now);
     }
 
-    fn read_again(&mut self) {
+    fn restart_reading(&mut self) {
         self.phase = Phase::Reading {
             at: None,
             items: Vec::new(),
@@ -302,7 +303,7 @@
     /// Invariant: a change counts as seen only once it is in the copy. A reading may be
     /// dropped, since another node's copy was taken meanwhile or a later page failed; were
     /// its changes noted, this node would lack them and ask nobody.
-    fn page(&mut self, page: Vec<Item>, more: bool, page_at: Revision) -> Vec<MirrorChange> {
+    fn add_page(&mut self, page: Vec<Item>, more: bool, page_at: Revision) -> Vec<MirrorChange> {
         let Phase::Reading { at, items } = &mut self.phase else {
             return Vec::new();
         };
@@ -310,7 +311,7 @@
         // comes with the watch, so the first page's revision counts.
         let from = *at.get_or_insert(page_at);
         if from.era != page_at.era {
-            self.read_again();
+            self.restart_reading();
             return Vec::new();
         }
         items.extend(page);
@@ -319,10 +320,10 @@
         }
         let items = std::mem::take(items);
         self.phase = Phase::Watching;
-        self.watch_wait = FIRST_WATCH.min(self.timing.wait);
+        self.next_watch_timeout = INITIAL_WATCH_TIMEOUT.min(self.timing.max_watch_timeout);
         let changes = self.mirror.replace(from, items);
         for change in &changes {
-            self.note(match change {
+            self.note_revision(match change {
                 MirrorChange::Present(item) => item.revision,
                 // When it was removed is not told: by the reading at the latest.
                 MirrorChange::Absent(_) => from,
@@ -331,40 +332,40 @@
         changes
     }
 
-    fn note(&mut self, revision: Revision) {
+    fn note_revision(&mut self, revision: Revision) {
         self.latest = self.latest.max(revision);
     }
 
     fn note_items(&mut self, items: &[Item]) {
         for item in items {
-            self.note(item.revision);
+            self.note_revision(item.revision);
         }
     }
 
     /// Takes a change that this node made itself.
-    pub fn made(&mut self, item: Item) -> Vec<MirrorChange> {
-        self.note(item.revision);
+    pub fn apply_own_write(&mut self, item: Item) -> Vec<MirrorChange> {
+        self.note_revision(item.revision);
         let at = item.revision;
         self.mirror.apply(at, vec![StoreEvent::Put(item)])
     }
 
     /// Takes another node's copy, or what it has beyond this one. The store is
     /// then watched from there on.
-    pub fn adopt(&mut self, snapshot: Snapshot) -> Vec<MirrorChange> {
+    pub fn adopt_snapshot(&mut self, snapshot: Snapshot) -> Vec<MirrorChange> {
         let Snapshot {
             at,
             mut items,
             removals,
-            is_whole,
+            is_full,
             ..
         } = snapshot;
         if self.mirror.at().is_some_and(|known| at <= known) {
             return Vec::new();
         }
         self.phase = Phase::Watching;
-        self.bound_items(items.iter_mut());
+        self.drop_oversized_items(items.iter_mut());
         self.note_items(&items);
-        if is_whole {
+        if is_full {
             return self.mirror.replace(at, items);
         }
         let removed = removals.into_iter().map(|removal| StoreEvent::Removed {
@@ -374,7 +375,7 @@
         let written = items.into_iter().map(StoreEvent::Put);
         let events: Vec<StoreEvent> = removed.chain(written).collect();
         for event in &events {
-            self.note(event.revision());
+            self.note_revision(event.revision());
         }
         self.mirror.apply(at, events)
     }
--- a/crates/router/src/core/standby.rs
+++ b/crates/router/src/core/standby.rs
@@ -31,19 +31,19 @@
 pub const STANDBY_TERM: u64 = 0;
 /// How long the granter must have been silent. Its words come more often, but it
 /// may be a node with little processor time.
-const GRANTER_SILENCE: Duration = Duration::from_millis(1_200);
+const GRANTER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Silence of the granter after which a store that answers makes a standby
 /// decline.
-const DECLINE_SILENCE: Duration = Duration::from_millis(1_000);
+const DECLINE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a standby that declined must have heard a granter to offer itself
 /// again.
-const OFFER_AFTER: Duration = Duration::from_millis(1_000);
+const OFFER_DELAY: Duration = Duration::from_millis(1_000);
 /// Between reports.
-const REPORT: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The granter's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct StandbyWord {
+pub struct StandbyLease {
     /// The granter's term.
     pub epoch: u64,
     /// The run of the node that is meant.
@@ -99,19 +99,19 @@
 }
 
 #[derive(Clone, Debug)]
-struct Prolonging {
+struct PendingOrder {
     service: ServiceName,
     first: ShardKey,
     holder: UpstreamId,
 }
 
 /// This node as a standby.
-pub struct StandbyDuty {
+pub struct StandbyRole {
     config: StandbyConfig,
     /// Until when holds may be prolonged.
-    word_until: Time,
+    lease_until: Time,
     /// When a word last came.
-    word_heard: Option<Time>,
+    lease_heard_at: Option<Time>,
     /// Since when this node declines to be a standby.
     declines_since: Option<Time>,
     /// Words that answer an older report are not taken.
@@ -121,17 +121,17 @@
     report_at: Time,
     due: BTreeMap<(ServiceName, ShardKey), Time>,
     contacts: BTreeMap<UpstreamId, Contact>,
-    calls: BTreeMap<CallId, Prolonging>,
+    calls: BTreeMap<CallId, PendingOrder>,
     next_call: u64,
 }
 
-impl StandbyDuty {
+impl StandbyRole {
     /// A standby that has no word yet.
     pub fn new(config: StandbyConfig) -> Self {
         Self {
             config,
-            word_until: Time::ZERO,
-            word_heard: None,
+            lease_until: Time::ZERO,
+            lease_heard_at: None,
             declines_since: None,
             offered_at: Time::ZERO,
             prolonged_at: None,
@@ -144,13 +144,13 @@
     }
 
     /// Takes the granter's word.
-    pub fn hear(&mut self, now: Time, word: &StandbyWord) {
-        let is_meant = word.run == self.config.id.run && word.echo <= now;
-        if !is_meant || self.declines() || word.echo < self.offered_at {
+    pub fn handle_lease(&mut self, now: Time, lease: &StandbyLease) {
+        let is_addressed = lease.run == self.config.id.run && lease.echo <= now;
+        if !is_addressed || self.declines() || lease.echo < self.offered_at {
             return;
         }
-        self.word_heard = Some(now);
-        self.word_until = self.word_until.max(word.echo + STANDBY_SPAN);
+        self.lease_heard_at = Some(now);
+        self.lease_until = self.lease_until.max(lease.echo + STANDBY_SPAN);
     }
 
     /// Whether this node declines to be a standby.
@@ -161,34 +161,39 @@
     /// Whether the granter, which has sent words, has fallen silent: the store is
     /// to be asked whether it answers.
     pub fn misses_granter(&self, now: Time) -> bool {
-        now < self.word_until && self.silence(now) >= Some(DECLINE_SILENCE)
+        now < self.lease_until && self.granter_silence(now) >= Some(DECLINE_TIMEOUT)
     }
 
-    fn silence(&self, now: Time) -> Option<Duration> {
-        self.word_heard.map(|heard| now.since(heard))
+    fn granter_silence(&self, now: Time) -> Option<Duration> {
+        self.lease_heard_at.map(|heard| now.since(heard))
     }
 
-    /// Declines, or offers this node again. `store_sound_at` is when the last
+    /// Declines, or offers this node again. `last_store_contact` is when the last
     /// call was sent that the store answered; `granter_heard` whether a granter
     /// is heard now.
-    pub fn decide(&mut self, now: Time, store_sound_at: Option<Time>, granter_heard: bool) {
+    pub fn update_declined(
+        &mut self,
+        now: Time,
+        last_store_contact: Option<Time>,
+        granter_heard: bool,
+    ) {
         if let Some(since) = self.declines_since {
             if !granter_heard {
                 self.declines_since = Some(now);
-            } else if now.since(since) >= OFFER_AFTER {
+            } else if now.since(since) >= OFFER_DELAY {
                 self.declines_since = None;
                 self.offered_at = now;
             }
             return;
         }
-        let store_answers = store_sound_at > self.word_heard;
+        let store_answers = last_store_contact > self.lease_heard_at;
         if self.misses_granter(now) && store_answers {
             self.declines_since = Some(now);
-            self.word_until = Time::ZERO;
+            self.lease_until = Time::ZERO;
         }
     }
 
-    fn names_this(&self, assignment: &Assignment) -> bool {
+    fn names_this_node(&self, assignment: &Assignment) -> bool {
         assignment.standbys().contains(&self.config.id)
     }
 
@@ -201,11 +206,11 @@
         changed: bool,
     ) -> Option<StandbyReport> {
         let mut all = assignments.values();
-        let is_named = all.any(|assignment| self.names_this(assignment));
+        let is_named = all.any(|assignment| self.names_this_node(assignment));
         if !is_named || self.declines() || (now < self.report_at && !changed) {
             return None;
         }
-        self.report_at = now + REPORT;
+        self.report_at = now + REPORT_INTERVAL;
         let known = assignments.iter().filter_map(|(service, assignment)| {
             Some(KnownRecord {
                 service: service.clone(),
@@ -224,7 +229,7 @@
     /// Whether holds are to be prolonged: the granter is silent, and its last
     /// word still holds.
     fn is_acting(&self, now: Time) -> bool {
-        now < self.word_until && self.silence(now) >= Some(GRANTER_SILENCE)
+        now < self.lease_until && self.granter_silence(now) >= Some(GRANTER_TIMEOUT)
     }
 
     /// What this node does as a standby.
@@ -233,7 +238,7 @@
             StandbyState::Declines
         } else if self.is_acting(now) {
             StandbyState::Prolongs
-        } else if now < self.word_until {
+        } else if now < self.lease_until {
             StandbyState::Ready
         } else {
             StandbyState::None
@@ -258,7 +263,7 @@
         for (service, assignment) in assignments {
             let epoch = assignment.number().map(|number| number.epoch.0);
             let is_own = own_term >= epoch;
-            if is_own || !self.names_this(assignment) {
+            if is_own || !self.names_this_node(assignment) {
                 continue;
             }
             let pace = self.config.timing.pace(assignment.slices().count());
@@ -267,9 +272,9 @@
                 Some(OrderTask {
                     service: service.clone(),
                     address: addresses.get(&order.holder).copied(),
-                    asks_about: key_of_others(assignment, &order.holder),
+                    probe_key: key_of_others(assignment, &order.holder),
                     order,
-                    until: self.word_until,
+                    until: self.lease_until,
                 })
             });
             tasks.extend(orders);
@@ -302,12 +307,12 @@
         let call = CallId(self.next_call);
         self.next_call += 1;
         contact.sent(now, call);
-        let prolonging = Prolonging {
+        let pending = PendingOrder {
             service: service.clone(),
             first: slice.range.first,
             holder: holder.clone(),
         };
-        self.calls.insert(call, prolonging);
+        self.calls.insert(call, pending);
         Some(GrantOrder {
             call,
             holder: holder.clone(),
@@ -321,16 +326,16 @@
     }
 
     /// Takes an upstream's answer.
-    pub fn handle(&mut self, now: Time, call: CallId, reply: &GrantReply) {
-        let Some(prolonging) = self.calls.remove(&call) else {
+    pub fn handle_reply(&mut self, now: Time, call: CallId, reply: &GrantReply) {
+        let Some(pending) = self.calls.remove(&call) else {
             return;
         };
-        let contact = self.contacts.entry(prolonging.holder).or_default();
+        let contact = self.contacts.entry(pending.holder).or_default();
         if matches!(reply, GrantReply::Granted | GrantReply::Outdated) {
             contact.answered(call);
         } else {
             contact.unanswered(now, call);
-            self.due.insert((prolonging.service, prolonging.first), now);
+            self.due.insert((pending.service, pending.first), now);
         }
     }
 }
--- a/crates/router/src/core/standby_words.rs
+++ b/crates/router/src/core/standby_leases.rs
@@ -2,7 +2,7 @@
 
 use crate::core::grants::Grants;
 use crate::core::records::NodeRecord;
-use crate::core::standby::{StandbyReport, StandbyWord};
+use crate::core::standby::{StandbyLease, StandbyReport};
 use crate::core::views::Views;
 use beamtray_sharding::{Granter, StandbyAnswer, StandbyId};
 use beamtray_types::{ServiceName, Time};
@@ -13,19 +13,19 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How many standbys there are: one may be lost with the granter.
-const STANDBYS: usize = 2;
+const STANDBY_COUNT: usize = 2;
 /// Between words.
-const WORDS: Duration = Duration::from_millis(200);
+const LEASE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Reports and words of a granter's standbys.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StandbyWords {
+pub(crate) struct StandbyLeases {
     /// When the last report of each was sent, by its own clock.
     echoes: BTreeMap<StandbyId, Time>,
-    words_at: Time,
+    next_leases_at: Time,
 }
 
-impl StandbyWords {
+impl StandbyLeases {
     /// The words that are due.
     pub fn poll(
         &mut self,
@@ -35,36 +35,36 @@
         granters: &mut [&mut Granter],
         views: &Views,
         wanted: &[StandbyId],
-    ) -> Vec<(SocketAddr, StandbyWord)> {
-        if now < self.words_at {
+    ) -> Vec<(SocketAddr, StandbyLease)> {
+        if now < self.next_leases_at {
             return Vec::new();
         }
-        self.words_at = now + WORDS;
+        self.next_leases_at = now + LEASE_INTERVAL;
         for granter in granters.iter_mut() {
-            note_ended(now, own, granter, views);
+            mark_ended(now, own, granter, views);
         }
-        let mut meant: BTreeSet<StandbyId> = BTreeSet::new();
+        let mut recipients: BTreeSet<StandbyId> = BTreeSet::new();
         for granter in granters.iter_mut() {
             granter.want_standbys(now, wanted);
-            meant.extend(granter.standby_words(now));
+            recipients.extend(granter.standby_words(now));
         }
-        let mut words = Vec::new();
-        for id in meant {
+        let mut leases = Vec::new();
+        for id in recipients {
             for granter in granters.iter_mut() {
                 granter.standby_word_sent(now, &id);
             }
-            let word = StandbyWord {
+            let lease = StandbyLease {
                 epoch,
                 run: id.run,
                 echo: self.echoes.get(&id).copied().unwrap_or_default(),
             };
-            words.push((id.address, word));
+            leases.push((id.address, lease));
         }
-        words
+        leases
     }
 
     /// Takes a standby's report.
-    pub fn reported(
+    pub fn handle_report(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -95,7 +95,7 @@
 /// Notes standbys that prolong nothing any more: whose node declines, or has an
 /// entry with another run at the same address, so that the process before has
 /// ended. What this node did as one itself ended when it became the granter.
-fn note_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
+fn mark_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
     for id in granter.standbys() {
         let mut nodes = views.nodes.values();
         let node = nodes.find(|node| node.peers == id.address);
@@ -129,9 +129,12 @@
             chosen.push(node);
         }
     }
-    let ids = chosen.into_iter().take(STANDBYS).map(|node| StandbyId {
-        address: node.peers,
-        run: node.run,
-    });
+    let ids = chosen
+        .into_iter()
+        .take(STANDBY_COUNT)
+        .map(|node| StandbyId {
+            address: node.peers,
+            run: node.run,
+        });
     ids.collect()
 }
--- a/crates/router/src/core/views.rs
+++ b/crates/router/src/core/views.rs
@@ -9,12 +9,12 @@
 mod notice;
 mod unusable;
 
-pub use exchange::{Snapshot, StoreContact, ViewHeads, ViewRequest, WantedView};
+pub use exchange::{LatestRevisions, Snapshot, StoreContact, ViewRequest, WantedView};
 pub use notice::{ViewName, ViewNotice};
 pub use unusable::UnusableCounts;
 
-use crate::core::records::{NodeRecord, OwnKeys};
-use crate::core::relays::RelaysHeard;
+use crate::core::records::{NodeRecord, RouterKeys};
+use crate::core::relays::RelayContacts;
 use crate::core::replica::{Replica, ReplicaHealth, ReplicaTiming};
 use beamtray_catalog::{Configuration, Directory, DirectoryPolicy, UpstreamId};
 use beamtray_dialect::Dialect;
@@ -25,38 +25,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use unusable::{Strangers, UnreadableKeys};
+use unusable::{UnknownServices, UnreadableKeys};
 
 /// Pause after changes of a view in which few change together.
-const GATHER_FEW: Duration = Duration::from_millis(30);
+const BATCH_DELAY: Duration = Duration::from_millis(30);
 /// Pause after changes of a view in which many change together.
-const GATHER_MANY: Duration = Duration::from_millis(200);
+const BULK_BATCH_DELAY: Duration = Duration::from_millis(200);
 /// Longest registration that is kept, in bytes: some two hundred times an upstream's own.
-const LONGEST_REGISTRATION: usize = 64 * 1024;
+const MAX_REGISTRATION_SIZE: usize = 64 * 1024;
 /// How long another node may know of a change before the watch that should
 /// have told of it counts as dead.
-const WATCH_DEAF_AFTER: Duration = Duration::from_millis(300);
+const WATCH_STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// The same where the change should have come from a relay. Longer, since a
 /// large copy takes its time and a second way to it would share the link.
-const RELAY_DEAF_AFTER: Duration = Duration::from_millis(900);
+const RELAY_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long a new watch is given before it counts as dead as well.
-const RESTART_PAUSE: Duration = Duration::from_millis(1_200);
+const WATCH_RESTART_INTERVAL: Duration = Duration::from_millis(1_200);
 /// After this long without word from the granter assignments are read from the
 /// store.
-const GRANTER_SILENCE: Duration = Duration::from_millis(1_000);
+const GRANTER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long a node that hears a relay is given to get the nodes from it before it
 /// reads them itself.
-const TOLD_PATIENCE: Duration = Duration::from_millis(1_000);
+const RELAYED_MEMBERS_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a node that has just started waits for the word of a relay.
-const RELAY_PATIENCE: Duration = Duration::from_millis(600);
+const RELAY_STARTUP_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A change that another node knows of.
 #[derive(Clone, Copy, Debug)]
-struct Behind {
+struct Lag {
     revision: Revision,
     /// From when on the way by which the change should have come counts as dead.
-    deaf_at: Time,
+    stalled_at: Time,
     /// When the watch is given up on.
     restart_at: Time,
 }
@@ -65,16 +65,16 @@
 pub struct Views {
     dialect: Rc<dyn Dialect>,
     replicas: [Replica; ViewName::ALL.len()],
-    behind: [Option<Behind>; ViewName::ALL.len()],
-    granter_heard: Option<Time>,
+    lag: [Option<Lag>; ViewName::ALL.len()],
+    granter_heard_at: Option<Time>,
     /// Whether this node follows the store itself.
     follows: bool,
     /// Before this the nodes are not read: many start together.
-    members_from: Time,
+    members_read_after: Time,
     /// Since when the nodes are known.
     members_since: Option<Time>,
     /// The relays that this node hears.
-    pub relays: RelaysHeard,
+    pub relays: RelayContacts,
     /// The upstreams.
     pub directory: Directory,
     /// The configuration in force.
@@ -82,7 +82,7 @@
     /// Newest assignment of each service.
     pub assignments: BTreeMap<ServiceName, Rc<Assignment>>,
     /// Services whose assignment changed since that was last asked for.
-    assigned: BTreeSet<ServiceName>,
+    changed_assignments: BTreeSet<ServiceName>,
     /// Speeds that an earlier process learned, until they are taken.
     pub speeds: Option<SpeedRecord>,
     /// Requests that end upstreams, as the store has them, until they are taken.
@@ -93,7 +93,7 @@
     /// The granter.
     pub granter: Option<GranterRecord>,
     unreadable: UnreadableKeys,
-    strangers: Strangers,
+    unknown_services: UnknownServices,
     notices: Vec<ViewNotice>,
 }
 
@@ -101,33 +101,36 @@
     /// A node that knows nothing; watches wait up to `wait`.
     pub fn new(dialect: Rc<dyn Dialect>, policy: DirectoryPolicy, wait: Duration) -> Self {
         let keys = *dialect.keys();
-        let timing = |gather| ReplicaTiming { wait, gather };
+        let timing = |batch_delay| ReplicaTiming {
+            max_watch_timeout: wait,
+            batch_delay,
+        };
         Self {
             replicas: [
-                Replica::new(keys.operator_prefix, timing(GATHER_FEW)),
-                Replica::new(keys.upstream_prefix, timing(GATHER_MANY))
-                    .with_longest_value(LONGEST_REGISTRATION),
-                Replica::new(OwnKeys::MEMBERS, timing(GATHER_FEW)),
-                Replica::new(OwnKeys::STATE, timing(GATHER_FEW)),
+                Replica::new(keys.operator_prefix, timing(BATCH_DELAY)),
+                Replica::new(keys.upstream_prefix, timing(BULK_BATCH_DELAY))
+                    .with_max_value_size(MAX_REGISTRATION_SIZE),
+                Replica::new(RouterKeys::MEMBERS, timing(BATCH_DELAY)),
+                Replica::new(RouterKeys::STATE, timing(BATCH_DELAY)),
             ],
-            behind: [None; ViewName::ALL.len()],
-            granter_heard: None,
+            lag: [None; ViewName::ALL.len()],
+            granter_heard_at: None,
             follows: true,
-            members_from: Time::ZERO,
+            members_read_after: Time::ZERO,
             members_since: None,
-            relays: RelaysHeard::default(),
+            relays: RelayContacts::default(),
             dialect,
             directory: Directory::new(policy),
             configuration: None,
             assignments: BTreeMap::new(),
-            assigned: BTreeSet::new(),
+            changed_assignments: BTreeSet::new(),
             speeds: None,
             suspicions: None,
             nodes: BTreeMap::new(),
             nodes_changed: true,
             granter: None,
             unreadable: UnreadableKeys::default(),
-            strangers: Strangers::default(),
+            unknown_services: UnknownServices::default(),
             notices: Vec::new(),
         }
     }
@@ -143,7 +146,7 @@
 
     /// Lets the nodes be read at `time` at the earliest.
     pub fn wait_for_members(&mut self, time: Time) {
-        self.members_from = time;
+        self.members_read_after = time;
     }
 
     /// Decides whether this node follows the store itself: as a relay, or
@@ -157,11 +160,11 @@
             None if known => *self.members_since.insert(now),
             None => now,
         };
-        let relies = self.relays.any(now) || now.since(since) < RELAY_PATIENCE;
-        let follows = is_relay || !relies;
+        let can_rely = self.relays.any_fresh(now) || now.since(since) < RELAY_STARTUP_TIMEOUT;
+        let follows = is_relay || !can_rely;
         if follows != self.follows {
-            self.notices.push(ViewNotice::Follows {
-                itself: follows,
+            self.notices.push(ViewNotice::FollowsStore {
+                directly: follows,
                 as_relay: is_relay,
             });
         }
@@ -183,18 +186,18 @@
     }
 
     /// Whether this node follows the store itself.
-    pub fn follows(&self) -> bool {
+    pub fn follows_store(&self) -> bool {
         self.follows
     }
 
     /// Whether neither the store nor a relay keeps some view up.
-    pub fn is_troubled(&self, now: Time) -> bool {
+    pub fn is_disconnected(&self, now: Time) -> bool {
         let watched = [ViewName::Operator, ViewName::Upstreams, ViewName::Members];
         let unknown = |view: &ViewName| self.replica(*view).mirror().at().is_none();
-        if !self.follows && self.relays.any(now) {
+        if !self.follows && self.relays.any_fresh(now) {
             return watched.iter().any(unknown);
         }
-        watched.iter().any(|view| self.replica(*view).is_troubled())
+        watched.iter().any(|view| self.replica(*view).is_failing())
     }
 
     /// Whether the registrations of upstreams were read.
@@ -216,7 +219,7 @@
             ViewName::State if known => self.follows && !self.hears_granter(now),
             _ => self.follows,
         };
-        if !is_due && !self.is_deaf(now, view) {
+        if !is_due && !self.is_stalled(now, view) {
             return None;
         }
         self.replica_mut(view).poll(now)
@@ -225,57 +228,58 @@
     /// Whether a node that knows no other is to read them: not while it hears a
     /// relay, from which it has them at no cost to the store.
     fn reads_members(&self, now: Time) -> bool {
-        let is_told = self.relays.any(now) && now < self.members_from + TOLD_PATIENCE;
-        now >= self.members_from && !is_told
+        let is_relayed =
+            self.relays.any_fresh(now) && now < self.members_read_after + RELAYED_MEMBERS_TIMEOUT;
+        now >= self.members_read_after && !is_relayed
     }
 
     /// Whether another node has known of a change for so long that the way by
     /// which this node should have heard of it counts as dead.
-    fn is_deaf(&self, now: Time, view: ViewName) -> bool {
-        let behind = self.behind[view as usize];
-        view != ViewName::State && behind.is_some_and(|behind| now >= behind.deaf_at)
+    fn is_stalled(&self, now: Time, view: ViewName) -> bool {
+        let lag = self.lag[view as usize];
+        view != ViewName::State && lag.is_some_and(|lag| now >= lag.stalled_at)
     }
 
     /// Compares a copy with what another node has seen.
-    fn compare(&mut self, now: Time, view: ViewName, theirs: Revision) {
-        self.caught_up(view);
-        if !self.replica(view).lacks(theirs) {
+    fn compare_revision(&mut self, now: Time, view: ViewName, theirs: Revision) {
+        self.clear_lag(view);
+        if !self.replica(view).is_behind(theirs) {
             // Another node's word may be older than this copy.
             return;
         }
-        let patience = if self.follows {
-            WATCH_DEAF_AFTER
+        let timeout = if self.follows {
+            WATCH_STALL_TIMEOUT
         } else {
-            RELAY_DEAF_AFTER
+            RELAY_STALL_TIMEOUT
         };
-        let Some(behind) = &mut self.behind[view as usize] else {
-            self.behind[view as usize] = Some(Behind {
+        let Some(lag) = &mut self.lag[view as usize] else {
+            self.lag[view as usize] = Some(Lag {
                 revision: theirs,
-                deaf_at: now + patience,
-                restart_at: now + patience,
+                stalled_at: now + timeout,
+                restart_at: now + timeout,
             });
             return;
         };
-        behind.revision = behind.revision.max(theirs);
-        if view != ViewName::State && now >= behind.restart_at {
-            behind.restart_at = now + RESTART_PAUSE;
+        lag.revision = lag.revision.max(theirs);
+        if view != ViewName::State && now >= lag.restart_at {
+            lag.restart_at = now + WATCH_RESTART_INTERVAL;
             self.restart(now, view);
         }
     }
 
     /// Notes whether a copy has what another node was ahead by.
-    fn caught_up(&mut self, view: ViewName) {
-        let behind = self.behind[view as usize];
-        if behind.is_some_and(|behind| !self.replica(view).lacks(behind.revision)) {
-            self.behind[view as usize] = None;
+    fn clear_lag(&mut self, view: ViewName) {
+        let lag = self.lag[view as usize];
+        if lag.is_some_and(|lag| !self.replica(view).is_behind(lag.revision)) {
+            self.lag[view as usize] = None;
         }
     }
 
     /// Whether the granter tells of assignments. A node that has just started
     /// gives it time to.
     fn hears_granter(&self, now: Time) -> bool {
-        let heard = self.granter_heard.unwrap_or(Time::ZERO);
-        now.since(heard) < GRANTER_SILENCE
+        let heard = self.granter_heard_at.unwrap_or(Time::ZERO);
+        now.since(heard) < GRANTER_TIMEOUT
     }
 
     fn restart(&mut self, now: Time, view: ViewName) {
@@ -285,7 +289,7 @@
 
     fn note_restart(&mut self, view: ViewName) {
         let prefix = self.replica(view).prefix().to_owned();
-        self.notices.push(ViewNotice::Restarted { prefix });
+        self.notices.push(ViewNotice::WatchRestarted { prefix });
     }
 
     /// Tries again at once what has failed: the store answers other calls.
@@ -304,33 +308,34 @@
     }
 
     /// Notes that this node is the granter itself.
-    pub fn granter_is_here(&mut self, now: Time) {
-        self.granter_heard = Some(now);
+    pub fn note_own_granter(&mut self, now: Time) {
+        self.granter_heard_at = Some(now);
     }
 
     /// What this node has seen, for other nodes.
-    pub fn own_heads(&self, contact: Option<StoreContact>) -> ViewHeads {
-        ViewHeads {
+    pub fn own_revisions(&self, contact: Option<StoreContact>) -> LatestRevisions {
+        LatestRevisions {
             latest: ViewName::ALL.map(|view| self.replica(view).latest()),
             contact,
         }
     }
 
     /// Takes an assignment that this node wrote.
-    pub fn wrote(&mut self, now: Time, item: Item) {
-        let changes = self.replica_mut(ViewName::State).made(item);
+    pub fn record_own_write(&mut self, now: Time, item: Item) {
+        let changes = self.replica_mut(ViewName::State).apply_own_write(item);
         self.apply(now, ViewName::State, changes);
     }
 
     /// Takes the outcome of a view's call of that generation.
     pub fn handle(&mut self, now: Time, view: ViewName, generation: u32, outcome: StoreOutcome) {
-        let was_troubled = self.replica(view).is_troubled();
+        let was_failing = self.replica(view).is_failing();
         let (health, changes) = self.replica_mut(view).handle(now, generation, outcome);
-        self.caught_up(view);
-        let sound = health == ReplicaHealth::Sound;
-        if was_troubled != self.replica(view).is_troubled() {
+        self.clear_lag(view);
+        let reachable = health == ReplicaHealth::Healthy;
+        if was_failing != self.replica(view).is_failing() {
             let prefix = self.replica(view).prefix().to_owned();
-            self.notices.push(ViewNotice::Followed { prefix, sound });
+            self.notices
+                .push(ViewNotice::StoreReachable { prefix, reachable });
         }
         self.apply(now, view, changes);
     }
@@ -348,7 +353,7 @@
     }
 
     /// Takes an upstream's word that it leaves; whether that was news.
-    pub fn says_it_leaves(&mut self, now: Time, id: &UpstreamId) -> bool {
+    pub fn mark_leaving(&mut self, now: Time, id: &UpstreamId) -> bool {
         let change = self.directory.says_it_leaves(now, id);
         let is_news = change.is_some();
         self.note_directory(change);
@@ -361,14 +366,14 @@
     }
 
     /// Services whose assignment changed since the last call.
-    pub fn take_assigned(&mut self) -> BTreeSet<ServiceName> {
-        std::mem::take(&mut self.assigned)
+    pub fn take_changed_assignments(&mut self) -> BTreeSet<ServiceName> {
+        std::mem::take(&mut self.changed_assignments)
     }
 
     /// Entries of a view that can't be used.
     pub fn unusable(&self, view: ViewName) -> UnusableCounts {
         let unknown_service = match view {
-            ViewName::Upstreams => self.strangers.count(),
+            ViewName::Upstreams => self.unknown_services.count(),
             _ => 0,
         };
         UnusableCounts {
--- a/crates/router/src/core/views/apply.rs
+++ b/crates/router/src/core/views/apply.rs
@@ -1,7 +1,7 @@
 //! Turns changes of the copies into what the node believes.
 
 use super::{ViewName, ViewNotice, Views};
-use crate::core::records::{NodeRecord, OwnKeys, OwnRecord, decode_part, decode_speeds};
+use crate::core::records::{NodeRecord, RouterKeys, RouterRecord, decode_part, decode_speeds};
 use beamtray_catalog::{Configuration, DirectoryChange, UpstreamName, UpstreamRecord};
 use beamtray_dispatch::SuspicionRecord;
 use beamtray_metastore::{GranterRecord, Item, MirrorChange, Revision};
@@ -15,24 +15,24 @@
 
 impl Views {
     pub(super) fn apply(&mut self, now: Time, view: ViewName, mut changes: Vec<MirrorChange>) {
-        drop_overtaken(&mut changes);
+        drop_superseded_writes(&mut changes);
         // The newest registration at an address counts, so in their order.
         changes.sort_by_key(|change| match change {
             MirrorChange::Absent(_) => Revision::ABSENT,
             MirrorChange::Present(item) => item.revision,
         });
         if view == ViewName::Upstreams {
-            self.vanish(now, &changes);
+            self.remove_vanished(now, &changes);
         }
         for change in changes {
             if let MirrorChange::Absent(key) = &change {
                 self.unreadable.forget(key);
-                self.strangers.forget(key);
+                self.unknown_services.remove(key);
             }
             match view {
                 ViewName::Operator => self.apply_operator(now, change),
                 ViewName::Upstreams => self.apply_upstream(now, change),
-                ViewName::Members | ViewName::State => self.apply_own(change),
+                ViewName::Members | ViewName::State => self.apply_router_change(change),
             }
         }
     }
@@ -90,20 +90,20 @@
             version: configuration.version.0,
             routes: configuration.routes.len(),
         });
-        self.name_services(now, &configuration);
+        self.update_known_services(now, &configuration);
         self.configuration = Some(Rc::new(configuration));
     }
 
     /// Tells upstreams of services that a configuration named from all others.
-    fn name_services(&mut self, now: Time, configuration: &Configuration) {
-        for record in self.strangers.name(configuration) {
+    fn update_known_services(&mut self, now: Time, configuration: &Configuration) {
+        for record in self.unknown_services.set_known(configuration) {
             let changes = self.directory.register(now, record);
             self.note_directory(changes);
         }
         // Those that registered before there was a configuration.
         let registered = self.directory.iter().map(|known| &known.record);
         let unnamed: Vec<Rc<UpstreamRecord>> = registered
-            .filter(|record| self.strangers.is_one(&record.service))
+            .filter(|record| self.unknown_services.is_unknown(&record.service))
             .cloned()
             .collect();
         let prefix = self.dialect.keys().upstream_prefix;
@@ -116,7 +116,8 @@
     /// Keeps a registration that names no upstream to use.
     fn set_aside(&mut self, now: Time, key: String, record: UpstreamRecord) {
         self.withdraw(now, &key);
-        self.notices.extend(self.strangers.keep(key, record));
+        self.notices
+            .extend(self.unknown_services.insert(key, record));
     }
 
     /// What was decoded from the value of a key, if that worked.
@@ -141,13 +142,13 @@
         };
         let decoded = self.dialect.decode_upstream(&item.key, &item.value);
         let Some(record) = self.readable(&item.key, decoded) else {
-            self.strangers.forget(&item.key);
+            self.unknown_services.remove(&item.key);
             return self.withdraw(now, &item.key);
         };
-        if self.strangers.is_one(&record.service) {
+        if self.unknown_services.is_unknown(&record.service) {
             return self.set_aside(now, item.key, record);
         }
-        self.strangers.forget(&item.key);
+        self.unknown_services.remove(&item.key);
         let changes = self.directory.register(now, record);
         self.note_directory(changes);
     }
@@ -160,7 +161,7 @@
         self.note_directory(change);
     }
 
-    fn vanish(&mut self, now: Time, changes: &[MirrorChange]) {
+    fn remove_vanished(&mut self, now: Time, changes: &[MirrorChange]) {
         let prefix = self.dialect.keys().upstream_prefix;
         let absent = changes.iter().filter_map(|change| match change {
             MirrorChange::Absent(key) => key.strip_prefix(prefix),
@@ -178,13 +179,13 @@
             .extend(changes.into_iter().map(ViewNotice::Directory));
     }
 
-    fn apply_own(&mut self, change: MirrorChange) {
+    fn apply_router_change(&mut self, change: MirrorChange) {
         match change {
             MirrorChange::Present(item) => self.apply_record(item),
             MirrorChange::Absent(key) => {
-                if key == OwnKeys::GRANTER {
+                if key == RouterKeys::GRANTER {
                     self.granter_left();
-                } else if let Some(name) = key.strip_prefix(OwnKeys::NODES) {
+                } else if let Some(name) = key.strip_prefix(RouterKeys::NODES) {
                     self.nodes.remove(name);
                     self.nodes_changed = true;
                 }
@@ -199,34 +200,34 @@
 
     fn apply_record(&mut self, item: Item) {
         let Item { key, value, .. } = item;
-        match OwnRecord::of(&key) {
-            Some(OwnRecord::Head(service)) => {
+        match RouterRecord::parse(&key) {
+            Some(RouterRecord::Head(service)) => {
                 let head = self.readable(&key, AssignmentHead::try_from_slice(&value));
                 if let Some(head) = head {
-                    self.take_head(service, head);
+                    self.apply_head(service, head);
                 }
             }
-            Some(OwnRecord::Part(service, part)) => {
+            Some(RouterRecord::Part(service, part)) => {
                 let decoded = decode_part(part, &value);
                 if let Some(part) = self.readable(&key, decoded) {
-                    self.take_part(service, part);
+                    self.apply_part(service, part);
                 }
             }
-            Some(OwnRecord::Node(name)) => {
+            Some(RouterRecord::Node(name)) => {
                 match self.readable(&key, NodeRecord::try_from_slice(&value)) {
                     Some(record) => self.nodes.insert(name, record),
                     None => self.nodes.remove(&name),
                 };
                 self.nodes_changed = true;
             }
-            Some(OwnRecord::Speeds) => {
+            Some(RouterRecord::Speeds) => {
                 self.speeds = self.readable(&key, decode_speeds(&value));
             }
-            Some(OwnRecord::Suspicions) => {
+            Some(RouterRecord::Suspicions) => {
                 let record = self.readable(&key, SuspicionRecord::try_from_slice(&value));
                 self.suspicions = record.or(self.suspicions.take());
             }
-            Some(OwnRecord::Granter) => {
+            Some(RouterRecord::Granter) => {
                 match self.readable(&key, GranterRecord::try_from_slice(&value)) {
                     Some(record) => self.granter_seen(record),
                     None => self.granter_left(),
@@ -244,11 +245,11 @@
         self.granter = Some(record);
     }
 
-    fn take_head(&mut self, service: ServiceName, head: AssignmentHead) {
+    fn apply_head(&mut self, service: ServiceName, head: AssignmentHead) {
         let number = head.number;
         let assignment = self.assignments.entry(service.clone()).or_default();
         if Rc::make_mut(assignment).take_head(head) {
-            self.assigned.insert(service.clone());
+            self.changed_assignments.insert(service.clone());
             self.notices.push(ViewNotice::Assigned {
                 service,
                 epoch: number.epoch.0,
@@ -257,10 +258,10 @@
         }
     }
 
-    fn take_part(&mut self, service: ServiceName, part: AssignmentPart) {
+    fn apply_part(&mut self, service: ServiceName, part: AssignmentPart) {
         let assignment = self.assignments.entry(service.clone()).or_default();
         if Rc::make_mut(assignment).take_part(part) {
-            self.assigned.insert(service);
+            self.changed_assignments.insert(service);
         }
     }
 }
@@ -268,7 +269,7 @@
 /// Drops what was written and then removed, so that a removal which is taken before what is
 /// there, and together with others, is not undone by it: with one answer of the store an
 /// upstream may write its entry once more and remove it.
-fn drop_overtaken(changes: &mut Vec<MirrorChange>) {
+fn drop_superseded_writes(changes: &mut Vec<MirrorChange>) {
     let mut removed: HashSet<String> = HashSet::new();
     let mut kept: Vec<MirrorChange> = Vec::with_capacity(changes.len());
     for change in changes.drain(..).rev() {
--- a/crates/router/src/core/views/exchange.rs
+++ b/crates/router/src/core/views/exchange.rs
@@ -29,15 +29,15 @@
     /// Milliseconds since it asked for the last answer that it got.
     pub age_ms: u16,
     /// Milliseconds since a call got no answer, if that was of late.
-    pub trouble_age_ms: Option<u16>,
+    pub failure_age_ms: Option<u16>,
 }
 
 impl StoreContact {
     /// Contact with those ages; ages that don't fit count as the longest.
-    pub fn new(age: Duration, trouble_age: Option<Duration>) -> Self {
+    pub fn new(age: Duration, failure_age: Option<Duration>) -> Self {
         Self {
             age_ms: millis(age),
-            trouble_age_ms: trouble_age.map(millis),
+            failure_age_ms: failure_age.map(millis),
         }
     }
 
@@ -47,8 +47,8 @@
     }
 
     /// Time since a call got no answer, if that was of late.
-    pub fn trouble_age(&self) -> Option<Duration> {
-        let age = self.trouble_age_ms.map(u64::from);
+    pub fn failure_age(&self) -> Option<Duration> {
+        let age = self.failure_age_ms.map(u64::from);
         age.map(Duration::from_millis)
     }
 }
@@ -59,7 +59,7 @@
 
 /// Newest changes that a node has seen, in the order of [`ViewName::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct ViewHeads {
+pub struct LatestRevisions {
     /// The revisions.
     pub latest: [Revision; ViewName::ALL.len()],
     /// How it stands with the store, if it is a relay.
@@ -78,30 +78,35 @@
     /// Keys that are gone; empty if it is whole.
     pub removals: Vec<Removal>,
     /// Whether these are all items, or those that the asker lacks.
-    pub is_whole: bool,
+    pub is_full: bool,
 }
 
 impl Views {
     /// Takes word of what another node has seen. The views of which it knows
     /// more and that this node has from others.
-    pub fn heads(&mut self, now: Time, from: SocketAddr, heads: &ViewHeads) -> Vec<ViewName> {
+    pub fn handle_revisions(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        revisions: &LatestRevisions,
+    ) -> Vec<ViewName> {
         if self
             .granter
             .as_ref()
             .is_some_and(|granter| granter.peers == from)
         {
-            self.granter_heard = Some(now);
+            self.granter_heard_at = Some(now);
         }
-        if let Some(contact) = heads.contact {
-            self.hear_relay(now, from, contact);
+        if let Some(contact) = revisions.contact {
+            self.record_relay_contact(now, from, contact);
         }
-        for (view, theirs) in ViewName::ALL.into_iter().zip(heads.latest) {
-            self.compare(now, view, theirs);
+        for (view, theirs) in ViewName::ALL.into_iter().zip(revisions.latest) {
+            self.compare_revision(now, view, theirs);
         }
-        let lacking = ViewName::ALL.into_iter().zip(heads.latest);
+        let lacking = ViewName::ALL.into_iter().zip(revisions.latest);
         lacking
             .filter(|(view, theirs)| {
-                self.is_fetched(now, *view) && self.replica(*view).lacks(*theirs)
+                self.is_fetched(now, *view) && self.replica(*view).is_behind(*theirs)
             })
             .map(|(view, _)| view)
             .collect()
@@ -113,7 +118,7 @@
         let views = ViewName::ALL.into_iter();
         views
             .filter(|view| self.is_fetched(now, *view))
-            .filter(|view| self.behind[*view as usize].is_some())
+            .filter(|view| self.lag[*view as usize].is_some())
             .collect()
     }
 
@@ -121,13 +126,13 @@
     /// asks others as well once its watch counts as dead: a slow store may take
     /// longer for a large answer than any watch is given.
     fn is_fetched(&self, now: Time, view: ViewName) -> bool {
-        view == ViewName::State || !self.follows || self.is_deaf(now, view)
+        view == ViewName::State || !self.follows || self.is_stalled(now, view)
     }
 
-    fn hear_relay(&mut self, now: Time, from: SocketAddr, contact: StoreContact) {
-        let trouble_age = contact.trouble_age();
-        self.relays.hear(now, from, contact.age(), trouble_age);
-        if let Some(age) = trouble_age {
+    fn record_relay_contact(&mut self, now: Time, from: SocketAddr, contact: StoreContact) {
+        let failure_age = contact.failure_age();
+        self.relays.record(now, from, contact.age(), failure_age);
+        if let Some(age) = failure_age {
             self.directory.store_troubled(now - age);
         }
     }
@@ -154,7 +159,7 @@
         let newer = |at: &Revision| wanted.at.is_none_or(|theirs| theirs < *at);
         let at = mirror.at().filter(newer)?;
         let delta = wanted.at.and_then(|theirs| mirror.delta(theirs));
-        let is_whole = delta.is_none();
+        let is_full = delta.is_none();
         let delta = delta.unwrap_or_else(|| MirrorDelta {
             present: mirror.items().cloned().collect(),
             absent: Vec::new(),
@@ -164,7 +169,7 @@
             at,
             items: delta.present,
             removals: delta.absent,
-            is_whole,
+            is_full,
         })
     }
 
@@ -172,8 +177,8 @@
     pub fn adopt(&mut self, now: Time, snapshots: Vec<Snapshot>) {
         for snapshot in snapshots {
             let view = snapshot.view;
-            let changes = self.replica_mut(view).adopt(snapshot);
-            self.caught_up(view);
+            let changes = self.replica_mut(view).adopt_snapshot(snapshot);
+            self.clear_lag(view);
             self.apply(now, view, changes);
         }
     }
--- a/crates/router/src/core/views/notice.rs
+++ b/crates/router/src/core/views/notice.rs
@@ -70,22 +70,22 @@
         epoch: u64,
     },
     /// A watch was given up on, since others know more.
-    Restarted {
+    WatchRestarted {
         /// Prefix of the view.
         prefix: String,
     },
     /// This node follows the store itself, or relies on relays.
-    Follows {
+    FollowsStore {
         /// Whether it follows the store.
-        itself: bool,
+        directly: bool,
         /// Whether it is the relay that others rely on.
         as_relay: bool,
     },
     /// A view is not kept up by the store any more, or is again.
-    Followed {
+    StoreReachable {
         /// Prefix of the view.
         prefix: String,
         /// Whether the store answers.
-        sound: bool,
+        reachable: bool,
     },
 }
--- a/crates/router/src/core/views/unusable.rs
+++ b/crates/router/src/core/views/unusable.rs
@@ -10,7 +10,7 @@
 use std::ops::Bound;
 
 /// Longest cause that is told, in bytes: a decoder may quote a value of a megabyte.
-const LONGEST_CAUSE: usize = 200;
+const MAX_CAUSE_LENGTH: usize = 200;
 
 /// How many entries below one prefix can't be used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         if !self.0.insert(key.clone()) {
             return None;
         }
-        let cause = shortened(cause);
+        let cause = truncated(cause);
         Some(ViewNotice::Unreadable { key, cause })
     }
 
@@ -49,11 +49,11 @@
     }
 }
 
-fn shortened(cause: &str) -> String {
-    if cause.len() <= LONGEST_CAUSE {
+fn truncated(cause: &str) -> String {
+    if cause.len() <= MAX_CAUSE_LENGTH {
         return cause.to_owned();
     }
-    let end = cause.floor_char_boundary(LONGEST_CAUSE);
+    let end = cause.floor_char_boundary(MAX_CAUSE_LENGTH);
     format!("{}...", &cause[..end])
 }
 
@@ -63,22 +63,22 @@
 /// vanishes together. A service that was named once stays known: upstreams of a service
 /// that comes back would have to get their keys anew.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Strangers {
+pub(super) struct UnknownServices {
     /// Services that a configuration named; `None` before the first one.
-    named: Option<BTreeSet<ServiceName>>,
+    known_services: Option<BTreeSet<ServiceName>>,
     /// By the key of the entry.
     registrations: BTreeMap<String, UpstreamRecord>,
 }
 
-impl Strangers {
+impl UnknownServices {
     /// Whether an upstream of that service is one. Before there is a configuration, none is.
-    pub fn is_one(&self, service: &ServiceName) -> bool {
-        let named = self.named.as_ref();
-        named.is_some_and(|named| !named.contains(service))
+    pub fn is_unknown(&self, service: &ServiceName) -> bool {
+        let known = self.known_services.as_ref();
+        known.is_some_and(|known| !known.contains(service))
     }
 
     /// Keeps a registration aside; what to tell of it, unless it was there before.
-    pub fn keep(&mut self, key: String, record: UpstreamRecord) -> Option<ViewNotice> {
+    pub fn insert(&mut self, key: String, record: UpstreamRecord) -> Option<ViewNotice> {
         let notice = ViewNotice::UnknownService {
             key: key.clone(),
             service: record.service.clone(),
@@ -88,19 +88,19 @@
     }
 
     /// Drops the registration of that key.
-    pub fn forget(&mut self, key: &str) {
+    pub fn remove(&mut self, key: &str) {
         self.registrations.remove(key);
     }
 
     /// Takes the services of a configuration; the registrations that it names now.
-    pub fn name(&mut self, configuration: &Configuration) -> Vec<UpstreamRecord> {
+    pub fn set_known(&mut self, configuration: &Configuration) -> Vec<UpstreamRecord> {
         let services = configuration.services.iter();
-        let named = self.named.get_or_insert_default();
-        named.extend(services.map(|service| service.name.clone()));
-        let named = self
+        let known_services = self.known_services.get_or_insert_default();
+        known_services.extend(services.map(|service| service.name.clone()));
+        let newly_known = self
             .registrations
-            .extract_if(.., |_, record| named.contains(&record.service));
-        named.map(|(_, record)| record).collect()
+            .extract_if(.., |_, record| known_services.contains(&record.service));
+        newly_known.map(|(_, record)| record).collect()
     }
 
     /// How many there are.
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -59,12 +59,12 @@
             dispatch: self.dispatch_config(run),
             control: self.control_config(record),
             directory: self.directory_policy(),
-            watch_wait: WATCH_WAIT,
+            watch_timeout: WATCH_WAIT,
             start_delay: self.start_delay(),
             seeds: self.seeds.clone(),
             timing: Timing::default(),
-            hears_leaving: true,
-            tells_suspicions: true,
+            accept_leaving_notices: true,
+            share_suspicions: true,
         }
     }
 
@@ -131,7 +131,7 @@
         let hold = longest.min(HOLD);
         let renewal = GRANT_RENEWAL.min(hold / 4);
         let least = Duration::from_millis(self.store.least_ttl_ms);
-        let patience = Duration::from_millis(20 + run_spread(record.run) % 180);
+        let election_delay = Duration::from_millis(20 + run_spread(record.run) % 180);
         ControlConfig {
             record,
             node_lease: LeaseTiming {
@@ -142,8 +142,8 @@
                 ttl: GRANTER_TTL.max(least),
                 renewal: GRANTER_RENEWAL,
             },
-            patience,
-            keeps_suspicions: true,
+            election_delay,
+            persist_suspicions: true,
             grants: GranterTiming {
                 hold,
                 renewal,
--- a/crates/router/src/shell/actor.rs
+++ b/crates/router/src/shell/actor.rs
@@ -44,7 +44,7 @@
         }
         self.turn.due.set(self.core.next_due());
         self.turn.ready.set(self.core.is_ready());
-        self.turn.tick_pause.set(self.core.tick_pause(now));
+        self.turn.tick_pause.set(self.core.tick_interval(now));
     }
 
     /// Lets the owner look at the core.
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -94,13 +94,13 @@
         });
     }
     if result.leaves {
-        shared.input(Input::Leaves {
+        shared.input(Input::UpstreamLeaving {
             upstream: forward.upstream.clone(),
         });
     }
     if let Some(rest) = result.rest {
         shared.observer.rest_asked(&forward.upstream, rest);
-        shared.input(Input::Rests {
+        shared.input(Input::RestRequested {
             upstream: forward.upstream.clone(),
             rest,
         });
@@ -110,7 +110,7 @@
         shared.observer.answered(&forward.route.name, age);
         shared.step(ticket, Step::Answer(Box::new(response)));
     }
-    shared.input(Input::Ended {
+    shared.input(Input::AttemptEnded {
         ticket,
         outcome: result.outcome,
         rate: result.rate,
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -106,7 +106,7 @@
         return GrantReply::Undelivered;
     }
     let is_grant = matches!(task.order.kind, OrderKind::Grant { .. });
-    if let Some(key) = task.asks_about.filter(|_| is_grant) {
+    if let Some(key) = task.probe_key.filter(|_| is_grant) {
         let question = task.order.question(key);
         match exchange(shared, address, &question, GRANT_TIMEOUT, task.until).await {
             GrantReply::Replaced => return GrantReply::Replaced,
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -387,7 +387,7 @@
         self.configuration.set(version as i64);
         self.upstreams.set(views.directory.iter().count() as i64);
         self.nodes.set(views.nodes.len() as i64);
-        self.follows_store.set(views.follows().into());
+        self.follows_store.set(views.follows_store().into());
         for view in ViewName::ALL {
             let age = views.replica(view).age(now).as_millis() as i64;
             let label = ViewLabel {
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -124,21 +124,21 @@
                 let node = node.as_deref().unwrap_or("-");
                 info!(log, "granter_seen"; "node" => node, "epoch" => epoch);
             }
-            ViewNotice::Restarted { prefix } => {
+            ViewNotice::WatchRestarted { prefix } => {
                 info!(log, "watch_restarted"; "prefix" => prefix);
             }
-            ViewNotice::Follows { itself, as_relay } => {
-                info!(log, "follows"; "store" => itself, "as_relay" => as_relay);
+            ViewNotice::FollowsStore { directly, as_relay } => {
+                info!(log, "follows"; "store" => directly, "as_relay" => as_relay);
             }
-            ViewNotice::Followed {
+            ViewNotice::StoreReachable {
                 prefix,
-                sound: true,
+                reachable: true,
             } => {
                 info!(log, "store_regained"; "prefix" => prefix);
             }
-            ViewNotice::Followed {
+            ViewNotice::StoreReachable {
                 prefix,
-                sound: false,
+                reachable: false,
             } => {
                 warn!(log, "store_lost"; "prefix" => prefix);
             }
--- a/crates/router/src/shell/outputs.rs
+++ b/crates/router/src/shell/outputs.rs
@@ -17,15 +17,17 @@
         Output::Store(task, call) => calls::call_store(shared, task, call),
         Output::Order(task, epoch) => calls::order(shared, task, epoch),
         Output::Send(datagram, addresses) => peers::send(shared, &datagram, &addresses),
-        Output::Ask(address, request, wait) => peers::ask(shared, address, request, wait),
+        Output::FetchSnapshots(address, request, wait) => {
+            peers::ask(shared, address, request, wait)
+        }
         Output::Probe(doubted) => probe::listens(shared, doubted),
         Output::Quarantine(notice) => shared.observer.quarantine(notice),
         Output::RateLimit(upstream, notice) => {
             shared.observer.rate_limit(upstream.as_ref(), notice);
         }
         Output::StoreEra { before, era } => shared.observer.store_era(before, era),
-        Output::Limits(limits) => shared.limits.set(limits),
-        Output::Notice(notice) => {
+        Output::ClientLimits(limits) => shared.limits.set(limits),
+        Output::ViewChanged(notice) => {
             shared.observer.notice(&notice);
             forget_ended(shared, &notice);
         }
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -41,7 +41,7 @@
 
 /// Sends word to other nodes; what does not fit a packet goes in several.
 pub(crate) fn send(shared: &Shared, datagram: &Datagram, addresses: &[SocketAddr]) {
-    let Datagram::Keys(report) = datagram else {
+    let Datagram::KeyReport(report) = datagram else {
         return send_one(shared, datagram, addresses);
     };
     for keys in report.keys.chunks(KEYS_A_DATAGRAM) {
@@ -49,7 +49,7 @@
             services: report.services.clone(),
             keys: keys.to_vec(),
         };
-        send_one(shared, &Datagram::Keys(part), addresses);
+        send_one(shared, &Datagram::KeyReport(part), addresses);
     }
 }
 
@@ -93,7 +93,7 @@
 
 fn not_answered(shared: &Shared, address: SocketAddr, error: &str) -> Input {
     shared.observer.peer_unanswered(address, error);
-    Input::NotAnswered(address)
+    Input::SnapshotsUnavailable(address)
 }
 
 async fn fetch(address: SocketAddr, request: &ViewRequest) -> Result<Vec<Snapshot>, PeerError> {
--- a/crates/router/src/shell/process.rs
+++ b/crates/router/src/shell/process.rs
@@ -218,7 +218,7 @@
     shared.connections.forget_all();
     shared.order_connections.forget_all();
     shared.woke.notify_waiters();
-    shared.input(Input::Woke);
+    shared.input(Input::Resumed);
 }
 
 async fn prune(shared: Rc<Shared>) {
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -5,7 +5,7 @@
 use beamtray_dialect::Dialect;
 use beamtray_emulator::{StoreEmulator, StoreReply};
 use beamtray_metastore::{Epoch, GranterRecord, Item, Revision, StoreEvent, StoreOutcome};
-use beamtray_router::core::{Input, NodeCore, NodeRecord, Output, OwnKeys, ViewName, Views};
+use beamtray_router::core::{Input, NodeCore, NodeRecord, Output, RouterKeys, ViewName, Views};
 use beamtray_routersim::{SimDialect, World, usual_settings};
 use beamtray_sharding::{
     AssignmentRecord, FencingToken, GrantOrder, OrderKind, Part, SliceRecord, SliceState,
@@ -73,14 +73,14 @@
     };
     let service = ServiceName::from(KEYED);
     let head = borsh::to_vec(&record.head()).expect("in memory");
-    store.put(at(0), &OwnKeys::assignment_head(&service), head);
+    store.put(at(0), &RouterKeys::assignment_head(&service), head);
     for part in record.parts() {
-        let key = OwnKeys::assignment_part(&service, part.part);
+        let key = RouterKeys::assignment_part(&service, part.part);
         store.put(at(0), &key, borsh::to_vec(&part).expect("in memory"));
     }
     store.put(
         at(0),
-        OwnKeys::EPOCH,
+        RouterKeys::EPOCH,
         borsh::to_vec(&Epoch(1)).expect("in memory"),
     );
     store
@@ -116,7 +116,7 @@
 fn orders_with_unreadable(part: Part, until: u64) -> Vec<GrantOrder> {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
-    let key = OwnKeys::assignment_part(&KEYED.into(), part);
+    let key = RouterKeys::assignment_part(&KEYED.into(), part);
     store.put(at(0), &key, b"not a part".to_vec());
     orders(&mut store, dialect, until)
 }
@@ -151,8 +151,8 @@
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
     let service = KEYED.into();
-    store.delete(at(0), &OwnKeys::assignment_part(&service, part));
-    store.delete(at(0), &OwnKeys::assignment_head(&service));
+    store.delete(at(0), &RouterKeys::assignment_part(&service, part));
+    store.delete(at(0), &RouterKeys::assignment_head(&service));
     let orders = orders(&mut store, dialect, WITHIN_HOLD);
     let is_granted = |order: &GrantOrder| {
         matches!(order.kind, OrderKind::Grant { .. }) && order.range.overlaps(part.range())
@@ -168,7 +168,7 @@
     let entry = format!("{}one", dialect.keys().upstream_prefix);
     store.put(at(0), &entry, Vec::new());
     if let Some(value) = head {
-        let key = OwnKeys::assignment_head(&KEYED.into());
+        let key = RouterKeys::assignment_head(&KEYED.into());
         store.put(at(0), &key, value.to_vec());
     }
     let orders = orders(&mut store, dialect, until);
@@ -196,11 +196,11 @@
             // Writes of earlier terms.
             store.put(
                 at(0),
-                OwnKeys::EPOCH,
+                RouterKeys::EPOCH,
                 borsh::to_vec(&Epoch(9)).expect("in memory"),
             );
         }
-        store.put(at(0), OwnKeys::EPOCH, value.clone());
+        store.put(at(0), RouterKeys::EPOCH, value.clone());
         let orders = orders(&mut store, dialect, WITHIN_HOLD);
         let highest = FencingToken::new(Epoch(9), 1 << 20);
         let fresh = orders.iter().filter(|order| order.token != FencingToken(5));
@@ -258,14 +258,14 @@
     let service = ServiceName::from(KEYED);
     let part = Part::numbered(3).expect("a part");
     vec![
-        (ViewName::Members, OwnKeys::node("other")),
-        (ViewName::Members, OwnKeys::GRANTER.to_owned()),
-        (ViewName::State, OwnKeys::assignment_head(&service)),
-        (ViewName::State, OwnKeys::assignment_part(&service, part)),
-        (ViewName::State, OwnKeys::SPEEDS.to_owned()),
-        (ViewName::State, OwnKeys::SUSPICIONS.to_owned()),
-        (ViewName::State, format!("{}foreign", OwnKeys::STATE)),
-        (ViewName::Members, format!("{}foreign", OwnKeys::MEMBERS)),
+        (ViewName::Members, RouterKeys::node("other")),
+        (ViewName::Members, RouterKeys::GRANTER.to_owned()),
+        (ViewName::State, RouterKeys::assignment_head(&service)),
+        (ViewName::State, RouterKeys::assignment_part(&service, part)),
+        (ViewName::State, RouterKeys::SPEEDS.to_owned()),
+        (ViewName::State, RouterKeys::SUSPICIONS.to_owned()),
+        (ViewName::State, format!("{}foreign", RouterKeys::STATE)),
+        (ViewName::Members, format!("{}foreign", RouterKeys::MEMBERS)),
     ]
 }
 
@@ -288,19 +288,25 @@
         epoch: Epoch(4),
         peers: record.peers,
     };
-    let [key, other] = [OwnKeys::node("other"), OwnKeys::node("third")];
+    let [key, other] = [RouterKeys::node("other"), RouterKeys::node("third")];
     let encoded = borsh::to_vec(&record).expect("in memory");
     write(&mut views, ViewName::Members, &key, encoded, 2);
     let encoded = borsh::to_vec(&node("third")).expect("in memory");
     write(&mut views, ViewName::Members, &other, encoded, 3);
     let encoded = borsh::to_vec(&granter).expect("in memory");
-    write(&mut views, ViewName::Members, OwnKeys::GRANTER, encoded, 4);
+    write(
+        &mut views,
+        ViewName::Members,
+        RouterKeys::GRANTER,
+        encoded,
+        4,
+    );
     assert!(views.granter.is_some());
     write(&mut views, ViewName::Members, &key, b"?".to_vec(), 5);
     write(
         &mut views,
         ViewName::Members,
-        OwnKeys::GRANTER,
+        RouterKeys::GRANTER,
         b"?".to_vec(),
         6,
     );
@@ -330,7 +336,7 @@
         let Ok(value) = borsh::to_vec(&record(slowness)) else {
             continue;
         };
-        write(&mut views, ViewName::State, OwnKeys::SPEEDS, value, 2);
+        write(&mut views, ViewName::State, RouterKeys::SPEEDS, value, 2);
         assert_eq!(views.speeds.is_some(), is_taken, "{slowness}");
     }
 }
@@ -339,7 +345,7 @@
     /// Any bytes below any key, and a record of a node beside them.
     fn any_record_leaves_the_others_alone(values: Vec<Vec<u8>>) -> bool {
         let mut views = views();
-        let key = OwnKeys::node("third");
+        let key = RouterKeys::node("third");
         let encoded = borsh::to_vec(&node("third")).expect("in memory");
         write(&mut views, ViewName::Members, &key, encoded, 2);
         let mut revision = 2;
@@ -376,7 +382,7 @@
             let length = value.len();
             value[index % length] ^= mask;
             value.truncate(length - cut % 3);
-            let key = OwnKeys::assignment_part(&service, part.part);
+            let key = RouterKeys::assignment_part(&service, part.part);
             write(&mut views, ViewName::State, &key, value, 2 + number as u64);
         }
         // Whatever was taken can be reckoned with.
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -4,7 +4,7 @@
 use beamtray_dialect::Dialect;
 use beamtray_metastore::{Item, Revision};
 use beamtray_router::core::{
-    Datagram, Input, NodeCore, NodeRecord, Output, OwnKeys, Snapshot, ViewHeads, ViewName,
+    Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, Snapshot, ViewName,
 };
 use beamtray_routersim::{SimDialect, usual_settings};
 use beamtray_types::Time;
@@ -34,7 +34,7 @@
     outputs
         .into_iter()
         .filter_map(|output| match output {
-            Output::Send(Datagram::Heads(_), addresses) => Some(addresses),
+            Output::Send(Datagram::LatestRevisions(_), addresses) => Some(addresses),
             _ => None,
         })
         .flatten()
@@ -68,13 +68,13 @@
         at: Revision::new(3),
         items: vec![item],
         removals: Vec::new(),
-        is_whole: true,
+        is_full: true,
     };
     core.handle(at(10), Input::Snapshots(address(2), vec![snapshot]));
     let heard = Datagram::Answers(Vec::new());
     core.handle(at(20), Input::Datagram(address(2), heard));
     let gone = |outputs: Vec<Output>| {
-        let told = |output: &Output| matches!(output, Output::Send(Datagram::Gone(_), _));
+        let told = |output: &Output| matches!(output, Output::Send(Datagram::UpstreamGone(_), _));
         outputs.iter().filter(|output| told(output)).count()
     };
     let replaced = || Input::Replaced {
@@ -93,7 +93,7 @@
     let mut core = core();
     assert!(told(core.handle(at(10), Input::Tick)).is_empty());
     let latest = [Revision::new(0); ViewName::ALL.len()];
-    let heads = Datagram::Heads(ViewHeads {
+    let heads = Datagram::LatestRevisions(LatestRevisions {
         latest,
         contact: None,
     });
@@ -113,7 +113,7 @@
         ..own.clone()
     });
     let item = |record: NodeRecord| Item {
-        key: OwnKeys::node(&record.name),
+        key: RouterKeys::node(&record.name),
         value: borsh::to_vec(&record).expect("a record in memory"),
         revision: Revision::new(4),
     };
@@ -122,14 +122,14 @@
         at: Revision::new(4),
         items: others.map(item).collect(),
         removals: Vec::new(),
-        is_whole: true,
+        is_full: true,
     }
 }
 
 /// Whom the node asks for copies.
 fn asked(outputs: Vec<Output>) -> Vec<SocketAddr> {
     let asked = outputs.into_iter().filter_map(|output| match output {
-        Output::Ask(address, ..) => Some(address),
+        Output::FetchSnapshots(address, ..) => Some(address),
         _ => None,
     });
     asked.collect()
@@ -146,7 +146,7 @@
     let first = asked(core.handle(at(18), nodes));
     assert!(!first.is_empty());
     assert!(first.iter().all(|one| *one == address(30)), "{first:?}");
-    let next = asked(core.handle(at(19), Input::NotAnswered(address(30))));
+    let next = asked(core.handle(at(19), Input::SnapshotsUnavailable(address(30))));
     assert!(next.contains(&address(29)), "{next:?}");
 }
 
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -1,6 +1,6 @@
 //! Which nodes are relays.
 
-use beamtray_router::core::{NodeRecord, Relays, RelaysHeard};
+use beamtray_router::core::{NodeRecord, RelayContacts, Relays};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,9 +28,9 @@
     records.extend(nodes("bb", 8, |_| 200));
     records.extend(nodes("ccc", 100, |_| 200));
     let relays = Relays::choose(&named(records));
-    let counts = ["a", "bb", "ccc"].map(|zone| relays.of_zone(zone).len());
+    let counts = ["a", "bb", "ccc"].map(|zone| relays.in_zone(zone).len());
     assert_eq!(counts, [1, 2, 3]);
-    assert_eq!(relays.of_others("ccc").count(), 3);
+    assert_eq!(relays.in_other_zones("ccc").count(), 3);
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let able = [records[18].peers, records[19].peers];
     let relays = Relays::choose(&named(records));
     assert!(
-        relays.of_zone("a")[..2]
+        relays.in_zone("a")[..2]
             .iter()
             .all(|one| able.contains(one))
     );
@@ -49,13 +49,13 @@
 fn a_node_that_leaves_is_replaced_and_nobody_else_moves() {
     let records = nodes("a", 20, |_| 200);
     let before = Relays::choose(&named(records.clone()));
-    let first = before.of_zone("a")[0];
+    let first = before.in_zone("a")[0];
     let left: Vec<NodeRecord> = records
         .into_iter()
         .filter(|one| one.peers != first)
         .collect();
     let after = Relays::choose(&named(left));
-    assert_eq!(after.of_zone("a")[..2], before.of_zone("a")[1..]);
+    assert_eq!(after.in_zone("a")[..2], before.in_zone("a")[1..]);
 }
 
 /// One zone's relay follows the store for the site, in an order that all compute
@@ -65,9 +65,9 @@
     let mut records = nodes("a", 20, |_| 200);
     records.extend(nodes("bb", 20, |_| 500));
     let relays = Relays::choose(&named(records));
-    assert_eq!(relays.of_zones_before("bb").count(), 0);
-    let before: Vec<_> = relays.of_zones_before("a").collect();
-    assert_eq!(before, relays.of_zone("bb"));
+    assert_eq!(relays.in_zones_before("bb").count(), 0);
+    let before: Vec<_> = relays.in_zones_before("a").collect();
+    assert_eq!(before, relays.in_zone("bb"));
 }
 
 /// What a relay passes on of the store's answer only grows older, so two relays that
@@ -76,21 +76,21 @@
 fn a_passed_on_answer_grows_old() {
     let one = ([10, 0, 0, 1], 7_000).into();
     let other = ([10, 0, 0, 2], 7_000).into();
-    let mut at_one = RelaysHeard::default();
-    let mut at_other = RelaysHeard::default();
-    at_one.hear(Time(0), other, Duration::from_millis(100), None);
+    let mut at_one = RelayContacts::default();
+    let mut at_other = RelayContacts::default();
+    at_one.record(Time(0), other, Duration::from_millis(100), None);
     let mut now = Time(0);
     let mut rounds = 0;
     loop {
         now = now + Duration::from_millis(200);
-        let Some(contact) = at_one.newest_of(now, [other].into_iter()) else {
+        let Some(contact) = at_one.freshest_of(now, [other].into_iter()) else {
             break;
         };
-        at_other.hear(now, one, contact.age, contact.trouble_age);
-        let Some(contact) = at_other.newest_of(now, [one].into_iter()) else {
+        at_other.record(now, one, contact.age, contact.failure_age);
+        let Some(contact) = at_other.freshest_of(now, [one].into_iter()) else {
             break;
         };
-        at_one.hear(now, other, contact.age, contact.trouble_age);
+        at_one.record(now, other, contact.age, contact.failure_age);
         rounds += 1;
         assert!(rounds < 10);
     }
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -64,7 +64,7 @@
                 revision,
             }],
             removals: Vec::new(),
-            is_whole: true,
+            is_full: true,
         };
         let snapshots = Input::Snapshots(address(2), vec![snapshot]);
         self.core.handle(at(millis), snapshots)
@@ -112,7 +112,7 @@
         let ticket = Ticket(ticket);
         let outcome = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
         let rate = None;
-        let ended = Input::Ended {
+        let ended = Input::AttemptEnded {
             ticket,
             outcome,
             rate,
--- a/crates/router/tests/takeover.rs
+++ b/crates/router/tests/takeover.rs
@@ -5,7 +5,7 @@
 use beamtray_emulator::{StoreEmulator, StoreReply};
 use beamtray_metastore::Epoch;
 use beamtray_router::core::{
-    Input, NodeCore, Output, OwnKeys, StoreTask, ViewName, ViewRequest, WantedView,
+    Input, NodeCore, Output, RouterKeys, StoreTask, ViewName, ViewRequest, WantedView,
 };
 use beamtray_routersim::{SimDialect, World, usual_settings};
 use beamtray_sharding::{AssignmentRecord, FencingToken, Part, SliceRecord, SliceState};
@@ -40,9 +40,9 @@
         slices: slices.collect(),
     };
     let head = borsh::to_vec(&record.head()).expect("in memory");
-    store.put(at(0), &OwnKeys::assignment_head(service), head);
+    store.put(at(0), &RouterKeys::assignment_head(service), head);
     for part in record.parts().into_iter().rev() {
-        let key = OwnKeys::assignment_part(service, part.part);
+        let key = RouterKeys::assignment_part(service, part.part);
         store.put(at(0), &key, borsh::to_vec(&part).expect("in memory"));
     }
 }
@@ -97,7 +97,7 @@
     let answer = core.answer(&ViewRequest {
         wanted: vec![wanted],
     });
-    let head = OwnKeys::assignment_head(&"keyed".into());
+    let head = RouterKeys::assignment_head(&"keyed".into());
     let items = answer.iter().flat_map(|snapshot| &snapshot.items);
     let parts = items.filter(|item| item.key != head);
     assert_eq!(parts.count(), Part::all().count());
