--- a/crates/router/tests/views.rs
+++ b/crates/router/tests/views.rs
@@ -2,7 +2,7 @@
 
 use beamtray_catalog::DirectoryPolicy;
 use beamtray_metastore::{Item, Revision, StoreCall, StoreEvent, StoreOutcome};
-use beamtray_router::core::{OwnKeys, Snapshot, StoreContact, ViewHeads, ViewName, Views};
+use beamtray_router::core::{LatestRevisions, RouterKeys, Snapshot, StoreContact, ViewName, Views};
 use beamtray_routersim::SimDialect;
 use beamtray_types::Time;
 use std::net::SocketAddr;
@@ -54,10 +54,10 @@
     views
 }
 
-fn heads(upstreams: u64) -> ViewHeads {
+fn heads(upstreams: u64) -> LatestRevisions {
     let mut latest = [Revision::new(0); ViewName::ALL.len()];
     latest[ViewName::Upstreams as usize] = Revision::new(upstreams);
-    ViewHeads {
+    LatestRevisions {
         latest,
         contact: None,
     }
@@ -68,9 +68,9 @@
 #[test]
 fn a_watch_that_others_are_ahead_of_is_given_up() {
     let mut views = watching();
-    views.heads(at(100), peer(), &heads(12));
+    views.handle_revisions(at(100), peer(), &heads(12));
     assert_eq!(views.poll(at(350), ViewName::Upstreams), None);
-    views.heads(at(450), peer(), &heads(12));
+    views.handle_revisions(at(450), peer(), &heads(12));
     let call = views.poll(at(450), ViewName::Upstreams);
     assert!(matches!(call, Some(StoreCall::Watch { after, .. }) if after == Revision::new(10)));
 }
@@ -78,7 +78,7 @@
 #[test]
 fn an_event_in_time_keeps_the_watch() {
     let mut views = watching();
-    views.heads(at(100), peer(), &heads(12));
+    views.handle_revisions(at(100), peer(), &heads(12));
     let outcome = StoreOutcome::Events {
         events: vec![StoreEvent::Removed {
             key: "upstreams/x".to_owned(),
@@ -87,8 +87,8 @@
         at: Revision::new(12),
     };
     views.handle(at(105), ViewName::Upstreams, 0, outcome);
-    views.heads(at(500), peer(), &heads(12));
-    views.heads(at(900), peer(), &heads(12));
+    views.handle_revisions(at(500), peer(), &heads(12));
+    views.handle_revisions(at(900), peer(), &heads(12));
     assert_eq!(views.replica(ViewName::Upstreams).generation(), 0);
 }
 
@@ -118,17 +118,17 @@
 #[test]
 fn assignments_are_watched_only_while_the_granter_is_silent() {
     let mut views = watching();
-    views.granter_is_here(at(1_000));
+    views.note_own_granter(at(1_000));
     assert_eq!(views.poll(at(1_900), ViewName::State), None);
     let call = views.poll(at(2_100), ViewName::State);
-    assert!(matches!(call, Some(StoreCall::Watch { prefix, .. }) if prefix == OwnKeys::STATE));
+    assert!(matches!(call, Some(StoreCall::Watch { prefix, .. }) if prefix == RouterKeys::STATE));
 }
 
 #[test]
 fn another_nodes_copies_help_only_forward() {
     let mut ahead = watching();
     let item = Item {
-        key: format!("{}x", OwnKeys::NODES),
+        key: format!("{}x", RouterKeys::NODES),
         value: Vec::new(),
         revision: Revision::new(15),
     };
@@ -150,15 +150,15 @@
 #[test]
 fn of_the_granters_records_only_newer_ones_are_sent() {
     let record = |name: &str, revision| Item {
-        key: format!("{}{name}", OwnKeys::STATE),
+        key: format!("{}{name}", RouterKeys::STATE),
         value: Vec::new(),
         revision: Revision::new(revision),
     };
     let mut granter = watching();
-    granter.wrote(at(100), record("one", 11));
+    granter.record_own_write(at(100), record("one", 11));
     let mut other = watching();
     other.adopt(at(110), granter.answer(&other.request(&[ViewName::State])));
-    granter.wrote(at(200), record("two", 12));
+    granter.record_own_write(at(200), record("two", 12));
     let snapshots = granter.answer(&other.request(&[ViewName::State]));
     let keys: Vec<&str> = snapshots[0]
         .items
@@ -175,9 +175,17 @@
 #[test]
 fn a_node_with_a_dead_watch_asks_the_node_that_is_ahead() {
     let mut views = watching();
-    assert!(views.heads(at(100), peer(), &heads(12)).is_empty());
-    assert!(views.heads(at(350), peer(), &heads(12)).is_empty());
-    let lacking = views.heads(at(450), peer(), &heads(12));
+    assert!(
+        views
+            .handle_revisions(at(100), peer(), &heads(12))
+            .is_empty()
+    );
+    assert!(
+        views
+            .handle_revisions(at(350), peer(), &heads(12))
+            .is_empty()
+    );
+    let lacking = views.handle_revisions(at(450), peer(), &heads(12));
     assert_eq!(lacking, [ViewName::Upstreams]);
 }
 
@@ -186,19 +194,19 @@
 #[test]
 fn a_new_watch_is_given_time() {
     let mut views = watching();
-    views.heads(at(100), peer(), &heads(12));
-    views.heads(at(450), peer(), &heads(12));
+    views.handle_revisions(at(100), peer(), &heads(12));
+    views.handle_revisions(at(450), peer(), &heads(12));
     let begun = views.replica(ViewName::Upstreams).generation();
     for millis in (500..1_600).step_by(100) {
-        views.heads(at(millis), peer(), &heads(12));
+        views.handle_revisions(at(millis), peer(), &heads(12));
     }
     let after = views.replica(ViewName::Upstreams).generation();
     assert_eq!(begun, after);
 }
 
-fn relay_heads(upstreams: u64, age_ms: u64) -> ViewHeads {
+fn relay_heads(upstreams: u64, age_ms: u64) -> LatestRevisions {
     let contact = StoreContact::new(Duration::from_millis(age_ms), None);
-    ViewHeads {
+    LatestRevisions {
         contact: Some(contact),
         ..heads(upstreams)
     }
@@ -207,29 +215,29 @@
 #[test]
 fn a_node_relies_on_a_relay_only_while_the_relay_reaches_the_store() {
     let mut views = watching();
-    views.heads(at(1_000), peer(), &relay_heads(10, 100));
+    views.handle_revisions(at(1_000), peer(), &relay_heads(10, 100));
     views.follow(at(1_010), false);
-    assert!(!views.follows());
+    assert!(!views.follows_store());
     // The relay was last answered 0.1 s before it said so.
     views.follow(at(1_890), false);
-    assert!(!views.follows());
+    assert!(!views.follows_store());
     views.follow(at(1_910), false);
-    assert!(views.follows());
+    assert!(views.follows_store());
     // A relay that is heard but has lost the store is not relied on.
-    views.heads(at(2_000), peer(), &relay_heads(10, 1_200));
+    views.handle_revisions(at(2_000), peer(), &relay_heads(10, 1_200));
     views.follow(at(2_010), false);
-    assert!(views.follows());
-    views.heads(at(2_100), peer(), &relay_heads(10, 50));
+    assert!(views.follows_store());
+    views.handle_revisions(at(2_100), peer(), &relay_heads(10, 50));
     views.follow(at(2_110), false);
-    assert!(!views.follows());
+    assert!(!views.follows_store());
 }
 
 #[test]
 fn a_node_that_relies_on_a_relay_fetches_what_it_lacks() {
     let mut views = watching();
-    views.heads(at(1_000), peer(), &relay_heads(10, 100));
+    views.handle_revisions(at(1_000), peer(), &relay_heads(10, 100));
     views.follow(at(1_010), false);
-    let lacking = views.heads(at(1_100), peer(), &relay_heads(12, 100));
+    let lacking = views.handle_revisions(at(1_100), peer(), &relay_heads(12, 100));
     assert_eq!(lacking, [ViewName::Upstreams]);
     assert_eq!(views.poll(at(1_200), ViewName::Upstreams), None);
 }
@@ -256,7 +264,7 @@
     let mut views = watching();
     views.restart_all(at(400));
     let item = Item {
-        key: OwnKeys::node("late"),
+        key: RouterKeys::node("late"),
         value: Vec::new(),
         revision: Revision::new(12),
     };
@@ -279,12 +287,12 @@
     let mut views = views();
     let mut heads = heads(12);
     heads.contact = Some(StoreContact::new(Duration::from_millis(10), None));
-    views.heads(at(0), peer(), &heads);
+    views.handle_revisions(at(0), peer(), &heads);
     views.follow(at(1), false);
     assert_eq!(views.poll(at(1), ViewName::Members), None);
-    let lacking = views.heads(at(2), peer(), &heads);
+    let lacking = views.handle_revisions(at(2), peer(), &heads);
     assert_eq!(lacking, [ViewName::Upstreams]);
-    views.heads(at(900), peer(), &heads);
+    views.handle_revisions(at(900), peer(), &heads);
     let call = views.poll(at(1_001), ViewName::Members);
     assert!(matches!(call, Some(StoreCall::Range { .. })), "{call:?}");
 }
@@ -312,7 +320,7 @@
         at: Revision::new(12),
         items: Vec::new(),
         removals: Vec::new(),
-        is_whole: true,
+        is_full: true,
     };
     views.adopt(at(210), vec![copy]);
     let page = StoreOutcome::Page {
@@ -323,7 +331,7 @@
     views.handle(at(300), ViewName::Upstreams, 0, page);
     let replica = views.replica(ViewName::Upstreams);
     let has_it = replica.mirror().get("upstreams/x").is_some();
-    assert_eq!(has_it, !replica.lacks(Revision::new(15)));
+    assert_eq!(has_it, !replica.is_behind(Revision::new(15)));
 }
 
 #[test]
@@ -339,7 +347,11 @@
     views.handle(at(300), ViewName::Upstreams, 0, page);
     views.poll(at(310), ViewName::Upstreams);
     views.handle(at(400), ViewName::Upstreams, 0, StoreOutcome::Unknown);
-    assert!(views.replica(ViewName::Upstreams).lacks(Revision::new(15)));
+    assert!(
+        views
+            .replica(ViewName::Upstreams)
+            .is_behind(Revision::new(15))
+    );
 }
 
 /// Found by a hunt (CONFIG): watches heard nothing for a second in which a configuration
@@ -376,9 +388,9 @@
 #[test]
 fn a_node_that_follows_the_store_again_trusts_no_older_watch() {
     let mut views = watching();
-    views.heads(at(100), peer(), &relay_heads(10, 0));
+    views.handle_revisions(at(100), peer(), &relay_heads(10, 0));
     views.follow(at(200), false);
-    assert!(!views.follows());
+    assert!(!views.follows_store());
     views.follow(at(2_000), true);
     for view in [ViewName::Operator, ViewName::Upstreams, ViewName::Members] {
         let call = views.poll(at(2_001), view);
--- a/crates/routersim/benches/core_cost.rs
+++ b/crates/routersim/benches/core_cost.rs
@@ -12,8 +12,8 @@
 use beamtray_emulator::{StoreEmulator, StoreReply, WatchWait};
 use beamtray_metastore::StoreOutcome;
 use beamtray_router::core::{
-    Datagram, Input, NodeCore, NodeRecord, Output, OwnKeys, StoreContact, StoreTask, ViewHeads,
-    ViewName,
+    Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, StoreContact,
+    StoreTask, ViewName,
 };
 use beamtray_routersim::{SimDialect, World, usual_settings};
 use beamtray_sharding::{GrantReply, OrderKind};
@@ -116,13 +116,13 @@
         let nodes: Vec<NodeRecord> = (1..size).map(|index| node_record(index, 200)).collect();
         for node in &nodes {
             let value = borsh::to_vec(node).expect("a record in memory");
-            store.put(Time::ZERO, &OwnKeys::node(&node.name), value);
+            store.put(Time::ZERO, &RouterKeys::node(&node.name), value);
         }
         let mut config = usual_settings(0).core_config(own.run);
         config.control.record = own.clone();
         config.dispatch.zone = own.zone.as_str().into();
         if role != Role::Granter {
-            config.control.patience = Duration::from_secs(3_600);
+            config.control.election_delay = Duration::from_secs(3_600);
         }
         Self {
             now: Time::ZERO,
@@ -194,7 +194,7 @@
                 .iter_mut()
                 .for_each(|head| head.number = head.number.max(1));
             let contact = Some(StoreContact::new(Duration::from_millis(100), None));
-            let heads = Datagram::Heads(ViewHeads { latest, contact });
+            let heads = Datagram::LatestRevisions(LatestRevisions { latest, contact });
             let relay = self.nodes[ZONES - 1].peers;
             self.input(Input::Datagram(relay, heads));
         }
--- a/crates/routersim/src/world/network.rs
+++ b/crates/routersim/src/world/network.rs
@@ -170,7 +170,7 @@
     fn from(input: DeferredInput) -> Self {
         match input {
             DeferredInput::Snapshots(from, snapshots) => Input::Snapshots(from, snapshots),
-            DeferredInput::NotAnswered(from) => Input::NotAnswered(from),
+            DeferredInput::NotAnswered(from) => Input::SnapshotsUnavailable(from),
             DeferredInput::Probed(upstream, liveness) => Input::Probed { upstream, liveness },
         }
     }
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -114,10 +114,10 @@
     let mut config = settings(node).core_config(run);
     config.dispatch.keeps_named_rates = off != Some(Guard::NamedRates);
     config.dispatch.keeps_rests = off != Some(Guard::Rests);
-    config.hears_leaving = off != Some(Guard::LeavingWords);
+    config.accept_leaving_notices = off != Some(Guard::LeavingWords);
     config.dispatch.proves_before_repeat = off != Some(Guard::ProofBeforeRepeat);
-    config.tells_suspicions = off != Some(Guard::SuspicionsTold);
-    config.control.keeps_suspicions = off != Some(Guard::SuspicionsKept);
+    config.share_suspicions = off != Some(Guard::SuspicionsTold);
+    config.control.persist_suspicions = off != Some(Guard::SuspicionsKept);
     config.control.grants.guards = GranterGuards {
         records_first: off != Some(Guard::RecordFirst),
         waits_for_lapse: off != Some(Guard::LapseWait),
@@ -190,7 +190,7 @@
             self.input(node, run, Input::Tick);
         }
         let core = self.nodes[node].core.as_ref();
-        let pause = core.map_or(TICK, |core| core.tick_pause(self.now));
+        let pause = core.map_or(TICK, |core| core.tick_interval(self.now));
         self.schedule(pause, Event::NodeTick { node, run });
     }
 
@@ -229,7 +229,7 @@
         let backlog = std::mem::take(&mut slot.backlog);
         if let Some(since) = slot.suspended_at.take() {
             slot.asleep += now.since(since);
-            self.input(node, run, Input::Woke);
+            self.input(node, run, Input::Resumed);
         }
         for input in backlog {
             self.input(node, run, input);
@@ -306,7 +306,7 @@
                 }
                 self.send(node, &datagram, &addresses);
             }
-            Output::Ask(address, request, wait) => {
+            Output::FetchSnapshots(address, request, wait) => {
                 if let Some(to) = node_at(address) {
                     let delay = self.millis(1, 4);
                     self.schedule(
@@ -325,8 +325,8 @@
                 self.note_remembered(node);
             }
             Output::RateLimit(..)
-            | Output::Limits(_)
-            | Output::Notice(_)
+            | Output::ClientLimits(_)
+            | Output::ViewChanged(_)
             | Output::Granter(_)
             | Output::StoreEra { .. }
             | Output::Ownership(..)
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -607,18 +607,18 @@
             self.note_told(node, run, answer);
             if answer.leaves {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::Leaves { upstream });
+                self.input(node, run, Input::UpstreamLeaving { upstream });
             }
             if let Some(rest) = answer.rest {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::Rests { upstream, rest });
+                self.input(node, run, Input::RestRequested { upstream, rest });
             }
         }
         let rate = answer.map(|answer| answer.rate);
         self.input(
             node,
             run,
-            Input::Ended {
+            Input::AttemptEnded {
                 ticket,
                 outcome,
                 rate,
