--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -1,5 +1,5 @@
-//! This node's part in control: its entry, the election, and the grants while
-//! it is the granter.
+//! This node's part in the control plane: its registration, the granter election, and the grants
+//! while it is the granter.
 
 mod ownership;
 mod standbys;
@@ -29,46 +29,45 @@
 use suspicions::SuspicionWriter;
 use term::Term;
 
-/// Between two looks at the balance.
+/// Interval of rebalancing.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(150);
-/// Share of the counted load that is left after one look.
+/// Factor applied to the measured key load at each rebalancing.
 const LOAD_DECAY: f64 = 0.917;
-/// Between looks at which orders are due, when nothing asks for one sooner.
+/// Interval of the check for due orders, when nothing requires an earlier one.
 const ORDER_INTERVAL: Duration = Duration::from_millis(10);
-/// Between two writes of learned speeds.
+/// Interval at which measured speeds are written to the store.
 const SPEEDS_WRITE_INTERVAL: Duration = Duration::from_secs(4);
-/// Between renewals of a relay's entry.
+/// Interval at which a relay renews the lease of its registration.
 const RELAY_LEASE_RENEWAL: Duration = Duration::from_millis(300);
-/// How much longer than a relay another node leaves the granter's place vacant.
+/// How much longer than a relay other nodes wait before they claim the vacant granter key.
 const NON_RELAY_ELECTION_DELAY: Duration = Duration::from_millis(300);
-/// How much longer a node that can do next to nothing leaves it vacant than the one
-/// that can do most.
+/// How much longer a node with almost no capacity waits than the node with the highest capacity.
 const LOW_CAPACITY_ELECTION_DELAY: Duration = Duration::from_millis(250);
 
-/// Fixed values of a node's control.
+/// Fixed parameters of a node's control.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// What the node tells of itself.
+    /// The node's registration.
     pub record: NodeRecord,
-    /// Lease of the node's entry.
+    /// Lease of the node's registration.
     pub node_lease: LeaseTiming,
-    /// Lease of the granter's place.
+    /// Lease of the granter key.
     pub granter_lease: LeaseTiming,
-    /// How long the place is left vacant before this node tries to take it.
+    /// How long the granter key must be vacant before this node tries to claim it.
     pub election_delay: Duration,
-    /// Whether the granter keeps in the store which requests end upstreams. Only a test
-    /// that shows why turns it off.
+    /// Whether the granter stores suspected poison requests. Disabled only by a test that shows why
+    /// this is needed.
     pub persist_suspicions: bool,
-    /// Grants.
+    /// Timing of the grants.
     pub grants: GranterTiming,
-    /// Balance.
+    /// Limits on rebalancing.
     pub balance: BalanceLimits,
 }
 
-/// Assignments of divided services, as a node knows them.
+/// Assignments of sharded services, as a node knows them.
 pub type KnownAssignments = BTreeMap<ServiceName, Rc<Assignment>>;
 
-/// A write that the store takes only from the granter.
+/// A write that the store accepts only from the current granter.
 fn granter_write(authority: &Authority, key: &str, value: Vec<u8>) -> StoreCall {
     StoreCall::Commit(Transaction {
         conditions: vec![Condition {
@@ -84,32 +83,32 @@
     })
 }
 
-/// This node's part in control.
+/// This node's part in the control plane.
 pub struct Control {
     config: ControlConfig,
     registrar: Registrar,
     election: Election,
     term: Option<Term>,
     addresses: BTreeMap<UpstreamId, SocketAddr>,
-    /// State of the directory that the addresses were last taken from.
+    /// Version of the directory that the addresses were last taken from.
     addresses_version: Option<u64>,
     standbys: StandbyLeases,
-    /// Assignments in the store that this node's views don't show yet.
+    /// Records in the store that this node's views don't contain yet.
     own_writes: Vec<Item>,
     /// The store's era.
     era: StoreEra,
-    /// The last term of this node that had its grants, if an era ended it.
+    /// This node's last term that had loaded its grants, if a new era ended it.
     last_term: Option<Epoch>,
-    /// What that term would have written next.
+    /// The records that the last term would have written next.
     last_records: BTreeMap<ServiceName, AssignmentRecord>,
-    /// What was read at the start of the term.
+    /// The records read at the start of the term.
     loaded_state: Option<Snapshot>,
     next_speeds_write: Time,
     suspicions: SuspicionWriter,
 }
 
 impl Control {
-    /// A node that is not registered yet.
+    /// Creates the control of a node that is not registered yet.
     pub fn new(config: ControlConfig) -> Self {
         let election = Election::new(ElectionConfig {
             granter_key: RouterKeys::GRANTER.to_owned(),
@@ -138,12 +137,12 @@
         }
     }
 
-    /// States whether this node is a relay, which makes it a better granter, and
-    /// whether it follows the store. Others rely on one that does both, so it
-    /// looks after its path to the store more often; so does a standby that
-    /// misses the granter.
+    /// Sets whether this node is a relay, which makes it a preferred granter, and whether it
+    /// follows the store. Other nodes rely on a node that does both, so it checks its path to the
+    /// store more often; so does a standby that misses the granter.
     ///
-    /// `relative_capacity` is this node's processor share, as a part of the ablest one's.
+    /// `relative_capacity` is this node's processor share relative to the node with the largest
+    /// share.
     pub fn set_relay(
         &mut self,
         is_relay: bool,
@@ -167,18 +166,18 @@
         self.election.set_handicap(relay_delay + capacity_delay);
     }
 
-    /// When the last call was sent that shows a sound path to the store.
+    /// When the last successful call that shows the store to be reachable was sent.
     pub fn last_store_contact(&self) -> Option<Time> {
         self.registrar.last_renewal_at()
     }
 
-    /// Whether this node has the right to grant.
+    /// Whether this node may issue grants.
     pub fn is_granter(&self, now: Time) -> bool {
         self.election.authority(now).is_some()
     }
 
-    /// The store has begun an era: a term of the one before is over, and its grants are
-    /// continued, if at all, by the next one.
+    /// Starts a new era of the store: a term of the previous era ends, and its grants are
+    /// continued, if at all, by the next term.
     pub fn begin_era(&mut self, era: StoreEra) {
         self.era = era;
         self.election.begin_era(era);
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Calls to the store that are due.
+    /// The store calls that are due.
     pub fn poll_store(
         &mut self,
         now: Time,
@@ -221,7 +220,7 @@
         calls
     }
 
-    /// Keeps what was learned of speeds for the processes after this one.
+    /// Stores the measured speeds for later processes.
     fn poll_speeds(&mut self, now: Time, speeds: &SpeedTable) -> Option<(StoreTask, StoreCall)> {
         let authority = self.election.authority(now)?;
         if now < self.next_speeds_write {
@@ -237,7 +236,7 @@
         Some((StoreTask::Speeds, call))
     }
 
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn handle_store(
         &mut self,
         now: Time,
@@ -255,7 +254,7 @@
         }
     }
 
-    /// Follows the directory and gives orders that are due.
+    /// Updates the upstream addresses and returns the orders that are due.
     pub fn poll_orders(
         &mut self,
         now: Time,
@@ -274,7 +273,7 @@
             return Vec::new();
         }
         term.orders_at = now + ORDER_INTERVAL;
-        // Before they are known all holders would seem to have left.
+        // Until the upstreams are known, all holders would seem to have left.
         if term.grants.is_none() || !views.knows_upstreams() {
             return Vec::new();
         }
@@ -310,8 +309,7 @@
         tasks
     }
 
-    /// Follows where upstreams listen. An address never changes during the life of
-    /// an upstream.
+    /// Adds the addresses of new upstreams. An upstream never changes its address.
     fn update_addresses(&mut self, directory: &Directory) {
         if self.addresses_version == Some(directory.changes()) {
             return;
@@ -325,12 +323,12 @@
         }
     }
 
-    /// Where upstreams listen, or did when they were last seen.
+    /// Current or last known addresses of the upstreams.
     pub fn addresses(&self) -> &BTreeMap<UpstreamId, SocketAddr> {
         &self.addresses
     }
 
-    /// Starts granters of services that are divided and have none.
+    /// Creates the grants of sharded services that have none yet.
     fn add_services(&mut self, now: Time, views: &Views) {
         let Some(term) = &mut self.term else {
             return;
@@ -359,7 +357,7 @@
         }
     }
 
-    /// Takes an upstream's answer to an order.
+    /// Handles an upstream's reply to an order.
     pub fn handle_order(
         &mut self,
         now: Time,
@@ -383,7 +381,7 @@
         }
     }
 
-    /// Notes that an upstream has ended.
+    /// Records that an upstream's process has ended.
     pub fn proved_gone(&mut self, id: &UpstreamId) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         for grants in all.into_iter().flat_map(|all| all.values_mut()) {
@@ -396,7 +394,7 @@
         self.term.as_ref().map(|term| term.authority.epoch.0)
     }
 
-    /// Takes a report of requests by key.
+    /// Adds a report of request counts by key.
     pub fn add_key_report(&mut self, report: &KeyReport) {
         let Some(all) = self.term.as_mut().and_then(|term| term.grants.as_mut()) else {
             return;
@@ -410,7 +408,7 @@
         }
     }
 
-    /// Gives up what this node has in the store.
+    /// Revokes this node's leases in the store.
     pub fn resign(&mut self) -> Vec<StoreCall> {
         self.term = None;
         let place = self.election.resign();
--- a/crates/router/src/core/control/ownership.rs
+++ b/crates/router/src/core/control/ownership.rs
@@ -1,4 +1,4 @@
-//! What is seen of the grants while this node is the granter: for lines and metrics.
+//! Ownership changes and counts for logs and metrics while this node is the granter.
 
 use super::Control;
 use crate::core::message::OwnershipNotice;
@@ -6,7 +6,7 @@
 use beamtray_types::{ServiceName, Time};
 
 impl Control {
-    /// What became of keys and their holders since the last call.
+    /// Ownership notices of all services since the last call.
     pub fn take_ownership_notices(&mut self) -> Vec<(ServiceName, OwnershipNotice)> {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         let mut notices = Vec::new();
@@ -30,17 +30,18 @@
         all.into_iter().flatten().map(|(_, grants)| &grants.granter)
     }
 
-    /// Upstreams that lost keys and have not answered yet, over all services.
+    /// Number of upstreams that lost keys and have not confirmed it yet, over all services.
     pub fn unfenced_count(&self) -> usize {
         self.granters().map(Granter::unfenced_count).sum()
     }
 
-    /// Slices that wait since a grant may lie with their last holder, over all services.
+    /// Number of slices withheld because their last holder may still process a grant, over all
+    /// services.
     pub fn doubted_count(&self) -> usize {
         self.granters().map(Granter::doubted_count).sum()
     }
 
-    /// Grants of this term that were left unanswered, over all services.
+    /// Number of grants of this term that were left unanswered, over all services.
     pub fn unanswered_grants(&self) -> UnansweredGrants {
         self.granters()
             .fold(UnansweredGrants::default(), |sum, granter| {
@@ -52,7 +53,7 @@
             })
     }
 
-    /// Slices, and how many of them are held, over all services.
+    /// Number of slices, and how many of them are held, over all services.
     pub fn slice_counts(&self, now: Time) -> (usize, usize) {
         self.granters().fold((0, 0), |(slices, held), granter| {
             (
--- a/crates/router/src/core/control/standbys.rs
+++ b/crates/router/src/core/control/standbys.rs
@@ -1,5 +1,5 @@
-//! Standbys, as this node's control sees them: words to them and reports of them
-//! while it is the granter, and whether it declines to be one.
+//! Standbys in the control plane: issuing leases and handling reports while this node is the
+//! granter, and whether it declines to be a standby itself.
 
 use super::Control;
 use crate::core::standby::{StandbyLease, StandbyReport};
@@ -9,13 +9,12 @@
 use std::net::SocketAddr;
 
 impl Control {
-    /// States whether this node declines to be a standby, which its entry tells.
+    /// Sets whether this node declines to be a standby, which its registration announces.
     pub fn set_declines_standby(&mut self, declines: bool) {
         self.registrar.set_declines_standby(declines);
     }
 
-    /// Words to standbys that are due. `wanted` are the nodes that are to be
-    /// standbys.
+    /// The standby leases that are due. `wanted` are the nodes chosen as standbys.
     pub fn poll_standby_leases(
         &mut self,
         now: Time,
@@ -39,7 +38,7 @@
             .poll(now, authority.epoch.0, own, &mut granters, views, wanted)
     }
 
-    /// Takes a standby's report.
+    /// Handles a standby's report.
     pub fn handle_standby_report(&mut self, now: Time, from: SocketAddr, report: &StandbyReport) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         if let Some(all) = all {
--- a/crates/router/src/core/control/suspicions.rs
+++ b/crates/router/src/core/control/suspicions.rs
@@ -1,5 +1,5 @@
-//! The granter keeps in the store which requests end upstreams, so that all processes may
-//! be lost and the next ones know, and nodes that missed the word read it.
+//! The granter stores which requests are suspected of crashing upstreams. Processes read this after
+//! a restart of the whole deployment, and nodes that missed the messages read it too.
 
 use super::{Control, granter_write};
 use crate::core::message::StoreTask;
@@ -9,33 +9,33 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Between two writes, so that ends close together go in one.
+/// Minimum interval between writes, so that suspicions that arise together are written together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What of the suspicions is in the store.
+/// What is stored of the suspicions.
 #[derive(Debug, Default)]
 pub(super) struct SuspicionWriter {
-    /// Written last, by this node.
+    /// The record that this node last wrote.
     written: SuspicionRecord,
-    /// On its way to the store.
+    /// The record being written.
     sent: Option<SuspicionRecord>,
     due: Time,
 }
 
-/// The record as it lies in the store. Writing plain data into memory can't fail.
+/// Serializes the stored record. Serializing to memory can't fail.
 fn encode(record: &SuspicionRecord) -> Vec<u8> {
     borsh::to_vec(record).unwrap_or_default()
 }
 
 impl Control {
-    /// Writes the suspicions that are worth keeping if they changed.
+    /// Writes the suspicions worth storing if they changed.
     pub(super) fn poll_suspicions(
         &mut self,
         now: Time,
         quarantine: &Quarantine,
     ) -> Option<(StoreTask, StoreCall)> {
         let authority = self.election.authority(now)?;
-        // Before the records were read they would be written without what they hold.
+        // Writing before the stored record has been read would lose its contents.
         let is_read = self.term.as_ref()?.grants.is_some();
         if !self.config.persist_suspicions || !is_read {
             return None;
@@ -53,7 +53,7 @@
         Some((StoreTask::Suspicions, call))
     }
 
-    /// Takes the outcome of a write; one that failed is tried again.
+    /// Handles the outcome of a write; a failed write is retried.
     pub(super) fn suspicions_written(&mut self, now: Time, outcome: &StoreOutcome) {
         let Some(record) = self.suspicions.sent.take() else {
             return;
--- a/crates/router/src/core/control/term.rs
+++ b/crates/router/src/core/control/term.rs
@@ -1,5 +1,5 @@
-//! A term of this node as the granter: how it begins, what it reads from the store at its
-//! start, and the records that it writes.
+//! A term of this node as the granter: its start, the records it reads from the store, and the
+//! records it writes.
 
 use super::Control;
 use super::KnownAssignments;
@@ -13,38 +13,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two records, so that changes close together go in one.
+/// Minimum interval between records, so that changes close together are written together.
 const RECORD_INTERVAL: Duration = Duration::from_millis(20);
-/// Added to that for each slice: every node takes every record.
+/// Added to that interval for each slice, since every node receives every record.
 const RECORD_INTERVAL_PER_SLICE: Duration = Duration::from_micros(120);
-/// Pause after a record that was not written.
+/// Delay before a record that was not written is retried.
 const REWRITE_DELAY: Duration = Duration::from_millis(80);
-/// Pause after a failed reading at a takeover.
+/// Delay before a failed read at a takeover is retried.
 const REREAD_DELAY: Duration = Duration::from_millis(100);
-/// Between looks at what nodes heard of upstreams, and at their speeds, when the
-/// directory does not change: a holder that leaves a grant unanswered for that
-/// long may have answered requests meanwhile.
+/// Interval at which candidates are refreshed, with the upstreams' speeds and when nodes last heard
+/// them, if the directory does not change. A holder that left a grant unanswered for this long may
+/// have answered requests in the meantime.
 const CANDIDATE_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One term of this node as the granter.
 pub(super) struct Term {
     pub(super) authority: Authority,
-    /// None until the records were read.
+    /// `None` until the records have been read.
     pub(super) grants: Option<BTreeMap<ServiceName, Grants>>,
-    /// Whether a reading of them is under way.
+    /// Whether a read of the records is pending.
     pub(super) reading: bool,
-    /// Pages read so far, and the revision of the first one.
+    /// The items read so far, and the revision of the first page.
     pub(super) read: Vec<Item>,
     pub(super) read_from: Option<Revision>,
     pub(super) read_at: Time,
     pub(super) rebalance_at: Time,
-    /// When orders are looked at next.
+    /// When due orders are next checked.
     pub(super) orders_at: Time,
-    /// When candidates are looked at next, and the state of the directory that
-    /// they were last taken from.
+    /// When the candidates are next refreshed, and the version of the directory that they were last
+    /// taken from.
     pub(super) candidates_at: Time,
     pub(super) candidates_version: Option<u64>,
-    /// Whether a service without a record may have had one that the store has forgotten.
+    /// Whether a service without a record may have had one that the store has lost.
     pub(super) may_have_lost_records: bool,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether candidates are to be taken from the directory again.
+    /// Whether the candidates are to be refreshed from the directory.
     pub(super) fn refreshes_candidates(&mut self, now: Time, changes: u64) -> bool {
         let refreshes = self.candidates_version != Some(changes) || now >= self.candidates_at;
         if refreshes {
@@ -77,11 +77,11 @@
 }
 
 impl Control {
-    /// Begins and ends terms as the authority comes and goes.
+    /// Starts a new term when the election grants this node a new epoch.
     pub(super) fn update_term(&mut self, now: Time) {
         let Some(authority) = self.election.authority(now) else {
-            // The lease may prove to have lasted after all: the term is kept
-            // and nothing is sent meanwhile.
+            // The lease may turn out not to have expired, so the term is kept; nothing is sent
+            // meanwhile.
             return;
         };
         let same = self
@@ -97,7 +97,7 @@
         self.term = Some(Term::new(now, authority));
     }
 
-    /// Readings and records that are due.
+    /// The reads and writes that are due.
     pub(super) fn poll_term(&mut self, now: Time) -> Vec<(StoreTask, StoreCall)> {
         let Some(authority) = self.election.authority(now) else {
             return Vec::new();
@@ -121,11 +121,11 @@
         calls
     }
 
-    /// Takes a page of the assignments read at a takeover.
+    /// Handles a page of the records read at a takeover.
     ///
-    /// They may be older than what was granted, where no term of this era has written them
-    /// yet. What this node knows of newer records counts beside them; and unless the last
-    /// term before was its own, it knows that there may be more.
+    /// The records may be older than the grants that were made, if no term of this era has written
+    /// them yet. Newer records that this node knows take precedence. Unless the preceding term was
+    /// this node's own, there may be still newer records that it doesn't know.
     pub(super) fn handle_takeover_page(
         &mut self,
         now: Time,
@@ -140,7 +140,7 @@
             term.read_at = now + REREAD_DELAY;
             return;
         };
-        // Later pages may hold newer items, so the first one's revision counts.
+        // Later pages may contain newer items, so the revision of the first page counts.
         let from = *term.read_from.get_or_insert(at);
         term.read.extend(items);
         if more {
@@ -174,16 +174,16 @@
         });
     }
 
-    /// What this node read at the start of its term, as a copy of the view of the
-    /// assignments.
+    /// The records that this node read at the start of its term, as a snapshot of the state view.
     ///
-    /// Invariant: that view is whole before this node adds what it writes. It tells the
-    /// others of the view up to its last write, and what it lacked they would lack.
+    /// Invariant: the view is complete before this node adds its own writes. It announces the view
+    /// to other nodes up to the revision of its last write, so they would lack everything that this
+    /// view lacks.
     pub fn take_loaded_state(&mut self) -> Option<Snapshot> {
         self.loaded_state.take()
     }
 
-    /// Assignments that this node wrote.
+    /// Records that this node wrote.
     pub fn take_own_writes(&mut self) -> Vec<Item> {
         std::mem::take(&mut self.own_writes)
     }
@@ -225,8 +225,9 @@
     }
 }
 
-/// What is known, with what this node's last term did not come to write: its holders may have
-/// seen tokens that no record names, and would refuse those of the records.
+/// Adds the records that this node's last term had not written yet to the known ones. Holders may
+/// have received tokens that appear in no stored record, and would reject the older tokens of the
+/// stored records.
 fn with_last_records(
     known: &KnownAssignments,
     last: &BTreeMap<ServiceName, AssignmentRecord>,
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -15,38 +15,38 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Time of a request where nothing is learned yet, in seconds.
+/// Assumed duration of a request in seconds before any has been measured.
 const DEFAULT_REQUEST_SECONDS: f64 = 0.1;
 
-/// Entries that one transaction may have; each condition and each write is one.
+/// Maximum number of entries in a transaction; each condition and each write counts as one.
 const MAX_TRANSACTION_ENTRIES: usize = 32;
-/// Parts that fit one transaction, next to the head and the condition on the
-/// granter's place.
+/// Number of parts that fit into one transaction along with the head and the condition on the
+/// granter's key.
 const PARTS_PER_WRITE: usize = (MAX_TRANSACTION_ENTRIES - 3) / 2;
 
-/// A write under way: some parts of a record, and its head with the last of them.
+/// A write in progress: some parts of a record, and the head with the last of them.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     parts: Vec<AssignmentPart>,
     head: Option<AssignmentHead>,
 }
 
-/// What is left to write of a record.
+/// The parts of a record that are still to be written.
 #[derive(Clone, Debug)]
 struct UnwrittenRecord {
     head: AssignmentHead,
     parts: Vec<AssignmentPart>,
 }
 
-/// A part as it stands in the store.
+/// A part as stored.
 #[derive(Clone, Debug)]
 struct StoredPart {
     revision: Revision,
-    /// None after a write that may or may not have been done.
+    /// `None` after a write whose outcome is unknown.
     slices: Option<Vec<SliceRecord>>,
 }
 
-/// Grants of one service, and what stands of them in the store.
+/// The grants of one service, and what is stored of them.
 pub(crate) struct Grants {
     pub(crate) granter: Granter,
     head_revision: Revision,
@@ -57,7 +57,7 @@
 }
 
 impl Grants {
-    /// Grants of a service that has none in the store.
+    /// Creates the grants of a service that has no record in the store.
     pub fn new(now: Time, timing: GranterTiming, epoch: Epoch) -> Self {
         Self {
             granter: Granter::new(now, timing, epoch, None),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The write that is due, if one is.
+    /// The write that is due, if any.
     pub fn poll_write(
         &mut self,
         now: Time,
@@ -97,7 +97,7 @@
         Some(call)
     }
 
-    /// The parts of the next record that differ from what stands in the store.
+    /// The parts of the next record that differ from the stored ones.
     fn changes(&mut self) -> Option<UnwrittenRecord> {
         let record = self.granter.record()?;
         let differs = |part: &AssignmentPart| {
@@ -146,7 +146,7 @@
         StoreCall::Commit(transaction)
     }
 
-    /// Notes that the write under way was done; what stands in the store now.
+    /// Handles the success of the pending write; returns the items that are now stored.
     pub fn write_succeeded(
         &mut self,
         now: Time,
@@ -179,7 +179,7 @@
         items
     }
 
-    /// Notes that the write under way may or may not have been done.
+    /// Handles a pending write whose outcome is unknown.
     pub fn write_unconfirmed(&mut self) {
         let parts = self
             .pending_write
@@ -196,8 +196,8 @@
         self.granter.not_written();
     }
 
-    /// Takes what the store has in place of a write that failed its conditions: an
-    /// earlier write of this term whose answer was lost.
+    /// Takes the items that the store returned for a write whose conditions failed: they come from
+    /// an earlier write of this term whose response was lost.
     pub fn write_conflicted(&mut self, epoch: Epoch, items: &[Item]) {
         self.write_unconfirmed();
         for item in items {
@@ -224,7 +224,7 @@
     }
 }
 
-/// Reads all that granters write: the assignments, and what else the view of them has.
+/// Reads everything that granters write: the assignments and the other records of that view.
 pub(crate) fn read_state(after: Option<String>) -> StoreCall {
     StoreCall::Range {
         prefix: RouterKeys::STATE.to_owned(),
@@ -232,31 +232,30 @@
     }
 }
 
-/// One service's assignment as it was read at the start of a term.
+/// The assignment of one service as read at the start of a term.
 #[derive(Default)]
 struct LoadedAssignment {
     assignment: Assignment,
     head_revision: Revision,
     stored: BTreeMap<Part, StoredPart>,
-    /// Parts that can't be read.
+    /// Parts that can't be decoded.
     unreadable: Vec<Part>,
-    /// Whether the head can't be read.
+    /// Whether the head can't be decoded.
     head_unreadable: bool,
 }
 
-/// How far a new term trusts the records that it takes over.
+/// How far a new term can trust the records that it takes over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordTrust {
-    /// Records of earlier terms may have been written before a state that the store went back
-    /// to, and have gone further since.
+    /// The first epoch whose records are known to be current. The store may have reverted to an
+    /// older state in which the records of earlier epochs were not yet up to date.
     pub proven_from: Epoch,
-    /// Whether the last term before was this node's own, so that it knows all records.
+    /// Whether this node also held the preceding term, so that it knows all records.
     pub continues: bool,
 }
 
-/// Continues the grants that were read from the store, or that this node knows newer records
-/// of; keys of items that can't be read are without a holder until their last grants have
-/// run out.
+/// Restores the grants from the stored records, or from newer records that this node knows. Keys
+/// whose items can't be decoded have no holder until the last grants on them have expired.
 pub(crate) fn restore_grants(
     now: Time,
     timing: GranterTiming,
@@ -331,7 +330,7 @@
 }
 
 fn encode(value: &impl BorshSerialize) -> Vec<u8> {
-    // Writing borsh to memory can't fail.
+    // Serializing to memory can't fail.
     borsh::to_vec(value).unwrap_or_default()
 }
 
@@ -360,7 +359,8 @@
             let capacity = f64::from(record.slots) / (request_seconds * slowness);
             let is_cold = now < registration.warm_at;
             let cold_rate = cold_start.filter(|_| is_cold).map(|cold| cold.rate);
-            // Keys go on to holders with room, sooner than requests wait for permits.
+            // Limits the capacity to the announced rate, so that keys move to upstreams with spare
+            // capacity before requests have to wait for permits.
             let named_rate = dispatcher.named_rate(hash).map(RequestRate::a_second);
             let rates = cold_rate.into_iter().chain(named_rate);
             Candidate {
@@ -375,11 +375,11 @@
     candidates
 }
 
-/// Has holders that asked nodes for rest lose their keys, unless so many did that the others
-/// could not take them.
+/// Moves keys away from holders that asked nodes to stop sending requests, unless more than half of
+/// the ready candidates did so.
 ///
-/// Counter-case for the bound: where all shed, each for the load that others gave up, keys
-/// would go round and nobody would serve them.
+/// Without this limit, keys would circulate unserved when all candidates are overloaded, each by
+/// the load that the others gave up.
 fn drain_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
     let ready = candidates.iter_mut();
     let ready: Vec<&mut Candidate> = ready
@@ -396,7 +396,7 @@
     }
 }
 
-/// What an upstream is to the granter. One whose zone is evacuated is to lose its keys.
+/// The standing of an upstream for the granter. Upstreams in an evacuated zone are drained.
 fn standing(directory: &Directory, registration: &Registration, is_cold: bool) -> Standing {
     let is_evacuated = directory.evacuated_since(registration).is_some();
     match registration.record.state {
@@ -407,8 +407,8 @@
     }
 }
 
-/// Asks holders whose address another upstream claims too: whoever has the
-/// address tells.
+/// Probes holders whose address is also claimed by another upstream, to find out which of them is
+/// running there.
 pub(crate) fn probe_contested(now: Time, granter: &mut Granter, views: &Views) {
     let mut claims: BTreeMap<SocketAddr, Vec<&UpstreamId>> = BTreeMap::new();
     for registration in views.directory.iter() {
--- a/crates/router/src/core/membership.rs
+++ b/crates/router/src/core/membership.rs
@@ -1,8 +1,8 @@
-//! Which other nodes there are, where they listen, and who of them was heard.
+//! The other nodes, their addresses, and when each was last heard.
 //!
-//! Looked up for each datagram, so everything is indexed by address and computed
-//! when the nodes change, not when it is asked for: what a tick costs does not
-//! depend on how many nodes there are.
+//! This is consulted for every datagram, so everything is indexed by address and computed when the
+//! membership changes rather than on each lookup: the cost of a tick does not depend on the number
+//! of nodes.
 
 use crate::core::records::NodeRecord;
 use crate::core::relays::Relays;
@@ -13,42 +13,42 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How long a node without an entry counts as there since it was heard: as long
-/// as a node that lost the store may serve by what others tell it.
+/// How long a node without a registration remains a member after it was last heard: as long as a
+/// node that lost the store may serve on data from other nodes.
 const UNREGISTERED_PEER_TTL: Duration = Duration::from_secs(3);
-/// Between looks for nodes that fell silent.
+/// Interval of the search for silent nodes.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Whom a datagram is for.
+/// The recipients of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Audience {
     /// All other nodes.
     All,
-    /// Other nodes of the same zone.
+    /// The other nodes of the same zone.
     SameZone,
-    /// Other nodes of the same zone, and the relays of the others.
+    /// The other nodes of the same zone, and the relays of other zones.
     SameZoneAndRelays,
 }
 
-/// The other nodes, as this one knows them.
+/// The other nodes, as known to this one.
 pub(crate) struct Membership {
     own: SocketAddr,
     own_zone: String,
-    /// Addresses of all nodes with an entry, this one included.
+    /// Addresses of all registered nodes, including this one.
     entries: HashSet<SocketAddr>,
-    /// The same by their short names.
+    /// Addresses of the same nodes by the hash of their names.
     addresses: HashMap<NodeHash, SocketAddr>,
     all: Vec<SocketAddr>,
     same_zone: Vec<SocketAddr>,
     same_zone_and_relays: Vec<SocketAddr>,
-    /// The run of each other node with an entry.
+    /// The process run of each other registered node.
     runs: HashMap<SocketAddr, u64>,
     /// When each node was last heard.
     heard: HashMap<SocketAddr, Time>,
-    /// Nodes that are heard and have no entry: a node that lost the store loses
-    /// its entry, but is there as long as it is heard.
+    /// Nodes that are heard but not registered: a node that loses the store loses its registration,
+    /// but remains a member as long as it is heard.
     unregistered: BTreeSet<SocketAddr>,
-    /// Zones of the nodes that have an entry, or had one and are heard.
+    /// Zones of registered nodes, and of formerly registered nodes that are still heard.
     zones: HashMap<SocketAddr, String>,
     relays: Relays,
     is_relay: bool,
@@ -67,7 +67,7 @@
 }
 
 impl Membership {
-    /// Knows no other node yet; `own` is this one.
+    /// Creates the membership of a node that knows no others yet; `own` is this node.
     pub fn new(own: &NodeRecord) -> Self {
         Self {
             own: own.peers,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes the nodes that have an entry; the other ones whose process is a new one.
+    /// Replaces the registered nodes. Returns the addresses of nodes that started or restarted.
     pub fn set_nodes(
         &mut self,
         own: &NodeRecord,
@@ -127,7 +127,7 @@
         started.map(|(address, _)| *address).collect()
     }
 
-    /// Notes that a node was heard.
+    /// Records that a node was heard.
     pub fn record_heard(&mut self, now: Time, from: SocketAddr) {
         let is_new = self.heard.insert(from, now).is_none();
         if is_new && !self.entries.contains(&from) {
@@ -140,13 +140,13 @@
         self.heard.get(address).copied()
     }
 
-    /// Whether a node was heard within that time.
+    /// Whether a node was heard within the given time.
     pub fn heard_within(&self, now: Time, address: &SocketAddr, within: Duration) -> bool {
         self.heard(address)
             .is_some_and(|heard| now.since(heard) < within)
     }
 
-    /// Forgets nodes that fell silent.
+    /// Removes nodes that have become silent.
     pub fn expire_silent(&mut self, now: Time) {
         if now < self.next_expiry {
             return;
@@ -165,15 +165,15 @@
         &self.relays
     }
 
-    /// The node that lends permits for a request: the one of those with an entry, this
-    /// one included, that a hash of both picks. Nodes that come and go move no more
-    /// requests than they lend for.
+    /// The node that lends permits for a request, chosen among the registered nodes, including this
+    /// one, by rendezvous hashing. When a node joins or leaves, only the requests that it lends for
+    /// move.
     pub fn lender(&self, fingerprint: Fingerprint) -> Option<SocketAddr> {
         let weight = |address: &&SocketAddr| (rendezvous_weight(fingerprint, address), **address);
         self.entries.iter().max_by_key(weight).copied()
     }
 
-    /// Where a node with an entry listens.
+    /// Address of a registered node.
     pub fn address(&self, node: NodeHash) -> Option<SocketAddr> {
         self.addresses.get(&node).copied()
     }
@@ -183,29 +183,29 @@
         self.is_relay
     }
 
-    /// This node's processor share, as a part of the ablest node's.
+    /// This node's processor share relative to the node with the largest share.
     pub fn relative_capacity(&self) -> f64 {
         self.relative_capacity
     }
 
-    /// The zone of a node, if it is known.
+    /// The zone of a node, if known.
     pub fn zone(&self, address: &SocketAddr) -> Option<&String> {
         self.zones.get(address)
     }
 
-    /// Whether a node is in this one's zone.
+    /// Whether a node is in this node's zone.
     pub fn is_same_zone(&self, address: &SocketAddr) -> bool {
         self.zone(address) == Some(&self.own_zone)
     }
 
-    /// Addresses of other nodes.
+    /// Addresses of the other nodes in an audience.
     pub fn peers(&self, audience: Audience) -> Vec<SocketAddr> {
         let mut peers = self.registered_peers(audience).to_vec();
         peers.extend(self.unregistered_peers(audience));
         peers
     }
 
-    /// How many other nodes those are.
+    /// Number of other nodes in an audience.
     pub fn count(&self, audience: Audience) -> usize {
         self.registered_peers(audience).len() + self.unregistered_peers(audience).count()
     }
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a node's core and what comes out of it.
+//! Inputs and outputs of a node's core.
 
 use crate::core::node::CoreConfig;
 use crate::core::standby::{StandbyLease, StandbyReport, StandbyState};
@@ -16,41 +16,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pauses between periodic works.
+/// Intervals and timeouts of a node's periodic work.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between looks at what is due, where others wait for this node: it grants,
-    /// prolongs holds, tells sums, or has requests waiting.
+    /// Tick interval while other nodes or requests depend on this node: it is the granter, prolongs
+    /// holds, sends load sums, or has requests queued.
     pub tick_interval: Duration,
-    /// The same at all other times.
+    /// Tick interval at all other times.
     pub idle_tick_interval: Duration,
-    /// Between reports of requests under way to nodes of the same zone.
+    /// Interval of load reports to nodes of the same zone.
     pub load_report_interval: Duration,
-    /// Between reports that tell of answers, too.
+    /// Interval of load reports that also carry response statistics.
     pub answers_report_interval: Duration,
-    /// Between sums of a zone to the others where there are few nodes.
+    /// Interval of a zone's load sums to the other zones in a small deployment.
     pub direct_zone_report_interval: Duration,
-    /// Between reports to relays, and their sums to the nodes of their zones.
+    /// Interval of load reports to relays, and of the relays' sums to the nodes of their zones.
     pub relayed_report_interval: Duration,
-    /// Between sums to relays of other zones.
+    /// Interval of load sums to the relays of other zones.
     pub zone_report_interval: Duration,
-    /// Between the passing on of answers.
+    /// Interval at which relays forward response statistics.
     pub answers_interval: Duration,
-    /// Between the same when nothing is under way.
+    /// Interval of load reports while no request is in flight.
     pub idle_report_interval: Duration,
-    /// Between words of the newest changes seen.
+    /// Interval at which the latest known revisions are sent.
     pub revisions_interval: Duration,
-    /// Between the same to nodes of other zones that are no relays.
+    /// Interval of the same messages to non-relay nodes of other zones.
     pub far_revisions_interval: Duration,
-    /// Before word of a change is repeated.
+    /// Delay before the announcement of a change is repeated.
     pub repeat_interval: Duration,
-    /// How long assignments are waited for before another node is asked.
+    /// Timeout of a request for assignments before another node is asked.
     pub assignment_fetch_timeout: Duration,
-    /// The same for other copies, which may be large.
+    /// Timeout of a request for other snapshots, which may be large.
     pub snapshot_fetch_timeout: Duration,
-    /// Between reports of requests by key.
+    /// Interval of per-key load reports.
     pub key_report_interval: Duration,
-    /// Between questions to other nodes while the store is in trouble.
+    /// Interval of snapshot requests to other nodes while the store is unreachable.
     pub peer_query_interval: Duration,
 }
 
@@ -77,243 +77,245 @@
     }
 }
 
-/// Longest wait for the answer to a grant.
+/// Timeout of a grant order.
 pub const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An order to be sent to an upstream.
+/// An order to send to an upstream.
 #[derive(Clone, Debug)]
 pub struct OrderTask {
-    /// The service.
+    /// The service whose keys are concerned.
     pub service: ServiceName,
-    /// Where the upstream listens; none when that is not known.
+    /// Address of the upstream, if known.
     pub address: Option<SocketAddr>,
-    /// The order.
+    /// The order to send.
     pub order: GrantOrder,
-    /// A key that the upstream does not hold: it is asked to release that before a grant, so
-    /// that no grant is sent to a process that does not read. None if it holds them all.
+    /// A key that the upstream does not hold, `None` if it holds them all. The upstream is first
+    /// asked to release this key, so that no grant is sent to a process that has stopped reading.
     pub probe_key: Option<ShardKey>,
-    /// Until when it may be sent.
+    /// The order must not be sent after this time.
     pub until: Time,
 }
 
-/// What a call to the store is for.
+/// The purpose of a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreTask {
-    /// Keeps a view up; the number is the call's generation.
+    /// Keeps a view up to date; the number is the generation of the call.
     View(ViewName, u32),
-    /// The election.
+    /// Campaigns in the granter election, or renews the granter's lease.
     Election,
-    /// The node's entry.
+    /// Maintains the registration of this node.
     Registration,
     /// Reads the assignments at the start of a term.
     TakeOver,
-    /// Writes what was learned of speeds.
+    /// Writes the measured upstream speeds.
     Speeds,
-    /// Writes which requests end upstreams.
+    /// Writes the suspected poison requests.
     Suspicions,
     /// Writes the assignment of a service.
     Record(ServiceName),
-    /// Gives up leases at a planned stop.
+    /// Revokes the leases on a planned stop.
     Farewell,
 }
 
-/// What one node tells another without waiting for an answer.
+/// A one-way message between nodes.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Datagram {
-    /// Requests under way.
+    /// The requests that a node has in flight.
     Load(LoadReport),
-    /// Requests under way in a zone, from one of its relays to those of another.
+    /// The requests in flight in a zone, sent by one of its nodes to another zone.
     ZoneLoad(u32, LoadSum),
-    /// Requests under way everywhere, from a relay to the nodes of its zone.
+    /// The requests in flight in all zones, sent by a relay to the nodes of its zone.
     AllLoad(LoadSum),
-    /// Answers of upstreams, passed on by a relay.
+    /// Response statistics of upstreams, forwarded by a relay.
     Answers(Vec<Answers>),
-    /// An upstream is gone: another one answered at its address.
+    /// An upstream is gone: a different one answered at its address.
     UpstreamGone(UpstreamId),
-    /// To the granter: an upstream asked the node for rest.
+    /// To the granter: an upstream asked the sender to stop sending requests for a while.
     Rest(RestNotice),
-    /// Upstreams that said in answers that they leave.
+    /// Upstreams that announced in responses that they are shutting down.
     UpstreamsLeaving(Vec<UpstreamId>),
-    /// Upstreams that ended under requests.
+    /// Requests suspected to have crashed upstreams.
     Suspicions(Vec<Suspicion>),
-    /// Requests by key, for the granter.
+    /// Request counts by key, for the granter.
     KeyReport(KeyReport),
-    /// Newest changes that it has seen.
+    /// The latest revisions that the sender has seen.
     LatestRevisions(LatestRevisions),
-    /// Asks a relay where to send a request.
+    /// Asks a relay which upstream to send a request to.
     SlotRequest(SlotRequest),
-    /// The relay's answer.
+    /// The relay's reply to a slot request.
     SlotReply(SlotReply),
-    /// From the granter to a standby: it may prolong holds for a while.
+    /// From the granter to a standby: allows it to prolong holds for a limited time.
     StandbyLease(StandbyLease),
-    /// From a standby to the granter.
+    /// From a standby to the granter: the records that it knows.
     StandbyReport(StandbyReport),
-    /// Asks for a permit to send a request that is under suspicion.
+    /// Asks for a permit to send a suspected request.
     TrialRequest(TrialRequest),
-    /// The lender's answer.
+    /// The lender's reply to a trial request.
     TrialReply(TrialReply),
-    /// How such a trial ended.
+    /// The outcome of a trial.
     TrialReport(TrialReport),
-    /// Rates that upstreams name, or have ceased to.
+    /// Rate limits that upstreams announce, or no longer announce.
     RateLimits(Vec<LimitWord>),
-    /// Asks for permits to send requests to an upstream that names a rate.
+    /// Asks for permits to send requests to a rate-limited upstream.
     PermitRequest(PermitRequest),
-    /// The lender's answer.
+    /// The lender's reply to a permit request.
     PermitReply(PermitReply),
 }
 
-/// An upstream asked a node for rest.
+/// An upstream's request to receive no requests for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RestNotice {
-    /// The upstream.
+    /// The upstream that asked.
     pub upstream: UpstreamHash,
-    /// Milliseconds that it asked for.
+    /// Duration asked for, in milliseconds.
     pub rest_ms: u32,
 }
 
-/// What the try to connect to an upstream showed.
+/// The result of a connection attempt to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// Nobody listens at its address.
+    /// The connection was refused: no process listens at the address.
     Ended,
-    /// Somebody does.
+    /// The connection was accepted.
     Listens,
-    /// Nothing came back: it may be cut off, or have lost its power.
+    /// No reply: the host may be partitioned from this node, or have lost power.
     Silent,
 }
 
-/// What happened.
+/// An event handled by the core.
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A client's request is whole.
+    /// A client's request has been received in full.
     Request {
-        /// Tells it from others.
+        /// Identifies the request.
         ticket: Ticket,
-        /// What it says.
+        /// The routing information of the request.
         head: RequestHead,
     },
-    /// An attempt ended.
+    /// An attempt to send a request to an upstream has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that was attempted.
         ticket: Ticket,
-        /// How.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// What its answer said of the rate that the upstream takes; none if none came.
+        /// The rate limit stated in the response, if it carried one.
         rate: Option<RateWord>,
     },
-    /// An upstream said in an answer that it leaves.
+    /// An upstream announced in a response that it is shutting down.
     UpstreamLeaving {
-        /// The upstream.
+        /// The upstream that is shutting down.
         upstream: UpstreamId,
     },
-    /// An upstream turned a request away and asked this node for rest.
+    /// An upstream rejected a request and asked this node to send none for a while.
     RestRequested {
-        /// The upstream.
+        /// The upstream that asked.
         upstream: UpstreamId,
-        /// For so long.
+        /// How long no requests are to be sent.
         rest: Duration,
     },
-    /// The client left.
+    /// The client disconnected.
     Cancelled {
-        /// The request.
+        /// The request that is cancelled.
         ticket: Ticket,
     },
-    /// The store's answers tell another era than before, or the first one. What they say
-    /// comes after.
+    /// The store reports a new era, or its first one. Responses of that era follow after this
+    /// input.
     StoreEra(StoreEra),
-    /// The store answered, or did not.
+    /// A store call has completed or failed.
     Store {
-        /// What the call was for.
+        /// The purpose of the call.
         task: StoreTask,
-        /// How it ended.
+        /// The result of the call.
         outcome: StoreOutcome,
     },
-    /// An upstream answered an order, or did not.
+    /// An order to an upstream was answered or has failed.
     Order {
-        /// The service.
+        /// The service whose keys are concerned.
         service: ServiceName,
-        /// The order.
+        /// The order that was sent.
         order: GrantOrder,
-        /// Term in which it was given.
+        /// Term in which the order was given.
         epoch: u64,
-        /// The answer.
+        /// The upstream's reply, or how the order failed.
         reply: GrantReply,
     },
-    /// Another incarnation answers at an upstream's address.
+    /// A different incarnation answers at an upstream's address.
     Replaced {
         /// The upstream that is gone.
         upstream: UpstreamId,
     },
-    /// It was tried whether an upstream still listens.
+    /// A connection attempt that checks an upstream has completed.
     Probed {
-        /// The upstream.
+        /// The upstream that was probed.
         upstream: UpstreamId,
-        /// What that showed.
+        /// The result of the probe.
         liveness: Liveness,
     },
-    /// The machine was suspended; the time that comes with this counts that.
+    /// The machine resumed from suspension. The time passed with this input includes the
+    /// suspension.
     Resumed,
-    /// Another node's word.
+    /// A message from another node.
     Datagram(SocketAddr, Datagram),
-    /// Another node's copies.
+    /// Snapshots from another node.
     Snapshots(SocketAddr, Vec<Snapshot>),
-    /// Another node did not give its copies.
+    /// Another node failed to send its snapshots.
     SnapshotsUnavailable(SocketAddr),
     /// The settings changed.
     Settings(Box<CoreConfig>),
-    /// The process is to end.
+    /// The process is to shut down.
     Stop,
 }
 
-/// What became of keys of a divided service, or of those who held them.
+/// A change in the ownership of a sharded service's keys, or in the state of their holders.
 #[derive(Clone, Debug)]
 pub enum OwnershipNotice {
     /// Keys have an owner again.
     OwnedAgain(OwnedAgain),
-    /// An upstream lost keys without an answer, or has answered since.
+    /// An upstream lost keys without having confirmed it, or has since confirmed it.
     Fence(FenceNotice),
-    /// Keys wait since their last holder may have left a grant lying.
+    /// Keys are withheld because their last holder may still process an earlier grant.
     Doubt(DoubtNotice),
 }
 
-/// What is to be done.
+/// An action for the shell to perform.
 pub enum Output {
-    /// A request that can't be admitted.
+    /// Reject a request that can't be admitted.
     Deny(Ticket, Admission),
-    /// Make an attempt.
+    /// Send a request to an upstream.
     Forward(Ticket, Forward),
-    /// Give the final answer.
+    /// Send the final response to the client.
     Conclude(Ticket, Ending),
     /// Call the store.
     Store(StoreTask, StoreCall),
-    /// Order something of an upstream; `epoch` is the term.
+    /// Send an order to an upstream; the number is the term.
     Order(OrderTask, u64),
-    /// Tell other nodes.
+    /// Send a message to the nodes at these addresses.
     Send(Datagram, Vec<SocketAddr>),
-    /// Ask another node for its copies, and wait so long.
+    /// Request snapshots from another node, with this timeout.
     FetchSnapshots(SocketAddr, ViewRequest, Duration),
-    /// Try to connect to an upstream, to see whether it still listens.
+    /// Try to connect to an upstream, to check whether a process still listens there.
     Probe(DoubtedUpstream),
-    /// What is known of requests that end upstreams changed.
+    /// The knowledge about poison requests changed.
     Quarantine(QuarantineNotice),
-    /// What is known of the rate that an upstream takes changed; its id, if it is registered.
+    /// The known rate limit of an upstream changed; the id is present if the upstream is
+    /// registered.
     RateLimit(Option<UpstreamId>, LimitNotice),
-    /// The store has begun another era.
+    /// The store has begun a new era.
     StoreEra {
-        /// The era before; none if none was known.
+        /// The previous era, if one was known.
         before: Option<StoreEra>,
-        /// The era now.
+        /// The new era.
         era: StoreEra,
     },
-    /// Bounds on clients changed.
+    /// The limits on clients changed.
     ClientLimits(ClientLimits),
-    /// A belief changed.
+    /// The node's view of the cluster changed.
     ViewChanged(ViewNotice),
-    /// This node became the granter, or ceased to be.
+    /// This node became the granter in the given term, or stopped being the granter.
     Granter(Option<u64>),
-    /// As the granter: what became of keys of a service, or of their holders.
+    /// As the granter: the ownership of a service's keys, or the state of their holders, changed.
     Ownership(ServiceName, OwnershipNotice),
-    /// What this node does as a standby changed.
+    /// The standby state of this node changed.
     Standby(StandbyState),
 }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! One node's decisions.
+//! The decision logic of one router node, free of I/O.
 
 mod control;
 mod grants;
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -1,4 +1,4 @@
-//! One node's core: inputs and the time go in, outputs come out.
+//! The core of one node: it handles timestamped inputs and returns outputs.
 
 mod fetch;
 mod gossip;
@@ -35,36 +35,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Fixed values of a core.
+/// Fixed parameters of a core.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// Requests.
+    /// Parameters of request dispatch.
     pub dispatch: DispatchConfig,
-    /// Control.
+    /// Parameters of the control plane.
     pub control: ControlConfig,
-    /// Directory.
+    /// Policy of the upstream directory.
     pub directory: DirectoryPolicy,
-    /// Longest wait of a watch.
+    /// Maximum timeout of a watch.
     pub watch_timeout: Duration,
-    /// How long the nodes are not read after the start. Where all start
-    /// together, each then sees all and few of them become relays.
+    /// How long after startup the members are not read. If all nodes start together, each then sees
+    /// all others, and only few become relays.
     pub start_delay: Duration,
-    /// Where other nodes may be heard before any is known.
+    /// Addresses of nodes to contact before any others are known.
     pub seeds: Vec<SocketAddr>,
-    /// Pauses.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Whether upstreams that say in answers that they leave are taken at their word. Only a
-    /// test that shows why turns it off.
+    /// Whether shutdown announcements in upstream responses are trusted. Disabled only by a test
+    /// that shows why this is needed.
     pub accept_leaving_notices: bool,
-    /// Whether nodes tell each other of requests that end upstreams. Only a test that
-    /// shows why turns it off.
+    /// Whether nodes share suspected poison requests. Disabled only by a test that shows why this
+    /// is needed.
     pub share_suspicions: bool,
 }
 
-/// Trouble with the store longer ago than this is not told to others.
+/// Store failures older than this are not reported to other nodes.
 const STORE_FAILURE_REPORT_WINDOW: Duration = Duration::from_secs(2);
 
-/// One node's core.
+/// The core of one node.
 pub struct NodeCore {
     config: CoreConfig,
     views: Views,
@@ -80,33 +80,33 @@
     membership: Membership,
     /// Whether this is the relay that its zone relies on.
     acts_as_relay: bool,
-    /// The store's era, as far as known.
+    /// The store's era, if known.
     era: Option<StoreEra>,
-    /// When a call to the store last got no answer.
+    /// When a store call last failed without an answer.
     store_failed_at: Option<Time>,
     key_report_at: Time,
     suspicion_queue: SuspicionQueue,
-    /// When rates that upstreams name may be told next.
+    /// When rate limits may next be sent to other nodes.
     limits_due_at: Time,
     fetches: Fetches,
-    /// Relays of this node's zone that a node which has just started still asks for
-    /// their copies; none before it knows who they are.
+    /// Relays of this zone that a newly started node has yet to ask for snapshots; `None` until it
+    /// knows the relays.
     startup_relays: Option<Vec<SocketAddr>>,
     next_peer_query: Time,
     peer_query_count: usize,
-    /// Whether a call got no answer since one last did.
+    /// Whether a call has gone unanswered since the last answered one.
     path_failed: bool,
-    /// Whether the store refused a call since it last took one.
+    /// Whether the store has refused a call since it last accepted one.
     was_refused: bool,
     configured: u64,
     was_granter: Option<u64>,
     outputs: Vec<Output>,
 }
 
-/// Nodes that share the retry allowance while none is known.
+/// Number of nodes assumed to share the retry allowance while none is known.
 const ASSUMED_NODE_COUNT: usize = 16;
 
-/// A dispatcher that takes the allowance for shared before it knows any node.
+/// Creates a dispatcher that assumes a shared retry allowance before any node is known.
 fn new_dispatcher(config: &CoreConfig) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(config.dispatch.clone());
     dispatcher.set_nodes(ASSUMED_NODE_COUNT);
@@ -114,7 +114,7 @@
 }
 
 impl NodeCore {
-    /// A node that knows nothing yet.
+    /// Creates the core of a node that knows nothing yet.
     pub fn new(config: CoreConfig, dialect: Rc<dyn Dialect>) -> Self {
         Self {
             views: Views::new(dialect, config.directory, config.watch_timeout),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Takes one input; what is to be done about it.
+    /// Handles one input; returns the actions to perform.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Output> {
         let may_decide = may_unblock_requests(&input);
         match input {
@@ -241,7 +241,7 @@
             }
             Datagram::AllLoad(sum) => self.handle_all_load(now, from, sum),
             Datagram::Answers(answers) => self.handle_answers(now, from, answers),
-            // The granter gives keys to another on its own evidence alone.
+            // The granter reassigns keys only on evidence of its own.
             Datagram::UpstreamGone(upstream) => {
                 self.views.proved_gone(now, upstream);
                 self.apply_view_changes(now);
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Takes the proof that an upstream is gone and tells the other nodes, so that
-    /// not each of them has to send it a request.
+    /// Handles proof that an upstream is gone, and informs the other nodes so that they need not
+    /// each send it a request to find out.
     fn handle_gone(&mut self, now: Time, upstream: UpstreamId) {
         let was_known = self.views.directory.get(&upstream).is_some();
         self.views.proved_gone(now, &upstream);
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Passes changed views on to where they are used.
+    /// Passes changes of the views on to the components that use them.
     fn apply_view_changes(&mut self, now: Time) {
         if let Some(speeds) = self.views.speeds.take() {
             self.dispatcher.adopt_speeds(&speeds);
@@ -320,7 +320,7 @@
             .extend(notices.into_iter().map(Output::ViewChanged));
     }
 
-    /// Follows changes among the nodes.
+    /// Updates the membership and everything derived from it.
     fn update_members(&mut self, now: Time) {
         let own = &self.config.control.record;
         let started = self.membership.set_nodes(own, &self.views.nodes);
@@ -330,16 +330,16 @@
         self.dispatcher.set_members(now, members.collect());
     }
 
-    /// Whether this is the relay that its zone relies on: no relay before it can be
-    /// relied on.
+    /// Whether this is the relay that its zone relies on, because no preceding relay can be relied
+    /// on.
     fn is_first_relay(&self, now: Time) -> bool {
         let relays = self.membership.relays();
         let before = relays.preceding(&self.config.control.record.peers);
         before.is_some_and(|before| !self.views.relays.any_fresh_of(now, before))
     }
 
-    /// What a relay of another zone, which follows the store for the site, tells of
-    /// it. Where there are few nodes each zone's relay follows the store.
+    /// The store contact of the relay in another zone that follows the store for the site. In a
+    /// small deployment each zone's relay follows the store.
     fn relayed_contact(&self, now: Time) -> Option<RelayedContact> {
         if self.is_small_deployment() {
             return None;
@@ -353,8 +353,7 @@
         self.membership.is_relay()
     }
 
-    /// Nodes that share what is bounded over all of them. Before any is known
-    /// there may be many.
+    /// Number of nodes that share the global limits. Before any node is known, there may be many.
     fn node_count(&self) -> usize {
         match self.views.nodes.len() {
             0 => ASSUMED_NODE_COUNT,
@@ -447,8 +446,8 @@
         }
     }
 
-    /// Takes changed bounds of requests and of the directory. Control keeps its
-    /// own: see [`crate::settings::NodeSettings`].
+    /// Applies changed settings of dispatch and directory. Control keeps its own: see
+    /// [`crate::settings::NodeSettings`].
     fn take_settings(&mut self, config: CoreConfig) {
         self.dispatcher.set_bounds(&config.dispatch);
         self.views.directory.set_policy(config.directory);
@@ -465,7 +464,7 @@
         }
     }
 
-    /// What other nodes may ask for.
+    /// Answers another node's request for snapshots.
     pub fn answer(&self, request: &ViewRequest) -> Vec<Snapshot> {
         self.views.answer(request)
     }
@@ -475,10 +474,10 @@
         self.views.is_ready()
     }
 
-    /// How long after one tick the next one is due.
+    /// Interval until the next tick.
     ///
-    /// Most nodes of a large deployment have little to do; each wake-up costs
-    /// processor time, of which they have a tenth of a core.
+    /// Most nodes of a large deployment have little to do, and each wake-up costs processor time,
+    /// of which they have a tenth of a core.
     pub fn tick_interval(&self, now: Time) -> Duration {
         let timing = self.config.timing;
         let (waiting, _) = self.dispatcher.counts();
@@ -494,20 +493,20 @@
         }
     }
 
-    /// When a request's next decision is due.
+    /// When the next decision on a request is due.
     pub fn next_due(&self) -> Option<Time> {
         self.dispatcher.next_due()
     }
 
-    /// The parts, for metrics.
+    /// The components, for metrics.
     pub fn inspect(&self) -> (&Views, &Control, &Dispatcher) {
         (&self.views, &self.control, &self.dispatcher)
     }
 }
 
-/// Whether an input may let a request go that waits, or brings one. Reports of
-/// single nodes are many where this node is a relay, and each would have every
-/// waiting request look at every upstream.
+/// Whether an input may unblock a queued request, or brings a new one. A relay receives many
+/// reports from single nodes, and each would otherwise make every queued request examine every
+/// upstream.
 fn may_unblock_requests(input: &Input) -> bool {
     !matches!(
         input,
--- a/crates/router/src/core/node/fetch.rs
+++ b/crates/router/src/core/node/fetch.rs
@@ -1,4 +1,4 @@
-//! Copies that this node asks other nodes for.
+//! Snapshot requests to other nodes.
 
 use super::NodeCore;
 use crate::core::message::Output;
@@ -7,15 +7,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A question under way.
+/// A pending request.
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     from: SocketAddr,
     until: Time,
 }
 
-/// Questions under way: one for assignments and one for all other copies, so
-/// that none waits for a large one and no copy comes twice over one link.
+/// Pending requests: at most one for assignments and one for all other views, so that assignments
+/// don't wait for a large snapshot and no snapshot is sent twice over one link.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Fetches {
     assignments: Option<Fetch>,
@@ -23,7 +23,7 @@
 }
 
 impl Fetches {
-    /// Notes that a node answered, or failed to.
+    /// Clears the request to a node that answered or failed to answer.
     pub fn ended(&mut self, from: SocketAddr) {
         for slot in [&mut self.assignments, &mut self.others] {
             if slot.is_some_and(|fetch| fetch.from == from) {
@@ -34,7 +34,8 @@
 }
 
 impl NodeCore {
-    /// A holder that denies a key tells that the assignment here is old.
+    /// Fetches assignments from the granter after a holder rejected a key, since the assignment
+    /// known here is outdated.
     pub(super) fn fetch_from_granter(&mut self, now: Time) {
         let own = self.config.control.record.peers;
         let granter = self.views.granter.as_ref().map(|granter| granter.peers);
@@ -43,9 +44,9 @@
         }
     }
 
-    /// Whether this node fetches from another one. As long as a relay of its own
-    /// zone can be relied on, those of other zones are left to that relay: bytes
-    /// between zones are dear.
+    /// Whether this node fetches from the given node. While it can rely on a relay of its own zone,
+    /// fetching from relays of other zones is left to that relay: traffic between zones is
+    /// expensive.
     pub(super) fn fetches_from(&self, now: Time, from: SocketAddr) -> bool {
         let own = &self.config.control.record;
         let near = self.membership.relays().in_zone(&own.zone);
@@ -54,8 +55,7 @@
         !is_far || self.views.follows_store() || !relies_near
     }
 
-    /// Asks another node for its copies, unless a question for such is under
-    /// way.
+    /// Requests snapshots from another node, unless such a request is already pending.
     pub(super) fn fetch(&mut self, now: Time, from: SocketAddr, views: &[ViewName]) {
         let is_state = |view: &&ViewName| **view == ViewName::State;
         let (state, others): (Vec<&ViewName>, Vec<&ViewName>) = views.iter().partition(is_state);
@@ -85,9 +85,9 @@
             .push(Output::FetchSnapshots(from, request, wait));
     }
 
-    /// Asks the first relay of this zone for its copies once this node, which has
-    /// just started, knows who it is. Where all nodes start together it would
-    /// otherwise ask whichever relay it hears first, as all others do.
+    /// After startup, requests snapshots from the first relay of this zone as soon as the relays
+    /// are known. If all nodes start together, they would otherwise all ask whichever relay is
+    /// heard first.
     pub(super) fn query_startup_relays(&mut self, now: Time) {
         if self.startup_relays.is_some() || self.is_small_deployment() {
             return;
@@ -99,7 +99,7 @@
         };
         relays.reverse();
         self.startup_relays = Some(relays);
-        // What was asked of a relay that happened to be heard first may not come.
+        // A request already sent to whichever relay was heard first may go unanswered.
         self.fetches = Fetches::default();
         self.query_next_relay(now);
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Asks another relay for what is still missing.
+    /// Asks another relay for the views that are still missing.
     pub(super) fn snapshots_unavailable(&mut self, now: Time, from: SocketAddr) {
         self.fetches.ended(from);
         self.views.relays.forget(from);
--- a/crates/router/src/core/node/gossip.rs
+++ b/crates/router/src/core/node/gossip.rs
@@ -1,4 +1,4 @@
-//! What a node tells other nodes, and what it asks of them.
+//! Announcements of revisions to other nodes, and requests for their snapshots.
 
 use super::{NodeCore, STORE_FAILURE_REPORT_WINDOW};
 use crate::core::membership::Audience;
@@ -9,24 +9,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most datagrams a second of one sort: with many nodes each hears less often.
+/// Maximum number of datagrams of one kind per second; in larger deployments each node receives
+/// them less often.
 const MAX_DATAGRAMS_PER_SECOND: u32 = 300;
-/// How long a node that has just started waits for the store before it asks the seeds:
-/// where all nodes start together the few seeds would be asked by all of them.
+/// How long after startup a node waits for the store before it asks the seeds: if all nodes start
+/// together, all of them would ask the few seeds.
 const SEED_QUERY_DELAY: Duration = Duration::from_millis(500);
-/// How often word of a change is repeated at once: datagrams get lost.
+/// How often the announcement of a change is repeated, since datagrams may be lost.
 const CHANGE_REPEATS: u32 = 2;
 
-/// When the newest changes are told next.
+/// When the latest revisions are sent next.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RevisionsSchedule {
     /// To nodes of the same zone and the relays.
     near_at: Time,
     /// To all nodes.
     far_at: Time,
-    /// Repetitions of the last change that are left.
+    /// Remaining repetitions of the last announcement.
     repeats_left: u32,
-    /// What was told last.
+    /// The revisions announced last.
     last_sent: [Revision; ViewName::ALL.len()],
 }
 
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Whom this node tells of what it has found out itself, for all to know: all where there
-    /// are few, else the relays, which pass it on.
+    /// Recipients of news that this node found out itself and that all nodes need: all nodes in a
+    /// small deployment, otherwise the relays, which forward it.
     pub(super) fn broadcast_targets(&self) -> Vec<SocketAddr> {
         if self.is_small_deployment() {
             return self.membership.peers(Audience::All);
@@ -50,7 +51,8 @@
         audience
     }
 
-    /// Whom this node passes other nodes' news on to, as a relay of many.
+    /// Recipients to which this node, as a relay in a large deployment, forwards news of other
+    /// nodes.
     pub(super) fn forward_targets(&self) -> Vec<SocketAddr> {
         if self.is_relay() && !self.is_small_deployment() {
             return self.membership.peers(Audience::SameZone);
@@ -58,7 +60,7 @@
         Vec::new()
     }
 
-    /// Tells of a change at once, if others rely on this node for it.
+    /// Announces a change immediately, if other nodes rely on this node for it.
     pub(super) fn announce_changes(&mut self, now: Time) {
         let latest = self.views.own_revisions(None).latest;
         if latest != self.revisions.last_sent && self.is_relied_on() {
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Whether other nodes rely on the word of this one.
+    /// Whether other nodes rely on this node's announcements.
     fn is_relied_on(&self) -> bool {
         self.serves_as_relay() || self.was_granter.is_some()
     }
 
-    /// Whether other nodes may rely on this one for the store.
+    /// Whether other nodes may rely on this node for the state of the store.
     fn serves_as_relay(&self) -> bool {
         self.acts_as_relay || (self.is_relay() && self.views.follows_store())
     }
@@ -106,7 +108,7 @@
         self.send(Datagram::LatestRevisions(revisions), audience);
     }
 
-    /// How this node stands with the store, if others may rely on it.
+    /// This node's contact with the store, if others may rely on it.
     fn contact(&self, now: Time) -> Option<StoreContact> {
         if !self.serves_as_relay() {
             return None;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// While the store does not answer, other nodes may know more.
+    /// Requests snapshots from another node while the store is unreachable.
     pub(super) fn query_peers(&mut self, now: Time) {
         if now < self.next_peer_query || !self.views.is_disconnected(now) {
             return;
@@ -165,8 +167,8 @@
         self.fetch(now, peer, &ViewName::ALL);
     }
 
-    /// Whom to ask for copies: the relays, those of the same zone first, or
-    /// anybody where this node is a relay itself.
+    /// Nodes to request snapshots from: the relays, starting with those of this zone, or any node
+    /// if this node is a relay itself.
     fn snapshot_sources(&self) -> Vec<SocketAddr> {
         if self.is_relay() {
             return self.membership.peers(Audience::All);
@@ -180,7 +182,7 @@
     }
 }
 
-/// Least pause between datagrams to so many nodes.
+/// Minimum interval between datagrams to the given number of nodes.
 pub(super) fn min_interval(nodes: usize) -> Duration {
     Duration::from_secs(1) * nodes as u32 / MAX_DATAGRAMS_PER_SECOND
 }
--- a/crates/router/src/core/node/leaving.rs
+++ b/crates/router/src/core/node/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave: whom this node tells.
+//! Propagation of upstreams' shutdown announcements.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
@@ -6,12 +6,12 @@
 use beamtray_types::Time;
 use std::net::SocketAddr;
 
-/// Upstreams in one datagram.
+/// Maximum number of upstreams per datagram.
 const UPSTREAMS_PER_DATAGRAM: usize = 20;
 
 impl NodeCore {
-    /// Takes an upstream's own word that it leaves, and passes it on: the granter moves its
-    /// keys, and other nodes need no answer of their own.
+    /// Handles an upstream's own shutdown announcement and forwards it, so that the granter moves
+    /// its keys and other nodes need not get a response of their own first.
     pub(super) fn handle_leaving(&mut self, now: Time, upstream: UpstreamId) {
         if !self.note_leaving(now, &upstream) {
             return;
@@ -20,7 +20,8 @@
         self.send_leaving(&[upstream], &audience);
     }
 
-    /// Takes another node's words; as a relay of many, passes on what was news.
+    /// Handles announcements reported by another node; as a relay in a large deployment, forwards
+    /// those that are new.
     pub(super) fn handle_leaving_notice(&mut self, now: Time, upstreams: &[UpstreamId]) {
         let news = upstreams.iter();
         let news = news.filter(|upstream| self.note_leaving(now, upstream));
@@ -37,7 +38,7 @@
         is_news
     }
 
-    /// Tells nodes that have just started which upstreams leave.
+    /// Informs newly started nodes of upstreams that are shutting down.
     pub(super) fn send_leaving_to_started(&mut self, started: &[SocketAddr]) {
         let leaving: Vec<UpstreamId> = self.views.directory.leaving().cloned().collect();
         self.send_leaving(&leaving, started);
--- a/crates/router/src/core/node/load.rs
+++ b/crates/router/src/core/node/load.rs
@@ -1,9 +1,9 @@
-//! What nodes tell one another of requests under way.
+//! Exchange of the number of requests in flight between nodes.
 //!
-//! Few nodes tell those of their zone directly; see [`super::zone_load`] for what
-//! other zones hear. Many tell the relays of their zone; the first relay that is
-//! alive tells the sums on. Told directly, n nodes send and take n x n reports,
-//! and the far ones cost bytes between zones.
+//! In a small deployment, nodes report directly to the nodes of their zone; [`super::zone_load`]
+//! describes what other zones receive. In a large one, nodes report to the relays of their zone,
+//! and the first live relay distributes sums. With direct reports, n nodes would send and receive n
+//! x n reports, and those to other zones would use expensive bandwidth between zones.
 
 use super::NodeCore;
 use super::gossip::min_interval;
@@ -16,27 +16,26 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Up to this many nodes tell each other directly.
+/// Up to this many nodes report to each other directly.
 const MAX_DIRECT_NODES: usize = 16;
-/// Longest pause between reports of a node to those of its zone where there are
-/// few.
+/// Maximum interval between a node's reports to its zone in a small deployment.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(80);
-/// A relay that was not heard for this long is not the first one alive.
+/// A relay that was not heard for this long is not considered the lead relay.
 const LEAD_RELAY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Sums that a relay must have left out to count as silent, where their pause is
-/// long.
+/// Number of consecutive sums that a relay must miss to count as silent, where sums are sent at
+/// long intervals.
 const MAX_MISSED_SUMS: u32 = 3;
-/// Reports a second that one relay takes from the nodes of its zone.
+/// Maximum number of reports per second that one relay receives from the nodes of its zone.
 const MAX_REPORTS_PER_SECOND: u32 = 1_000;
-/// Datagrams a second that a relay sends to the nodes of its zone.
+/// Maximum number of sum datagrams per second that a relay sends to the nodes of its zone.
 const MAX_SUMS_PER_SECOND: u32 = 800;
-/// Datagrams of answers a second that a relay sends: how fast upstreams are changes
-/// slowly, and each node takes in all of them.
+/// Maximum number of datagrams per second in which a relay sends response statistics. Upstream
+/// speeds change slowly, and each node receives all of them.
 const MAX_ANSWER_DATAGRAMS_PER_SECOND: u32 = 150;
-/// Upstreams in one datagram of answers.
+/// Maximum number of upstreams per datagram of response statistics.
 const ANSWERS_PER_DATAGRAM: usize = 120;
 
-/// Answers of one upstream that are still to be passed on.
+/// Response statistics of one upstream that have not been forwarded yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PendingAnswers {
     samples: u32,
@@ -44,7 +43,7 @@
     failures: u32,
 }
 
-/// When reports are due, and what a relay passes on.
+/// When reports are due, and the response statistics that a relay has yet to forward.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportSchedule {
     near_at: Time,
@@ -52,20 +51,20 @@
     far_at: Time,
     reported_idle: bool,
     sum_at: Time,
-    /// Between sums of the relay that this node hears.
+    /// Interval between sums of the relay that this node hears.
     sum_pause: Duration,
     pub(super) zone_at: Time,
     pub(super) reported_zone_idle: bool,
     pub(super) answers_at: Time,
     pub(super) pending_answers: HashMap<UpstreamHash, PendingAnswers>,
-    /// When nodes of other zones told of theirs.
+    /// When nodes of other zones last reported the load of their zones.
     pub(super) zone_reporters: HashMap<SocketAddr, Time>,
-    /// When relays of this zone told a sum.
+    /// When relays of this zone last sent a sum.
     sums_heard_at: HashMap<SocketAddr, Time>,
 }
 
 impl NodeCore {
-    /// Tells other nodes what is under way.
+    /// Reports the requests in flight to other nodes.
     pub(super) fn report(&mut self, now: Time) {
         if self.is_small_deployment() {
             self.report_to_zone(now);
@@ -79,8 +78,8 @@
         self.report_to_relays(now);
     }
 
-    /// Tells the nodes of the same zone. All hear each other at least every
-    /// [`MAX_REPORT_INTERVAL`], which shows who is alive.
+    /// Reports to the nodes of the same zone. Each node reports at least every
+    /// [`MAX_REPORT_INTERVAL`], which shows that it is alive.
     fn report_to_zone(&mut self, now: Time) {
         let timing = self.config.timing;
         let due = now >= self.reports.near_at && !self.is_idle();
@@ -100,18 +99,19 @@
         self.send(Datagram::Load(report), Audience::SameZone);
     }
 
-    /// Whether nodes tell those of their zone directly.
+    /// Whether the deployment is small enough for nodes to report directly to the nodes of their
+    /// zone.
     pub(super) fn is_small_deployment(&self) -> bool {
         self.views.nodes.len() <= MAX_DIRECT_NODES
     }
 
-    /// Whether nothing is under way and the last report said so.
+    /// Whether no request is in flight and the last report said so.
     fn is_idle(&self) -> bool {
         let idle = self.dispatcher.occupancy().own_all().next().is_none();
         idle && self.reports.reported_idle
     }
 
-    /// A report that tells of answers, too.
+    /// A load report that includes response statistics.
     fn full_report(&mut self) -> LoadReport {
         let answers = self.dispatcher.take_answers();
         let report = self.dispatcher.load_report(answers);
@@ -119,8 +119,8 @@
         report
     }
 
-    /// Tells the relays of this zone: the first one alive often, the others, which
-    /// take over from it, together with the answers.
+    /// Reports to the relays of this zone: frequently to the lead relay, and along with the
+    /// response statistics to the others, which take over from it.
     fn report_to_relays(&mut self, now: Time) {
         let timing = self.config.timing;
         let with_answers = now >= self.reports.far_at;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The other relays of this zone, the first one first.
+    /// The other relays of this zone, in order of precedence.
     pub(super) fn zone_relays(&self) -> Vec<SocketAddr> {
         let own = &self.config.control.record;
         let relays = self.membership.relays().in_zone(&own.zone).iter();
@@ -161,8 +161,8 @@
             .collect()
     }
 
-    /// The relay of this zone that tells sums, or all while none is heard; none if
-    /// it is this one.
+    /// The lead relay of this zone, or all of its relays while none is heard; empty if this node is
+    /// the lead relay.
     fn leading_relay(&self, now: Time) -> Vec<SocketAddr> {
         if self.is_lead_relay(now) {
             return Vec::new();
@@ -172,14 +172,14 @@
         leading.map_or(relays.clone(), |leading| vec![*leading])
     }
 
-    /// Whether a relay of this zone tells sums.
+    /// Whether a relay of this zone is sending sums.
     pub(super) fn is_sending_sums(&self, now: Time, relay: &SocketAddr) -> bool {
         let silence = LEAD_RELAY_TIMEOUT.max(self.reports.sum_pause * MAX_MISSED_SUMS);
         let heard = self.reports.sums_heard_at.get(relay);
         heard.is_some_and(|heard| now.since(*heard) < silence)
     }
 
-    /// Whether this is the first relay of its zone that is alive.
+    /// Whether this node is the lead relay, the first live relay of its zone.
     pub(super) fn is_lead_relay(&self, now: Time) -> bool {
         let own = &self.config.control.record;
         let relays = self.membership.relays().in_zone(&own.zone).iter();
@@ -187,8 +187,8 @@
         self.is_relay() && !before.any(|relay| self.is_sending_sums(now, relay))
     }
 
-    /// Tells the nodes of this zone of all requests, and the relays of other
-    /// zones of those of this zone.
+    /// Sends the sums of all requests to the nodes of this zone, and those of this zone's requests
+    /// to the relays of other zones.
     fn send_sums(&mut self, now: Time) {
         let timing = self.config.timing;
         if now >= self.reports.sum_at {
@@ -217,7 +217,7 @@
         self.membership.relays().in_other_zones(zone).collect()
     }
 
-    /// Takes a report of another node.
+    /// Handles another node's load report.
     pub(super) fn handle_load(&mut self, now: Time, report: &LoadReport) {
         self.dispatcher.report(now, report);
         if self.is_relay() || self.is_small_deployment() {
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Takes the sum of a relay of this zone. A relay has what it contains from
-    /// the nodes themselves.
+    /// Handles a sum from a relay of this zone. A relay ignores its contents, having received them
+    /// from the nodes themselves.
     pub(super) fn handle_all_load(&mut self, now: Time, from: SocketAddr, sum: &LoadSum) {
         self.reports.sums_heard_at.insert(from, now);
         let near = self.membership.count(Audience::SameZone);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Passes on answers that nodes of this zone told of.
+    /// Forwards response statistics reported by nodes of this zone.
     fn forward_answers(&mut self, now: Time) {
         if now < self.reports.answers_at {
             return;
@@ -267,7 +267,7 @@
         self.reports.answers_at = now + pause.max(self.config.timing.answers_interval);
     }
 
-    /// Tells what was noted of answers, which is not told again.
+    /// Sends the pending response statistics and clears them.
     pub(super) fn send_answers(&mut self, now: Time, audience: &[SocketAddr]) {
         self.reports.answers_at = now + self.config.timing.answers_interval;
         let pending_answers = self.reports.pending_answers.drain();
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Takes answers that a relay passed on, and passes those of other zones on
-    /// to the nodes of this one.
+    /// Handles response statistics forwarded by a relay, and forwards those of other zones to the
+    /// nodes of this zone.
     pub(super) fn handle_answers(&mut self, now: Time, from: SocketAddr, answers: &[Answers]) {
         self.dispatcher.take_others_answers(now, answers);
         if self.is_small_deployment() {
@@ -304,7 +304,7 @@
     }
 }
 
-/// Between sums of so many parts to so many nodes.
+/// Interval between sums of the given number of parts to the given number of nodes.
 fn sum_pause(nodes: usize, parts: usize) -> Duration {
     Duration::from_secs(1) * (nodes * parts) as u32 / MAX_SUMS_PER_SECOND
 }
--- a/crates/router/src/core/node/quarantine.rs
+++ b/crates/router/src/core/node/quarantine.rs
@@ -1,10 +1,10 @@
-//! What nodes tell one another of requests that end upstreams.
+//! Exchange of suspected poison requests, those that crash upstreams, between nodes.
 //!
-//! A client that comes again meets another node, so each node sees one end or two. All
-//! have to know of each within the time in which nodes in touch hear of things.
-//! Where there are few nodes each tells all. Where there are many each tells the relays,
-//! and these tell the nodes of their zones; the granter, which is one
-//! of them, writes it into the store, where those find it that missed the word.
+//! A client that retries reaches a different node, so each node sees only one or two of the
+//! crashes. All nodes must learn of each crash within the usual time for messages between connected
+//! nodes. In a small deployment, each node informs all others. In a large one, each node informs
+//! the relays, which inform the nodes of their zones; the granter, which receives them as a relay,
+//! stores them for nodes that missed the messages.
 
 use super::NodeCore;
 use crate::core::membership::Audience;
@@ -17,27 +17,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often each suspicion is told: of links that lose one datagram in ten, one loses all
-/// of them once in ten thousand.
+/// How often each suspicion is sent: on a link that loses one datagram in ten, all of them are lost
+/// once in ten thousand times.
 const SEND_COUNT: u32 = 4;
-/// Between two tellings. All are told well within a second.
+/// Interval between datagrams; all suspicions are sent well within a second.
 const SEND_INTERVAL: Duration = Duration::from_millis(150);
-/// The same while there is news: the first is told at once, and what comes soon after it
-/// goes together. Each in a datagram of its own, they were as many as the requests that
-/// were under way where upstreams ended.
+/// The same after new suspicions: the first is sent immediately, and those that follow soon after
+/// share a datagram. If each had its own, there would be as many datagrams as requests in flight at
+/// the crashed upstreams.
 const NEWS_SEND_INTERVAL: Duration = Duration::from_millis(30);
-/// Suspicions in one datagram, 18 bytes each.
+/// Maximum number of suspicions per datagram, at 18 bytes each.
 const SUSPICIONS_PER_DATAGRAM: usize = 60;
-/// Most suspicions that are still to be told; a zone that is lost leaves thousands, nearly
-/// all of bystanders. What was told least urgently gives way.
+/// Maximum number of queued suspicions. The loss of a zone leaves thousands, nearly all against
+/// innocent requests; the least urgent ones are dropped.
 const MAX_QUEUED: usize = 2_000;
-/// Suspicions of a request of which so many are known are told before others.
+/// Suspicions of a request with at least this many known suspicions are urgent, and sent before
+/// others.
 const URGENT_COUNT: usize = 2;
 
-/// Whom a suspicion is for.
+/// The recipients of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SuspicionAudience {
-    /// Whoever puts together what single nodes saw.
+    /// Nodes that combine the observations of single nodes.
     Collectors,
     /// All nodes of this zone.
     Zone,
@@ -50,7 +51,7 @@
     sends_left: u32,
 }
 
-/// Suspicions that are still to be told.
+/// Suspicions waiting to be sent.
 #[derive(Debug, Default)]
 pub(super) struct SuspicionQueue {
     queue: VecDeque<QueuedSuspicion>,
@@ -59,8 +60,8 @@
 }
 
 impl SuspicionQueue {
-    /// Adds a suspicion; one that `is_urgent` goes before the others. Where a zone is lost
-    /// those of its bystanders take seconds to tell.
+    /// Queues a suspicion, ahead of all others if `is_urgent`. After the loss of a zone, sending
+    /// the suspicions against innocent requests takes seconds.
     fn add(&mut self, suspicion: Suspicion, audience: SuspicionAudience, is_urgent: bool) {
         let news = QueuedSuspicion {
             suspicion,
@@ -77,13 +78,14 @@
         }
     }
 
-    /// There is news: it is told at once, or with what else comes up to then.
+    /// Schedules new suspicions: sent immediately, or together with others that arise within the
+    /// interval.
     fn schedule_soon(&mut self, now: Time) {
         let next = self.sent_at.map_or(now, |sent| sent + NEWS_SEND_INTERVAL);
         self.due = self.due.min(next.max(now));
     }
 
-    /// Those that are told next, and again later unless it was the last time.
+    /// The suspicions to send now. Those with sends left are queued again.
     fn take_due(&mut self) -> Vec<QueuedSuspicion> {
         let count = self.queue.len().min(SUSPICIONS_PER_DATAGRAM);
         let batch: Vec<QueuedSuspicion> = self.queue.drain(..count).collect();
@@ -101,29 +103,29 @@
 }
 
 impl NodeCore {
-    /// Takes what the try to connect to an upstream showed.
+    /// Handles the result of a connection attempt to an upstream.
     pub(super) fn handle_probe(&mut self, now: Time, upstream: &UpstreamId, liveness: Liveness) {
         match liveness {
             Liveness::Ended => self.handle_upstream_ended(now, upstream),
-            // What listens may be its restart, which its registration tells soon.
+            // The listening process may be a restarted one, which its registration will soon show.
             Liveness::Listens if upstream.born.is_some() => {}
             Liveness::Listens => {
                 let hash = UpstreamHash::of(upstream);
                 self.dispatcher.quarantine_mut().upstream_lives(hash);
             }
-            // Another proof may come, or the doubt passes.
+            // Other proof may arrive, or the suspicion expires.
             Liveness::Silent => {}
         }
     }
 
-    /// Suspects the requests whose connections to an upstream broke off, since it ended.
+    /// Suspects the requests whose connections to an upstream broke, since the upstream has ended.
     pub(super) fn handle_upstream_ended(&mut self, now: Time, upstream: &UpstreamId) {
         let hash = UpstreamHash::of(upstream);
         self.dispatcher.quarantine_mut().upstream_ended(now, hash);
     }
 
-    /// Takes restarts of upstreams under their names as proof that the incarnations before
-    /// have ended.
+    /// Takes the restart of an upstream under the same name as proof that its earlier incarnation
+    /// has ended.
     pub(super) fn note_restarts(&mut self, now: Time, notices: &[ViewNotice]) {
         for notice in notices {
             if let ViewNotice::Directory(DirectoryChange::Restarted { earlier, .. }) = notice {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Asks for proof where connections broke off, and passes on what became known.
+    /// Probes upstreams whose connections broke, and publishes new findings.
     pub(super) fn poll_quarantine(&mut self, now: Time) {
         for doubted in self.dispatcher.take_doubted() {
             self.outputs.push(Output::Probe(doubted));
@@ -153,8 +155,8 @@
         self.outputs.extend(notices);
     }
 
-    /// A relay tells its zone of all that is news to it, of the first end as well: a node
-    /// that has not heard of that would send such a request without a permit.
+    /// As a relay, forwards all new suspicions to the zone. This includes a request's first one: a
+    /// node unaware of it would send such a request without a permit.
     fn forward_news(&mut self, now: Time) {
         let news = self.dispatcher.quarantine_mut().take_news();
         if news.is_empty() || self.is_small_deployment() || !self.is_relay() {
@@ -169,7 +171,7 @@
         self.suspicion_queue.schedule_soon(now);
     }
 
-    /// Takes what another node saw.
+    /// Handles suspicions reported by another node.
     pub(super) fn handle_suspicions(&mut self, now: Time, suspicions: &[Suspicion]) {
         let quarantine = self.dispatcher.quarantine_mut();
         for suspicion in suspicions {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Tells other nodes of suspicions.
+    /// Sends queued suspicions to other nodes.
     pub(super) fn send_suspicions(&mut self, now: Time) {
         let is_due = now >= self.suspicion_queue.due && !self.suspicion_queue.queue.is_empty();
         if !is_due || !self.config.share_suspicions {
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -1,9 +1,9 @@
-//! Rates that upstreams name: whom this node tells of them, whom it asks for permits, and
-//! what it lends itself.
+//! Exchange of rate limits announced by upstreams, and requesting and lending of permits.
 //!
-//! Where there are few nodes each tells all. Where there are many each tells the relays, and
-//! these tell the nodes of their zones, and those that have just started. A node that missed
-//! the word learns of the rate from its first answer, and a lender from the question.
+//! In a small deployment, each node informs all others. In a large one, each node informs the
+//! relays, which inform the nodes of their zones, including newly started ones. A node that missed
+//! the message learns of the rate limit from the upstream's first response to it, and a lender from
+//! the first permit request.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
@@ -13,13 +13,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two tellings: an upstream may name another rate with each answer.
+/// Minimum interval between messages, since an upstream may announce a different rate in each
+/// response.
 const SEND_INTERVAL: Duration = Duration::from_millis(50);
-/// Rates in one datagram, 17 bytes each.
+/// Maximum number of rate limits per datagram, at 17 bytes each.
 const LIMITS_PER_DATAGRAM: usize = 60;
 
 impl NodeCore {
-    /// Passes on what became known of rates.
+    /// Publishes new information on rate limits.
     pub(super) fn poll_rate_limits(&mut self, now: Time) {
         for notice in self.dispatcher.take_limit_notices() {
             let id = self.registered_as(notice.upstream());
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Tells nodes that have just started all that is known, so that they don't send at full
-    /// pace up to their first answers.
+    /// Sends everything known to newly started nodes, so that they don't send requests at the full
+    /// rate until their first responses.
     pub(super) fn update_started_nodes(&mut self, now: Time, mut started: Vec<SocketAddr>) {
         if !self.is_small_deployment() {
             let is_relay = self.is_relay();
@@ -64,7 +65,8 @@
         self.send_leaving_to_started(&started);
     }
 
-    /// Takes other nodes' words; as a relay of many, passes on what was news.
+    /// Handles rate limits reported by another node; as a relay in a large deployment, forwards
+    /// those that are new.
     pub(super) fn handle_limits(&mut self, now: Time, words: &[LimitWord]) {
         let mut news = Vec::new();
         for word in words {
@@ -76,7 +78,7 @@
         self.send_limits(&news, &audience);
     }
 
-    /// Asks a lender for permits. One that has no entry any more is not heard from, and
+    /// Requests permits from a lender. A lender that is no longer registered can't be reached and
     /// counts as silent.
     pub(super) fn request_permits(&mut self, request: PermitRequest) {
         let lender = self.membership.address(request.lender);
@@ -85,7 +87,7 @@
             .push(Output::Send(datagram, lender.into_iter().collect()));
     }
 
-    /// As a lender: answers a question for permits.
+    /// As a lender, answers a permit request.
     pub(super) fn lend_permits(&mut self, now: Time, from: SocketAddr, request: &PermitRequest) {
         let reply = self.dispatcher.lend_permits(now, request);
         let datagram = Datagram::PermitReply(reply);
--- a/crates/router/src/core/node/rests.rs
+++ b/crates/router/src/core/node/rests.rs
@@ -1,4 +1,5 @@
-//! Upstreams that ask this node for rest: the granter is told, so that keys go to others.
+//! Upstreams that ask this node to stop sending requests for a while. The granter is informed so
+//! that it moves keys to other upstreams.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output, RestNotice};
@@ -7,11 +8,11 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Shorter rests are over before keys have gone to others.
+/// Shorter rests are not reported: they end before keys have moved to other upstreams.
 const MIN_REPORTED_REST: Duration = Duration::from_millis(500);
 
 impl NodeCore {
-    /// Takes an upstream's wish for rest, and tells the granter.
+    /// Handles an upstream's request for a rest, and informs the granter.
     pub(super) fn handle_rest_request(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
         self.dispatcher.asked_to_rest(now, upstream, rest);
         if rest < MIN_REPORTED_REST {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Takes another node's word of a rest: only where keys go hangs on it.
+    /// Handles a rest reported by another node, which only affects the assignment of keys.
     pub(super) fn handle_rest_notice(&mut self, now: Time, notice: &RestNotice) {
         let rest = Duration::from_millis(notice.rest_ms.into());
         self.dispatcher
--- a/crates/router/src/core/node/slots.rs
+++ b/crates/router/src/core/node/slots.rs
@@ -1,5 +1,5 @@
-//! Slots of upstreams: whom this node asks for them, and what it gives out itself as the
-//! relay that its zone relies on for that.
+//! Upstream slots: requesting them from a relay, and assigning them to other nodes as the relay of
+//! this zone.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl NodeCore {
-    /// The relay that is asked where to send requests without a key: the one that tells
-    /// the sums of this zone. None where there are few nodes, or if it is this one.
+    /// The relay that chooses upstreams for requests without a key: the one that sends the sums of
+    /// this zone. `None` in a small deployment, or if this node is that relay.
     pub(super) fn slot_relay(&self, now: Time) -> Option<SocketAddr> {
         if self.is_small_deployment() || self.is_lead_relay(now) {
             return None;
@@ -18,7 +18,7 @@
         relays.find(|relay| self.is_sending_sums(now, relay))
     }
 
-    /// As the relay of a zone: chooses an upstream for another node's request.
+    /// As the relay of a zone, chooses an upstream for another node's request.
     pub(super) fn assign_slot(&mut self, now: Time, from: SocketAddr, request: &SlotRequest) {
         self.handle_load(now, &request.report);
         let directory = &self.views.directory;
--- a/crates/router/src/core/node/standby.rs
+++ b/crates/router/src/core/node/standby.rs
@@ -1,4 +1,4 @@
-//! Standbys: their choice, words and reports, and what this node does as one.
+//! Standbys: choosing them, leases and reports, and this node's own standby role.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
@@ -9,14 +9,14 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// A node that was not heard for this long does not become a standby.
+/// A node that was not heard for this long can't become a standby.
 const STANDBY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A granter that was not heard for this long is silent.
+/// A granter that was not heard for this long is considered silent.
 const GRANTER_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl NodeCore {
-    /// As the granter: sends words to the standbys.
+    /// As the granter, sends leases to the standbys.
     pub(super) fn poll_standby_leases(&mut self, now: Time) {
         if !self.control.is_granter(now) {
             return;
@@ -29,9 +29,9 @@
         }
     }
 
-    /// The nodes that are to be standbys; none where there are many nodes. On a
-    /// deployment of 78 machines keys of dark upstreams waited for standbys for 15
-    /// s after each election, for a cause that is not found yet.
+    /// The nodes that are to be standbys; none in a large deployment. In a deployment of 78
+    /// machines, keys of unreachable upstreams waited 15 s for standbys after each election, for a
+    /// reason not yet known.
     fn wanted_standbys(&self, now: Time) -> Vec<StandbyId> {
         if !self.is_small_deployment() {
             return Vec::new();
@@ -46,7 +46,7 @@
         choose_standbys(&self.config.control.record, &heard)
     }
 
-    /// As a standby: tells the granter what this node knows.
+    /// As a standby, reports the known records to the granter.
     pub(super) fn report_as_standby(&mut self, now: Time, changed: bool) {
         let Some(granter) = &self.views.granter else {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// As a standby: declines where another granter can be elected.
+    /// As a standby, declines if another granter can be elected.
     pub(super) fn update_standby(&mut self, now: Time) {
         let granter = self.views.granter.as_ref();
         let is_heard = granter.is_some_and(|granter| {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// As a standby: orders holders to hold on while there is no granter.
+    /// As a standby, prolongs holds while there is no granter.
     pub(super) fn prolong_holds(&mut self, now: Time) {
         if self.control.is_granter(now) {
             return;
--- a/crates/router/src/core/node/store_health.rs
+++ b/crates/router/src/core/node/store_health.rs
@@ -1,4 +1,4 @@
-//! Answers of the store, and what they tell of the path to it.
+//! Responses of the store, and what they show about the path to it.
 
 use super::{NodeCore, STORE_FAILURE_REPORT_WINDOW};
 use crate::core::message::{Output, StoreTask};
@@ -7,8 +7,8 @@
 use beamtray_types::Time;
 
 impl NodeCore {
-    /// The store's answers tell an era. With a later one all copies are read again, and what
-    /// they had before stays in force until then.
+    /// Handles an era reported by the store. After a newer one, all views are read again; their
+    /// previous contents stay in force until then.
     pub(super) fn handle_store_era(&mut self, now: Time, era: StoreEra) {
         if self.era.is_some_and(|known| era <= known) {
             return;
@@ -48,9 +48,9 @@
         self.poll_control(now);
     }
 
-    /// Judges whether the store itself is sound, before registrations that vanished are
-    /// taken in: the trouble of some nodes' paths would have upstreams that left get
-    /// requests for half of the contact time longer.
+    /// Determines whether the store itself is healthy, before vanished registrations are applied.
+    /// If path failures of single nodes counted as store failures, upstreams that left would
+    /// receive requests for half of the contact time longer.
     pub(super) fn update_store_health(&mut self, now: Time) {
         let last_contact = self.control.last_store_contact();
         let was_answered = last_contact.is_some_and(|at| now.since(at) < STANDBY_RELAY_MAX_AGE);
@@ -62,11 +62,11 @@
         }
     }
 
-    /// After calls that got no answer, one that does shows that the path is
-    /// back. Watches that were waiting on the dead path would never hear.
+    /// Treats an answered call after unanswered ones as proof that the path has recovered. Watches
+    /// that were waiting on the dead path would never return.
     ///
-    /// A watch that fails does not say when: its path may have been dead long
-    /// ago. Only other calls tell that the store is in trouble now.
+    /// The failure of a watch doesn't show when it occurred: its path may have been dead for long.
+    /// Only other calls show that the store is failing now.
     fn track_store_path(&mut self, now: Time, task: &StoreTask, outcome: &StoreOutcome) {
         if matches!(outcome, StoreOutcome::Unknown) {
             self.path_failed = true;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Doubts what hung on connections from before the machine was suspended. Leases, holds
-    /// and trust in relays have aged by themselves.
+    /// Restarts what depends on connections from before the machine was suspended. Leases, holds
+    /// and trust in relays have expired by themselves.
     pub(super) fn resumed(&mut self, now: Time) {
         self.views.restart_all(now);
         self.poll_control(now);
--- a/crates/router/src/core/node/trials.rs
+++ b/crates/router/src/core/node/trials.rs
@@ -1,10 +1,9 @@
-//! Trials of requests that are under suspicion: whom this node asks for a permit, and what
-//! it lends itself.
+//! Trials of suspected requests: requesting permits from a lender, and lending them.
 //!
-//! The lender of a request is the one node of those with an entry that a hash of both
-//! picks, so that all nodes that see the same entries ask the same one and none is asked
-//! for all. Another one takes its place only when its entry is gone: a node that can't
-//! reach it sends no such request meanwhile.
+//! The lender of a request is chosen among the registered nodes by rendezvous hashing. All nodes
+//! that see the same registrations thus ask the same lender, and no node is asked for all requests.
+//! Another node becomes the lender only once the registration of the current one is gone; a node
+//! that can't reach the lender sends no such request in the meantime.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
@@ -13,7 +12,7 @@
 use std::net::SocketAddr;
 
 impl NodeCore {
-    /// Asks the lender for a permit.
+    /// Requests a permit from the lender.
     pub(super) fn request_trial(&mut self, now: Time, request: TrialRequest) {
         match self.other_lender(request.fingerprint) {
             Some(lender) => self.send_to(Datagram::TrialRequest(request), lender),
@@ -27,24 +26,24 @@
         }
     }
 
-    /// As the lender: answers a question.
+    /// As the lender, answers a permit request.
     pub(super) fn lend_trial(&mut self, now: Time, from: SocketAddr, request: &TrialRequest) {
         let reply = self.dispatcher.quarantine_mut().lend(now, request);
         self.send_to(Datagram::TrialReply(reply), from);
     }
 
-    /// Takes the lender's answer.
+    /// Handles the lender's reply.
     pub(super) fn handle_trial_reply(&mut self, now: Time, reply: &TrialReply) {
         self.dispatcher.quarantine_mut().trial_answered(now, reply);
     }
 
-    /// As the lender: takes the outcome of a trial.
+    /// As the lender, handles the outcome of a trial.
     pub(super) fn handle_trial_report(&mut self, now: Time, report: &TrialReport) {
         let quarantine = self.dispatcher.quarantine_mut();
         quarantine.take_trial_report(now, report);
     }
 
-    /// Tells the lenders how trials ended.
+    /// Reports the outcomes of trials to the lenders.
     pub(super) fn report_trials(&mut self, now: Time) {
         let node = &self.config.dispatch.node;
         let reports = self.dispatcher.quarantine_mut().take_trial_reports(node);
@@ -56,7 +55,7 @@
         }
     }
 
-    /// The lender of a request, unless it is this node.
+    /// The lender of a request, if it is another node.
     fn other_lender(&self, fingerprint: Fingerprint) -> Option<SocketAddr> {
         let lender = self.membership.lender(fingerprint)?;
         (lender != self.config.control.record.peers).then_some(lender)
--- a/crates/router/src/core/node/zone_load.rs
+++ b/crates/router/src/core/node/zone_load.rs
@@ -1,11 +1,11 @@
-//! What a zone tells the others of requests under way, where there are few nodes.
+//! Reports of requests in flight between zones in a small deployment.
 //!
-//! One node of each zone, the first one alive, sums what the zone has under way
-//! and tells one node of each other zone, which passes it on. So bytes between
-//! zones grow with the zones and not with the pairs of nodes.
+//! The first live node of each zone sums the requests in flight in the zone and reports them to one
+//! node of each other zone, which forwards them. Traffic between zones thus grows with the number
+//! of zones rather than with the number of pairs of nodes.
 //!
-//! Weighed: every node tells every other (78 pairs between zones at 11 nodes
-//! instead of 6, and the larger part of all bytes between zones).
+//! Alternative considered: direct reports between all nodes. At 11 nodes these use 78 pairs of
+//! nodes across zones instead of 6, and most of all traffic between zones.
 
 use super::NodeCore;
 use crate::core::membership::Audience;
@@ -16,14 +16,14 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A node that was not heard for this long does not lead its zone.
+/// A node that was not heard for this long can't be the leader of its zone.
 const ZONE_LEADER_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl NodeCore {
-    /// Tells the other zones, if this node leads its own.
+    /// Reports to the other zones, if this node leads its zone.
     pub(super) fn report_zone(&mut self, now: Time) {
         if !self.is_zone_leader(now) {
-            // Whoever leads tells of the answers.
+            // The leader of the zone reports the response statistics.
             self.reports.pending_answers.clear();
             return;
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether no node of this zone comes before this one that is alive.
+    /// Whether this is the first live node of its zone.
     fn is_zone_leader(&self, now: Time) -> bool {
         let own = self.config.control.record.peers;
         let near = self.membership.peers(Audience::SameZone).into_iter();
@@ -68,8 +68,8 @@
             .heard_within(now, &address, ZONE_LEADER_TIMEOUT)
     }
 
-    /// Whom to tell in the other zones: those who told of theirs of late, or
-    /// everybody in a zone that is silent.
+    /// Recipients in other zones: nodes that recently reported their zone's load, and all nodes of
+    /// zones from which nothing was heard.
     fn zone_contacts(&self, now: Time) -> Vec<SocketAddr> {
         let near: BTreeSet<SocketAddr> = self
             .membership
@@ -98,7 +98,7 @@
         far.iter().copied().filter(is_contact).collect()
     }
 
-    /// Notes who told of another zone, and passes it on in this one.
+    /// Records which node reported another zone's load, and forwards the report in this zone.
     pub(super) fn forward_zone_load(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
         if !self.is_small_deployment() || self.is_same_zone(from) {
             return;
@@ -107,7 +107,7 @@
         self.forward_to_zone(from, datagram);
     }
 
-    /// Passes a word of another zone on to the nodes of this one.
+    /// Forwards another zone's message to the nodes of this zone.
     pub(super) fn forward_to_zone(&mut self, from: SocketAddr, datagram: &Datagram) {
         if !self.is_same_zone(from) {
             self.send(datagram.clone(), Audience::SameZone);
--- a/crates/router/src/core/records.rs
+++ b/crates/router/src/core/records.rs
@@ -1,4 +1,4 @@
-//! Keys and values that the router keeps in the metadata store.
+//! Keys and values that the router stores in the metadata store.
 
 use beamtray_dispatch::SpeedRecord;
 use beamtray_sharding::{AssignmentPart, Part};
@@ -7,31 +7,32 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Keys of the router's own records.
+/// Store keys of the router's own records.
 pub struct RouterKeys;
 
 impl RouterKeys {
-    /// Prefix of what tells of nodes; every node watches it.
+    /// Prefix of the membership records; every node watches it.
     pub const MEMBERS: &'static str = "beamtray/members/";
-    /// The granter, under its lease.
+    /// The current granter, written under its lease.
     pub const GRANTER: &'static str = "beamtray/members/granter";
-    /// Highest epoch of a granter.
+    /// Highest epoch that any granter has had.
     pub const EPOCH: &'static str = "beamtray/members/epoch";
-    /// Prefix of the nodes, each under its lease.
+    /// Prefix of the node registrations, each under its own lease.
     pub const NODES: &'static str = "beamtray/members/nodes/";
-    /// Prefix of what the granter writes. Nodes read it when they start, then
-    /// hear of it from the granter, and read it again only where they don't.
+    /// Prefix of the records that the granter writes. Nodes read them at startup and then receive
+    /// changes from the granter; they read the store again only when they no longer hear the
+    /// granter.
     pub const STATE: &'static str = "beamtray/state/";
     /// Prefix of the assignments.
     pub const ASSIGNMENTS: &'static str = "beamtray/state/assignments/";
-    /// Prefix of their heads, one for each divided service.
+    /// Prefix of the assignment heads, one per sharded service.
     const HEADS: &'static str = "beamtray/state/assignments/head/";
-    /// What was learned of the upstreams' speeds.
+    /// The measured upstream speeds.
     pub const SPEEDS: &'static str = "beamtray/state/speeds";
-    /// Requests that end upstreams.
+    /// The suspected poison requests.
     pub const SUSPICIONS: &'static str = "beamtray/state/suspicions";
 
-    /// Key of a node.
+    /// Key of a node's registration.
     pub fn node(name: &str) -> String {
         format!("{}{name}", Self::NODES)
     }
@@ -46,7 +47,7 @@
         format!("{}{:02}/{service}", Self::ASSIGNMENTS, part.number())
     }
 
-    /// What a key below [`RouterKeys::ASSIGNMENTS`] stands for.
+    /// Parses a key below [`RouterKeys::ASSIGNMENTS`].
     pub fn assignment_key(key: &str) -> Option<AssignmentKey> {
         if let Some(service) = key.strip_prefix(Self::HEADS) {
             return Some(AssignmentKey::Head(service.into()));
@@ -57,34 +58,34 @@
     }
 }
 
-/// What a key of an assignment stands for.
+/// The record that an assignment key identifies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AssignmentKey {
     /// The head of a service's assignment.
     Head(ServiceName),
-    /// One part of it.
+    /// One part of a service's assignment.
     Part(ServiceName, Part),
 }
 
-/// What a key of a record stands for.
+/// The record that a key of the router identifies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RouterRecord {
-    /// The granter.
+    /// The current granter.
     Granter,
-    /// The node of that name.
+    /// The registration of the named node.
     Node(String),
     /// The head of a service's assignment.
     Head(ServiceName),
-    /// One part of it.
+    /// One part of a service's assignment.
     Part(ServiceName, Part),
-    /// What was learned of the upstreams' speeds.
+    /// The measured upstream speeds.
     Speeds,
-    /// Requests that end upstreams.
+    /// The suspected poison requests.
     Suspicions,
 }
 
 impl RouterRecord {
-    /// What that key stands for, if the router's views take it.
+    /// Parses a key; `None` if the views don't use it.
     pub fn parse(key: &str) -> Option<Self> {
         if let Some(assignment) = RouterKeys::assignment_key(key) {
             return Some(match assignment {
@@ -104,23 +105,23 @@
     }
 }
 
-/// Reads one part of an assignment from the value of its key.
+/// Decodes one part of an assignment.
 ///
 /// # Errors
-/// When the value is none, or is another part.
+/// If the value is malformed or belongs to another part.
 pub(crate) fn decode_part(part: Part, value: &[u8]) -> io::Result<AssignmentPart> {
     let decoded = AssignmentPart::try_from_slice(value)?;
     if decoded.part != part {
-        return Err(invalid("this is another part"));
+        return Err(invalid("value belongs to another part"));
     }
     Ok(decoded)
 }
 
-/// Reads what was learned of speeds.
+/// Decodes the measured speeds.
 ///
 /// # Errors
-/// When the value is no such record, or a figure in it is no time: capacities are reckoned
-/// from them.
+/// If the value is malformed, or a figure in it is not a finite non-negative time: capacities are
+/// computed from these figures.
 pub(crate) fn decode_speeds(value: &[u8]) -> io::Result<SpeedRecord> {
     let record = SpeedRecord::try_from_slice(value)?;
     let slowness = record.upstreams.iter().map(|row| row.slowness);
@@ -130,7 +131,7 @@
     if slowness.chain(seconds).all(is_time) {
         Ok(record)
     } else {
-        Err(invalid("a speed is no number above zero"))
+        Err(invalid("speed is not a finite non-negative number"))
     }
 }
 
@@ -138,19 +139,19 @@
     io::Error::new(io::ErrorKind::InvalidData, cause)
 }
 
-/// What a node tells of itself.
+/// A node's registration.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct NodeRecord {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Its run.
+    /// Identifies the run of the process: it changes with every restart.
     pub run: u64,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Where it hears other nodes.
+    /// Address at which the node receives messages of other nodes.
     pub peers: SocketAddr,
-    /// Thousandths of a processor core that it may use, fewer if its link is narrow.
+    /// Processor share in thousandths of a core, reduced for nodes with a slow link.
     pub capacity: u32,
-    /// Whether it declines to prolong holds for a granter that it does not hear.
+    /// Whether the node declines to prolong holds on behalf of a granter that it can't hear.
     pub declines_standby: bool,
 }
--- a/crates/router/src/core/registration.rs
+++ b/crates/router/src/core/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps this node's entry in the metadata store, under a lease.
+//! Maintains this node's registration in the metadata store, under a lease.
 
 use crate::core::records::{NodeRecord, RouterKeys};
 use beamtray_metastore::{
@@ -7,9 +7,9 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Pause before a write that failed is repeated.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long after a write its effect may stay unseen.
+/// How long a completed write may take to appear in this node's view.
 const WRITE_VISIBILITY_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,11 +18,11 @@
     Write,
 }
 
-/// Keeps one node's entry.
+/// Maintains the registration of one node.
 #[derive(Clone, Debug)]
 pub struct Registrar {
     record: NodeRecord,
-    /// Key and value of the entry.
+    /// Key and value of the registration.
     key: String,
     value: Vec<u8>,
     keeper: LeaseKeeper,
@@ -33,7 +33,7 @@
 }
 
 impl Registrar {
-    /// A registrar of an entry that is not written yet.
+    /// Creates a registrar whose record has not been written yet.
     pub fn new(record: NodeRecord, timing: LeaseTiming) -> Self {
         Self {
             key: RouterKeys::node(&record.name),
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Key of the entry.
+    /// Key of the registration.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// The call that is due; `entry` is the entry as this node sees it.
+    /// The store call that is due; `entry` is the registration as it appears in this node's view.
     pub fn poll(&mut self, now: Time, entry: Option<&Item>) -> Option<StoreCall> {
         if self.pending.is_some() || self.stopped {
             return None;
@@ -82,7 +82,7 @@
         Some(call)
     }
 
-    /// Takes the outcome of the call that is under way.
+    /// Handles the outcome of the pending call.
     pub fn handle(&mut self, now: Time, outcome: &StoreOutcome) {
         match self.pending.take() {
             Some((Step::Lease, sent)) => self.lease_answered(now, sent, outcome),
@@ -97,18 +97,18 @@
         self.keeper.handle(now, sent, outcome);
         match outcome {
             StoreOutcome::Leased { .. } => self.last_renewal_at = Some(sent),
-            // What was written under it went with it.
+            // The store removed the registration along with its lease.
             StoreOutcome::Absent => self.write_at = now,
             _ => {}
         }
     }
 
-    /// When the last renewal was sent that was answered.
+    /// When the last successful lease renewal was sent.
     pub fn last_renewal_at(&self) -> Option<Time> {
         self.last_renewal_at
     }
 
-    /// States whether the node declines to be a standby.
+    /// Sets whether the node declines to be a standby.
     pub fn set_declines_standby(&mut self, declines: bool) {
         if self.record.declines_standby != declines {
             self.record.declines_standby = declines;
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Renews the lease that often from now on.
+    /// Sets the interval of lease renewals.
     pub fn set_renewal(&mut self, renewal: Duration) {
         self.keeper.set_renewal(renewal);
     }
 
-    /// Ends the entry; the call that tells the store.
+    /// Stops maintaining the registration; returns the call that revokes its lease.
     pub fn resign(&mut self) -> Option<StoreCall> {
         self.stopped = true;
         self.keeper.resign()
@@ -130,6 +130,6 @@
 }
 
 fn encode(record: &NodeRecord) -> Vec<u8> {
-    // Writing borsh to memory can't fail.
+    // Serializing to memory can't fail.
     borsh::to_vec(record).unwrap_or_default()
 }
--- a/crates/router/src/core/relays.rs
+++ b/crates/router/src/core/relays.rs
@@ -1,23 +1,21 @@
-//! Which nodes follow the metadata store, and when the others may rely on them.
+//! Selects the nodes that follow the metadata store, and decides when other nodes may rely on them.
 //!
-//! A store that every node watches is asked by all of them at each change. So
-//! one node of each zone, its first relay, follows it and tells the others of
-//! changes, who fetch them from the relay. The zone's other relays stand by: each
-//! takes over when none before it can be relied on, sooner than other nodes
-//! would turn to the store themselves.
+//! If every node watched the store, each change would cause one request per node. Instead, one node
+//! of each zone, its first relay, follows the store and announces changes to the other nodes, which
+//! fetch them from the relay. The other relays of the zone are backups: each takes over when no
+//! relay before it can be relied on, and does so sooner than ordinary nodes turn to the store
+//! themselves.
 //!
-//! Where there are many nodes there are two tiers: one zone's relay follows the
-//! store for the whole site, and the first relays of the other zones rely on it and
-//! tell their own nodes. A zone whose relay does not hear that one follows the store
-//! by itself. What they pass on is the age of the store's answer, which only grows on
-//! its way, so that two relays can't keep each other's trust alive.
+//! Large deployments have two tiers: the relay of one zone follows the store for the whole site;
+//! the first relays of the other zones rely on it and inform their own nodes. A zone whose relay
+//! doesn't hear that one follows the store by itself. Relays pass on the age of the store's
+//! response, which only grows along the way, so two relays can't keep each other's trust alive.
 //!
-//! Invariant: a node relies on a relay only as long as an answer of the store
-//! to that relay was asked for less than [`RELAY_MAX_AGE`] ago ([`TIERED_RELAY_MAX_AGE`] with two
-//! tiers). A relay that lost the
-//! store, and one that fell silent, end within that time, and the node follows
-//! the store by itself. Without it, a node whose relays are all cut off would
-//! go on with an old configuration although its own path to the store is sound.
+//! Invariant: a node relies on a relay only while the store's latest response to that relay was
+//! requested less than [`RELAY_MAX_AGE`] ago ([`TIERED_RELAY_MAX_AGE`] with two tiers). A relay
+//! that lost the store or fell silent stops being relied on within that time, and the node then
+//! follows the store by itself. Otherwise a node whose relays are all cut off would keep using an
+//! old configuration although its own path to the store works.
 
 use crate::core::records::NodeRecord;
 use beamtray_types::Time;
@@ -27,18 +25,18 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How old a relay's last answer of the store may be.
+/// Maximum age of a relay's last store response.
 pub const RELAY_MAX_AGE: Duration = Duration::from_millis(1_000);
-/// The same for relays that stand by.
+/// Maximum age for backup relays, which take over before ordinary nodes do.
 pub const STANDBY_RELAY_MAX_AGE: Duration = Duration::from_millis(700);
-/// The same as [`RELAY_MAX_AGE`] with two tiers: the word of a relay's relay is older by one
-/// pause between words, and one of them may get lost.
+/// Like [`RELAY_MAX_AGE`], for two tiers: information passed on by a second relay is older by one
+/// message interval, and one message may be lost.
 pub const TIERED_RELAY_MAX_AGE: Duration = Duration::from_millis(1_400);
-/// The same for the first relays of zones that rely on another zone's.
+/// Maximum age for first relays that rely on a relay of another zone.
 const ZONE_RELAY_MAX_AGE: Duration = Duration::from_millis(1_000);
-/// Nodes of a zone for each of its relays.
+/// One relay is chosen for each group of this many nodes in a zone.
 const NODES_PER_RELAY: usize = 4;
-/// Most relays of a zone: two that fail together leave one.
+/// Maximum number of relays in a zone: if two fail together, one is left.
 const MAX_RELAYS_PER_ZONE: usize = 3;
 
 /// The relays of all zones.
@@ -50,8 +48,8 @@
 }
 
 impl Relays {
-    /// The relays among those nodes: in each zone the ones that can do most, in
-    /// an order that every node computes alike.
+    /// Chooses relays among the given nodes: the nodes with the highest capacity in each zone, in
+    /// an order that is the same on every node.
     pub fn choose(nodes: &BTreeMap<String, NodeRecord>) -> Self {
         let mut zones: BTreeMap<String, Vec<&NodeRecord>> = BTreeMap::new();
         for node in nodes.values() {
@@ -79,23 +77,23 @@
         }
     }
 
-    /// The relays of the zones that come before a zone, for the site.
+    /// The relays of the zones that precede the given zone in the site-wide order.
     pub fn in_zones_before<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = SocketAddr> + 'a {
         let before = self.order.iter().take_while(move |other| *other != zone);
         before.flat_map(|zone| self.in_zone(zone)).copied()
     }
 
-    /// Whether that node is a relay.
+    /// Whether the node at this address is a relay.
     pub fn contains(&self, address: &SocketAddr) -> bool {
         self.zones.values().any(|relays| relays.contains(address))
     }
 
-    /// The relays of a zone, the first one first.
+    /// The relays of a zone, in order of precedence.
     pub fn in_zone(&self, zone: &str) -> &[SocketAddr] {
         self.zones.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// The relays of its zone that come before a relay; `None` if it is none.
+    /// The relays that precede the given one in its zone; `None` if the address is not a relay.
     pub fn preceding(&self, address: &SocketAddr) -> Option<&[SocketAddr]> {
         self.zones.values().find_map(|relays| {
             let index = relays.iter().position(|relay| relay == address)?;
@@ -123,16 +121,16 @@
     }
 }
 
-/// What a relay tells of the store that another one follows.
+/// The state of the store as reported by a relay of another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayedContact {
-    /// Time since the last answer was asked for.
+    /// Time since the latest response was requested.
     pub age: Duration,
-    /// Time since a call got no answer, if the other one told of that.
+    /// Time since a call last failed, if the relay reported one.
     pub failure_age: Option<Duration>,
 }
 
-/// The relays that this node hears.
+/// The latest store contact of each relay that this node hears.
 #[derive(Clone, Debug, Default)]
 pub struct RelayContacts {
     contacts: BTreeMap<SocketAddr, Contact>,
@@ -140,8 +138,7 @@
 }
 
 impl RelayContacts {
-    /// Takes the word of a relay whose last answer of the store was asked for
-    /// `store_age` ago.
+    /// Records that a relay reported a store response that was requested `store_age` ago.
     pub fn record(
         &mut self,
         now: Time,
@@ -157,24 +154,24 @@
         self.contacts.insert(relay, contact);
     }
 
-    /// States whether there are two tiers of relays.
+    /// Sets whether there are two tiers of relays.
     pub fn set_tiered(&mut self, tiered: bool) {
         self.tiered = tiered;
     }
 
-    /// Relies no more on a relay that did not answer, until it is heard again.
+    /// Stops relying on a relay that did not answer, until it is heard again.
     pub fn forget(&mut self, relay: SocketAddr) {
         self.contacts.remove(&relay);
     }
 
-    /// Forgets relays that can't be relied on any more.
+    /// Removes relays that can no longer be relied on.
     pub fn expire(&mut self, now: Time) {
         let max_age = self.max_age();
         self.contacts
             .retain(|_, contact| contact.age(now) < max_age);
     }
 
-    /// Whether some relay can be relied on.
+    /// Whether any relay can be relied on.
     pub fn any_fresh(&self, now: Time) -> bool {
         let max_age = self.max_age();
         self.contacts
@@ -182,7 +179,7 @@
             .any(|contact| contact.age(now) < max_age)
     }
 
-    /// Whether one of those relays can be relied on by one that stands by.
+    /// Whether a backup relay can rely on any of the given relays.
     pub fn any_fresh_of(&self, now: Time, relays: &[SocketAddr]) -> bool {
         let contacts = relays.iter().filter_map(|relay| self.contacts.get(relay));
         contacts
@@ -190,8 +187,8 @@
             .any(|age| age < STANDBY_RELAY_MAX_AGE)
     }
 
-    /// What the one of those relays tells that had the store's answer last, if a
-    /// relay of another zone can rely on it.
+    /// The store contact of the relay with the most recent store response, if it is recent enough
+    /// for a relay of another zone to rely on.
     pub fn freshest_of(
         &self,
         now: Time,
@@ -205,7 +202,7 @@
         })
     }
 
-    /// Whether some relay had answers of the store until now and no call without one.
+    /// Whether any relay has recent store responses and reports no failed call.
     pub fn any_healthy(&self, now: Time) -> bool {
         let mut contacts = self.contacts.values();
         contacts.any(|contact| {
--- a/crates/router/src/core/replica.rs
+++ b/crates/router/src/core/replica.rs
@@ -1,4 +1,4 @@
-//! Follows one prefix of the metadata store: reads it whole, then watches.
+//! Replicates one prefix of the metadata store: reads it in full, then watches it.
 
 use crate::core::views::Snapshot;
 use beamtray_metastore::{
@@ -7,24 +7,23 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// First pause after a failure.
+/// Delay before the first retry after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Longest pause after failures. A call of another sort that is answered ends
-/// it: lease renewals, which are cheap, are tried more often.
+/// Maximum retry delay. A successful call of another kind ends the delay: lease renewals are cheap
+/// and tried more often.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Wait of the first watch after a reading; each further one waits twice as long. A watch
-/// that begins while the store drops its history may hear nothing until its wait is over,
-/// and tells only then that history was lost: with the whole wait, changes were missed for
-/// 25 s.
+/// Timeout of the first watch after a full read; it doubles with each further watch. A watch that
+/// starts while the store compacts its history may receive nothing, and reports the lost history
+/// only when its timeout expires: starting with the full timeout, changes were missed for 25 s.
 const INITIAL_WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How the last call went.
+/// The result of a replica's last call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// It was answered.
+    /// The call succeeded.
     Healthy,
-    /// It was not, or history was lost.
+    /// The call failed, or the history was compacted.
     Failed,
 }
 
@@ -37,39 +36,39 @@
     Watching,
 }
 
-/// Pauses of a replica.
+/// Timeouts and delays of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTiming {
-    /// Longest wait of a watch.
+    /// Maximum timeout of a watch.
     pub max_watch_timeout: Duration,
-    /// Pause after changes, so that several come with one call.
+    /// Delay after changes, so that one call returns several of them.
     pub batch_delay: Duration,
 }
 
-/// Follows one prefix.
+/// A replica of one prefix.
 #[derive(Clone, Debug)]
 pub struct Replica {
     prefix: String,
     timing: ReplicaTiming,
-    /// Longest value that is kept, in bytes.
+    /// Maximum size of a stored value, in bytes.
     max_value_size: usize,
-    /// Wait of the next watch.
+    /// Timeout of the next watch.
     next_watch_timeout: Duration,
     mirror: Mirror,
-    /// Newest change that was seen.
+    /// Revision of the latest change seen.
     latest: Revision,
-    /// Counts the calls that were given up on.
+    /// Number of abandoned calls.
     generation: u32,
     phase: Phase,
     pending: bool,
     retry_at: Time,
     failures: u32,
-    /// When a call was last answered.
+    /// When a call last succeeded.
     last_answer: Option<Time>,
 }
 
 impl Replica {
-    /// A replica that knows nothing.
+    /// Creates an empty replica.
     pub fn new(prefix: &str, timing: ReplicaTiming) -> Self {
         Self {
             prefix: prefix.to_owned(),
@@ -90,8 +89,9 @@
         }
     }
 
-    /// Keeps longer values than so many bytes as empty ones, which nothing can be read from:
-    /// another writer's would fill the memory of every node and the links between them.
+    /// Replaces values of more than this many bytes by empty ones, which fail to decode. Otherwise
+    /// oversized values of other writers would fill the memory of every node and the links between
+    /// nodes.
     pub fn with_max_value_size(mut self, bytes: usize) -> Self {
         self.max_value_size = bytes;
         self
@@ -118,17 +118,17 @@
         }
     }
 
-    /// The copy.
+    /// The replicated items.
     pub fn mirror(&self) -> &Mirror {
         &self.mirror
     }
 
-    /// The prefix.
+    /// The prefix that is replicated.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// Time since a call was last answered.
+    /// Time since a call last succeeded.
     pub fn age(&self, now: Time) -> Duration {
         now.since(self.last_answer.unwrap_or(Time::ZERO))
     }
@@ -138,7 +138,7 @@
         self.failures > 0 || self.last_answer.is_none()
     }
 
-    /// Whether a call is under way.
+    /// Whether a call is pending.
     pub fn is_pending(&self) -> bool {
         self.pending
     }
@@ -166,22 +166,22 @@
         })
     }
 
-    /// Number of the call that is under way or comes next.
+    /// Generation of the pending or next call.
     pub fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// Newest change that was seen.
+    /// Revision of the latest change seen.
     pub fn latest(&self) -> Revision {
         self.latest
     }
 
-    /// Whether a change of that revision has passed this replica by.
+    /// Whether this replica lacks a change of the given revision.
     pub fn is_behind(&self, revision: Revision) -> bool {
         revision > self.latest && self.mirror.at().is_none_or(|at| revision > at)
     }
 
-    /// Gives up on the call under way: it may wait on a path that is dead.
+    /// Abandons the pending call, which may be waiting on a dead connection.
     pub fn restart(&mut self, now: Time) {
         self.generation += 1;
         self.pending = false;
@@ -191,14 +191,14 @@
         }
     }
 
-    /// Gives up on the call under way, and reads the prefix again: the path to the store
-    /// was dead, and the watch with it.
+    /// Abandons the pending call and reads the prefix again, after the connection to the store, and
+    /// the watch with it, was lost.
     pub fn reread(&mut self, now: Time) {
         self.restart_reading();
         self.restart(now);
     }
 
-    /// Takes the outcome of the call of that generation.
+    /// Handles the outcome of a call of the given generation.
     pub fn handle(
         &mut self,
         now: Time,
@@ -227,9 +227,9 @@
                     self.retry_at = now + self.timing.batch_delay;
                 }
                 if events.is_empty() {
-                    // A watch that heard nothing proves nothing: changes may have
-                    // been kept from it. The next one asks for the same ones, or
-                    // learns that they are forgotten.
+                    // An empty watch result doesn't prove that nothing changed: changes may have
+                    // been withheld. The next watch starts at the same revision and returns them,
+                    // or reports that they have been compacted.
                     return (ReplicaHealth::Healthy, Vec::new());
                 }
                 for event in &events {
@@ -245,9 +245,9 @@
                 self.failures += 1;
                 let pause = RETRY_DELAY * 2u32.saturating_pow(self.failures.min(8) - 1);
                 self.retry_at = now + pause.min(MAX_RETRY_DELAY);
-                // A watch that was cut may have heard nothing for a while, and the history
-                // may be gone: the next watch from the same revision waits for a change,
-                // and only then learns that it has missed some.
+                // A watch that was cut off may have missed changes whose history has since been
+                // compacted. A new watch from the same revision would only report that after its
+                // wait, so the prefix is read again instead.
                 let was_cut = matches!(outcome, StoreOutcome::Unknown);
                 if was_cut || matches!(self.phase, Phase::Reading { .. }) {
                     self.restart_reading();
@@ -257,22 +257,22 @@
         }
     }
 
-    /// Whether the store has begun another era since this copy was filled: the revision
-    /// that a watch began at may be another state by now.
+    /// Whether the store has begun a new era since this replica was filled: the revision at which
+    /// the watch started may then denote a different state.
     fn is_other_era(&self, at: Revision) -> bool {
         self.mirror.at().is_none_or(|known| known.era != at.era)
     }
 
-    /// Tries again at once what has failed: the store answers other calls.
+    /// Retries a failed call immediately, since the store answers other calls.
     pub fn retry(&mut self, now: Time) {
         if self.failures > 0 {
             self.retry_at = self.retry_at.min(now);
         }
     }
 
-    /// Takes the answer to a watch that was given up on. It tells of all changes
-    /// since a revision that this copy had then, so it is as good as in time: on
-    /// a slow node each watch would be given up on before it answers, for ever.
+    /// Applies the result of an abandoned watch. It contains all changes since a revision of this
+    /// replica, so it is as valid as a timely one. If it were dropped, a slow node would abandon
+    /// every watch before its result arrives, and never catch up.
     fn apply_late(&mut self, outcome: StoreOutcome) -> Vec<MirrorChange> {
         let StoreOutcome::Events { events, at } = outcome else {
             return Vec::new();
@@ -298,17 +298,17 @@
         };
     }
 
-    /// Takes a page of a reading.
+    /// Adds a page to a full read.
     ///
-    /// Invariant: a change counts as seen only once it is in the copy. A reading may be
-    /// dropped, since another node's copy was taken meanwhile or a later page failed; were
-    /// its changes noted, this node would lack them and ask nobody.
+    /// Invariant: a change counts as seen only once it has been applied. A read may be discarded
+    /// because a snapshot of another node was adopted meanwhile, or because a later page failed; if
+    /// its changes were already counted, this node would lack them and request them from nobody.
     fn add_page(&mut self, page: Vec<Item>, more: bool, page_at: Revision) -> Vec<MirrorChange> {
         let Phase::Reading { at, items } = &mut self.phase else {
             return Vec::new();
         };
-        // Later pages may hold newer items; what changed on earlier ones since
-        // comes with the watch, so the first page's revision counts.
+        // Later pages may contain newer items, but changes to the earlier pages only arrive with
+        // the watch, so the revision of the first page counts.
         let from = *at.get_or_insert(page_at);
         if from.era != page_at.era {
             self.restart_reading();
@@ -325,7 +325,7 @@
         for change in &changes {
             self.note_revision(match change {
                 MirrorChange::Present(item) => item.revision,
-                // When it was removed is not told: by the reading at the latest.
+                // The exact revision of the removal is unknown; it is at most that of the read.
                 MirrorChange::Absent(_) => from,
             });
         }
@@ -342,15 +342,15 @@
         }
     }
 
-    /// Takes a change that this node made itself.
+    /// Applies a change that this node wrote itself.
     pub fn apply_own_write(&mut self, item: Item) -> Vec<MirrorChange> {
         self.note_revision(item.revision);
         let at = item.revision;
         self.mirror.apply(at, vec![StoreEvent::Put(item)])
     }
 
-    /// Takes another node's copy, or what it has beyond this one. The store is
-    /// then watched from there on.
+    /// Adopts a snapshot or delta from another node. The store is then watched from its revision
+    /// on.
     pub fn adopt_snapshot(&mut self, snapshot: Snapshot) -> Vec<MirrorChange> {
         let Snapshot {
             at,
--- a/crates/router/src/core/standby.rs
+++ b/crates/router/src/core/standby.rs
@@ -1,18 +1,16 @@
-//! This node as a standby: it prolongs recorded holds while there is no granter.
+//! This node's standby role: prolonging recorded holds while there is no granter.
 //!
-//! See [`beamtray_sharding::STANDBY_SPAN`] for what a standby may do and what its
-//! granter relies on. Here is the standby's side of it:
-//!
-//! - It acts by the newest record that it knows, if that names it, and never by
-//!   an older one.
-//! - It declines as soon as the store answers while the granter is silent: another
-//!   granter can be elected then. It says so in its entry in the store, where the
-//!   granter sees it though they may not hear each other; from the decision on
-//!   it gives no order and takes no word until it offers itself again.
-//! - It tells the granter which record that is. The granter's word echoes when
-//!   the report that it answers was sent, and the standby counts from then: a
-//!   word that was long on its way, or found a process that stood still, lasts no
-//!   longer for it.
+//! [`beamtray_sharding::STANDBY_SPAN`] describes what a standby may do and what its granter relies
+//! on. The standby's part is the following:
+//! - It acts on the newest record that it knows, if that record names it, and never on an older
+//!   one.
+//! - It declines as soon as the store answers while the granter is silent, since another granter
+//!   can be elected then. It announces this in its registration in the store, where the granter
+//!   sees it even if the two nodes can't reach each other. From that decision on it sends no orders
+//!   and accepts no lease until it offers itself again.
+//! - It reports to the granter which record it knows. The granter's lease echoes the send time of
+//!   the report that it answers, and the standby counts the lease from that time: a lease that was
+//!   delayed on its way, or that reaches a process which was suspended, doesn't last any longer.
 
 use crate::core::message::OrderTask;
 use beamtray_catalog::UpstreamId;
@@ -27,38 +25,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Stands for the term in orders of a standby; terms begin with 1.
+/// Term used in the orders of a standby; terms of granters start at 1.
 pub const STANDBY_TERM: u64 = 0;
-/// How long the granter must have been silent. Its words come more often, but it
-/// may be a node with little processor time.
+/// How long the granter must have been silent before holds are prolonged. Leases are sent more
+/// often, but the granter may run with little processor time.
 const GRANTER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Silence of the granter after which a store that answers makes a standby
-/// decline.
+/// Silence of the granter after which a standby declines if the store answers.
 const DECLINE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a standby that declined must have heard a granter to offer itself
-/// again.
+/// How long a standby that declined must hear a granter before it offers itself again.
 const OFFER_DELAY: Duration = Duration::from_millis(1_000);
-/// Between reports.
+/// Interval of standby reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The granter's word.
+/// Allows a standby to prolong holds for [`STANDBY_SPAN`] from the echoed report time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StandbyLease {
     /// The granter's term.
     pub epoch: u64,
-    /// The run of the node that is meant.
+    /// Run of the node that the lease is for.
     pub run: u64,
-    /// When the last report that the granter has was sent, by the standby's
-    /// clock.
+    /// Send time of the latest report received from the standby, by the standby's clock.
     pub echo: Time,
 }
 
-/// The record of a service that a standby knows.
+/// The newest record of a service that a standby knows.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct KnownRecord {
-    /// The service.
+    /// The service of the record.
     pub service: ServiceName,
-    /// The record.
+    /// Number of the record.
     pub number: RecordNumber,
 }
 
@@ -67,21 +62,21 @@
 pub struct StandbyReport {
     /// The node's run.
     pub run: u64,
-    /// When it is sent, by the standby's clock.
+    /// Send time by the standby's clock.
     pub sent: Time,
-    /// What the standby knows.
+    /// The records that the standby knows.
     pub known: Vec<KnownRecord>,
-    /// Milliseconds since it last ordered a holder to hold on, if it ever did.
+    /// Milliseconds since the standby last prolonged a hold, if it ever did.
     pub prolonged_ms: Option<u32>,
 }
 
-/// What a standby does.
+/// The state of a standby.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StandbyState {
-    /// It has no word of a granter.
+    /// It has no lease.
     #[default]
     None,
-    /// It may prolong holds and need not.
+    /// It has a lease and need not prolong holds.
     Ready,
     /// It prolongs holds.
     Prolongs,
@@ -89,12 +84,12 @@
     Declines,
 }
 
-/// Fixed values of a standby.
+/// Fixed parameters of a standby.
 #[derive(Clone, Copy, Debug)]
 pub struct StandbyConfig {
-    /// This node's run.
+    /// Identifies this run of the node.
     pub id: StandbyId,
-    /// How long it orders holders to hold on, and how often.
+    /// Duration of holds, and how often they are prolonged.
     pub timing: GranterTiming,
 }
 
@@ -105,18 +100,18 @@
     holder: UpstreamId,
 }
 
-/// This node as a standby.
+/// This node's standby role.
 pub struct StandbyRole {
     config: StandbyConfig,
-    /// Until when holds may be prolonged.
+    /// Holds may be prolonged until this time.
     lease_until: Time,
-    /// When a word last came.
+    /// When a lease was last received.
     lease_heard_at: Option<Time>,
-    /// Since when this node declines to be a standby.
+    /// When this node started to decline being a standby.
     declines_since: Option<Time>,
-    /// Words that answer an older report are not taken.
+    /// Leases that echo an earlier report are ignored.
     offered_at: Time,
-    /// When an order was last given.
+    /// When a hold was last prolonged.
     prolonged_at: Option<Time>,
     report_at: Time,
     due: BTreeMap<(ServiceName, ShardKey), Time>,
@@ -126,7 +121,7 @@
 }
 
 impl StandbyRole {
-    /// A standby that has no word yet.
+    /// Creates a standby without a lease.
     pub fn new(config: StandbyConfig) -> Self {
         Self {
             config,
@@ -143,7 +138,7 @@
         }
     }
 
-    /// Takes the granter's word.
+    /// Handles a lease from the granter.
     pub fn handle_lease(&mut self, now: Time, lease: &StandbyLease) {
         let is_addressed = lease.run == self.config.id.run && lease.echo <= now;
         if !is_addressed || self.declines() || lease.echo < self.offered_at {
@@ -158,8 +153,7 @@
         self.declines_since.is_some()
     }
 
-    /// Whether the granter, which has sent words, has fallen silent: the store is
-    /// to be asked whether it answers.
+    /// Whether the granter that issued leases has fallen silent, so that the store must be checked.
     pub fn misses_granter(&self, now: Time) -> bool {
         now < self.lease_until && self.granter_silence(now) >= Some(DECLINE_TIMEOUT)
     }
@@ -168,9 +162,8 @@
         self.lease_heard_at.map(|heard| now.since(heard))
     }
 
-    /// Declines, or offers this node again. `last_store_contact` is when the last
-    /// call was sent that the store answered; `granter_heard` whether a granter
-    /// is heard now.
+    /// Declines, or offers this node again. `last_store_contact` is when the last successful store
+    /// call was sent; `granter_heard` tells whether a granter is heard now.
     pub fn update_declined(
         &mut self,
         now: Time,
@@ -197,8 +190,8 @@
         assignment.standbys().contains(&self.config.id)
     }
 
-    /// The report that is due, if a record names this node. A change of the
-    /// records is told at once.
+    /// The report that is due, if a record names this node. A change of the records is reported
+    /// immediately.
     pub fn report(
         &mut self,
         now: Time,
@@ -226,13 +219,12 @@
         })
     }
 
-    /// Whether holds are to be prolonged: the granter is silent, and its last
-    /// word still holds.
+    /// Whether holds are to be prolonged: the granter is silent, and its last lease is still valid.
     fn is_acting(&self, now: Time) -> bool {
         now < self.lease_until && self.granter_silence(now) >= Some(GRANTER_TIMEOUT)
     }
 
-    /// What this node does as a standby.
+    /// The state of this node as a standby.
     pub fn state(&self, now: Time) -> StandbyState {
         if self.declines() {
             StandbyState::Declines
@@ -245,8 +237,8 @@
         }
     }
 
-    /// Orders that are due. A node does not prolong what it granted itself in
-    /// `own_term`: it would not count such orders if it had its right again.
+    /// The orders that are due. A node doesn't prolong grants of its own term `own_term`: if it
+    /// became granter again, it wouldn't account for such orders.
     pub fn poll(
         &mut self,
         now: Time,
@@ -325,7 +317,7 @@
         })
     }
 
-    /// Takes an upstream's answer.
+    /// Handles an upstream's reply.
     pub fn handle_reply(&mut self, now: Time, call: CallId, reply: &GrantReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
@@ -340,7 +332,7 @@
     }
 }
 
-/// A key that another upstream holds, if there is one.
+/// A key held by another upstream, if there is one.
 fn key_of_others(assignment: &Assignment, holder: &UpstreamId) -> Option<ShardKey> {
     let mut slices = assignment.slices();
     let of_others = slices.find(|slice| match &slice.state {
--- a/crates/router/src/core/standby_leases.rs
+++ b/crates/router/src/core/standby_leases.rs
@@ -1,4 +1,5 @@
-//! The granter's side of its standbys: which nodes, their reports, its words.
+//! The granter's handling of its standbys: choosing them, processing their reports and issuing
+//! their leases.
 
 use crate::core::grants::Grants;
 use crate::core::records::NodeRecord;
@@ -12,21 +13,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many standbys there are: one may be lost with the granter.
+/// Number of standbys: one may be lost together with the granter.
 const STANDBY_COUNT: usize = 2;
-/// Between words.
+/// Interval at which leases are issued.
 const LEASE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reports and words of a granter's standbys.
+/// The granter's record of standby reports, and its schedule of leases.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StandbyLeases {
-    /// When the last report of each was sent, by its own clock.
+    /// When each standby sent its last report, by its own clock.
     echoes: BTreeMap<StandbyId, Time>,
     next_leases_at: Time,
 }
 
 impl StandbyLeases {
-    /// The words that are due.
+    /// The standby leases that are due.
     pub fn poll(
         &mut self,
         now: Time,
@@ -63,7 +64,7 @@
         leases
     }
 
-    /// Takes a standby's report.
+    /// Handles a standby's report.
     pub fn handle_report(
         &mut self,
         now: Time,
@@ -92,9 +93,9 @@
     }
 }
 
-/// Notes standbys that prolong nothing any more: whose node declines, or has an
-/// entry with another run at the same address, so that the process before has
-/// ended. What this node did as one itself ended when it became the granter.
+/// Marks standbys that no longer prolong holds: nodes that decline, and nodes registered at the
+/// same address with a different run, whose earlier process has therefore ended. This node's own
+/// standby role ended when it became the granter.
 fn mark_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
     for id in granter.standbys() {
         let mut nodes = views.nodes.values();
@@ -106,9 +107,8 @@
     }
 }
 
-/// The nodes that are to be standbys: able ones that are heard, in other zones
-/// than the granter's before its own, and not two of one zone where there are
-/// others.
+/// Chooses standbys among the nodes that are heard, by capacity. Zones other than the granter's
+/// come first, and no two standbys share a zone if that can be avoided.
 pub(crate) fn choose_standbys(own: &NodeRecord, nodes: &[&NodeRecord]) -> Vec<StandbyId> {
     let mut sorted: Vec<&&NodeRecord> = nodes
         .iter()
--- a/crates/router/src/core/views.rs
+++ b/crates/router/src/core/views.rs
@@ -1,8 +1,8 @@
-//! What a node knows: configuration, upstreams, assignments, other nodes.
+//! A node's view of the cluster: configuration, upstreams, assignments and other nodes.
 //!
-//! Views come from the store's watches at the relays, and from the relays at
-//! the other nodes. A node that can't rely on a relay follows the store itself.
-//! Neither a configuration nor a copy ever goes back.
+//! Relays update their views from watches on the store; the other nodes fetch them from relays. A
+//! node that can't rely on a relay follows the store itself. Neither a configuration nor a replica
+//! ever reverts to an older state.
 
 mod apply;
 mod exchange;
@@ -27,41 +27,41 @@
 use std::time::Duration;
 use unusable::{UnknownServices, UnreadableKeys};
 
-/// Pause after changes of a view in which few change together.
+/// Delay that batches changes in views where few records change at once.
 const BATCH_DELAY: Duration = Duration::from_millis(30);
-/// Pause after changes of a view in which many change together.
+/// Delay that batches changes in views where many records change at once.
 const BULK_BATCH_DELAY: Duration = Duration::from_millis(200);
-/// Longest registration that is kept, in bytes: some two hundred times an upstream's own.
+/// Maximum size of a stored registration in bytes, about two hundred times the size of an
+/// upstream's own.
 const MAX_REGISTRATION_SIZE: usize = 64 * 1024;
-/// How long another node may know of a change before the watch that should
-/// have told of it counts as dead.
+/// How long another node may know of a change before this node's watch, which should have reported
+/// it, is considered stalled.
 const WATCH_STALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same where the change should have come from a relay. Longer, since a
-/// large copy takes its time and a second way to it would share the link.
+/// The same for changes that should arrive from a relay. It is longer because a large snapshot
+/// takes time, and fetching it from a second source would share the same link.
 const RELAY_STALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long a new watch is given before it counts as dead as well.
+/// How long a restarted watch may take before it is considered stalled too.
 const WATCH_RESTART_INTERVAL: Duration = Duration::from_millis(1_200);
-/// After this long without word from the granter assignments are read from the
-/// store.
+/// Assignments are read from the store when the granter has been silent for this long.
 const GRANTER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a node that hears a relay is given to get the nodes from it before it
-/// reads them itself.
+/// How long a node that hears a relay waits to get the member list from it before reading the list
+/// from the store.
 const RELAYED_MEMBERS_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a node that has just started waits for the word of a relay.
+/// How long a node waits after startup to hear from a relay.
 const RELAY_STARTUP_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A change that another node knows of.
+/// A change that another node has seen and this one has not.
 #[derive(Clone, Copy, Debug)]
 struct Lag {
     revision: Revision,
-    /// From when on the way by which the change should have come counts as dead.
+    /// When the source that should have delivered the change is considered stalled.
     stalled_at: Time,
-    /// When the watch is given up on.
+    /// When the watch is restarted.
     restart_at: Time,
 }
 
-/// What a node knows.
+/// A node's view of the cluster.
 pub struct Views {
     dialect: Rc<dyn Dialect>,
     replicas: [Replica; ViewName::ALL.len()],
@@ -69,28 +69,28 @@
     granter_heard_at: Option<Time>,
     /// Whether this node follows the store itself.
     follows: bool,
-    /// Before this the nodes are not read: many start together.
+    /// The members are not read before this time, since many nodes may start together.
     members_read_after: Time,
-    /// Since when the nodes are known.
+    /// When the members became known.
     members_since: Option<Time>,
     /// The relays that this node hears.
     pub relays: RelayContacts,
-    /// The upstreams.
+    /// The known upstreams.
     pub directory: Directory,
     /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
-    /// Newest assignment of each service.
+    /// The newest assignment of each service.
     pub assignments: BTreeMap<ServiceName, Rc<Assignment>>,
-    /// Services whose assignment changed since that was last asked for.
+    /// Services whose assignment changed since the last call of `take_changed_assignments`.
     changed_assignments: BTreeSet<ServiceName>,
-    /// Speeds that an earlier process learned, until they are taken.
+    /// Stored speeds measured by earlier processes, until the dispatcher takes them.
     pub speeds: Option<SpeedRecord>,
-    /// Requests that end upstreams, as the store has them, until they are taken.
+    /// Stored poison request suspicions, until the dispatcher takes them.
     pub suspicions: Option<SuspicionRecord>,
-    /// Nodes that are registered.
+    /// The registered nodes.
     pub nodes: BTreeMap<String, NodeRecord>,
     nodes_changed: bool,
-    /// The granter.
+    /// The current granter.
     pub granter: Option<GranterRecord>,
     unreadable: UnreadableKeys,
     unknown_services: UnknownServices,
@@ -98,7 +98,7 @@
 }
 
 impl Views {
-    /// A node that knows nothing; watches wait up to `wait`.
+    /// Creates empty views; watches wait up to `wait`.
     pub fn new(dialect: Rc<dyn Dialect>, policy: DirectoryPolicy, wait: Duration) -> Self {
         let keys = *dialect.keys();
         let timing = |batch_delay| ReplicaTiming {
@@ -144,14 +144,13 @@
         &self.replicas[view as usize]
     }
 
-    /// Lets the nodes be read at `time` at the earliest.
+    /// Delays reading the members until `time`.
     pub fn wait_for_members(&mut self, time: Time) {
         self.members_read_after = time;
     }
 
-    /// Decides whether this node follows the store itself: as a relay, or
-    /// since it can't rely on one. A node that has just started gives the
-    /// relays time to tell it.
+    /// Decides whether this node follows the store itself, either as a relay or because it can't
+    /// rely on one. After startup a node first gives the relays time to contact it.
     pub fn follow(&mut self, now: Time, is_relay: bool) {
         self.relays.expire(now);
         let known = self.replica(ViewName::Members).mirror().at().is_some();
@@ -174,9 +173,9 @@
         self.follows = follows;
     }
 
-    /// Gives up on watches that began while this node followed the store before. Nothing
-    /// told since whether they still hear: others rely on a relay that takes over, and its
-    /// old watch may wait on a dead path for as long as a watch waits.
+    /// Restarts watches left over from when this node last followed the store. Nothing has
+    /// confirmed since then that they still work: other nodes rely on a relay that takes over, and
+    /// its old watch could wait on a dead connection for the whole watch timeout.
     fn restart_pending(&mut self, now: Time) {
         for view in ViewName::ALL {
             if self.replica(view).is_pending() {
@@ -190,7 +189,7 @@
         self.follows
     }
 
-    /// Whether neither the store nor a relay keeps some view up.
+    /// Whether some view is kept up to date neither by the store nor by a relay.
     pub fn is_disconnected(&self, now: Time) -> bool {
         let watched = [ViewName::Operator, ViewName::Upstreams, ViewName::Members];
         let unknown = |view: &ViewName| self.replica(*view).mirror().at().is_none();
@@ -200,17 +199,17 @@
         watched.iter().any(|view| self.replica(*view).is_failing())
     }
 
-    /// Whether the registrations of upstreams were read.
+    /// Whether the registrations of upstreams have been read.
     pub fn knows_upstreams(&self) -> bool {
         self.replica(ViewName::Upstreams).mirror().at().is_some()
     }
 
-    /// Whether enough is known to serve.
+    /// Whether enough is known to serve requests.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.knows_upstreams()
     }
 
-    /// The call that is due for a view.
+    /// The store call that is due for a view.
     pub fn poll(&mut self, now: Time, view: ViewName) -> Option<StoreCall> {
         let known = self.replica(view).mirror().at().is_some();
         let is_due = match view {
@@ -225,26 +224,26 @@
         self.replica_mut(view).poll(now)
     }
 
-    /// Whether a node that knows no other is to read them: not while it hears a
-    /// relay, from which it has them at no cost to the store.
+    /// Whether a node without a member list should read it from the store. It should not while it
+    /// hears a relay, which provides the list at no cost to the store.
     fn reads_members(&self, now: Time) -> bool {
         let is_relayed =
             self.relays.any_fresh(now) && now < self.members_read_after + RELAYED_MEMBERS_TIMEOUT;
         now >= self.members_read_after && !is_relayed
     }
 
-    /// Whether another node has known of a change for so long that the way by
-    /// which this node should have heard of it counts as dead.
+    /// Whether another node has known of a change for so long that the source which should have
+    /// delivered it is considered stalled.
     fn is_stalled(&self, now: Time, view: ViewName) -> bool {
         let lag = self.lag[view as usize];
         view != ViewName::State && lag.is_some_and(|lag| now >= lag.stalled_at)
     }
 
-    /// Compares a copy with what another node has seen.
+    /// Compares a replica with the revision that another node has seen.
     fn compare_revision(&mut self, now: Time, view: ViewName, theirs: Revision) {
         self.clear_lag(view);
         if !self.replica(view).is_behind(theirs) {
-            // Another node's word may be older than this copy.
+            // The other node's message may be older than this replica.
             return;
         }
         let timeout = if self.follows {
@@ -267,7 +266,7 @@
         }
     }
 
-    /// Notes whether a copy has what another node was ahead by.
+    /// Clears the recorded lag of a view once its replica has caught up.
     fn clear_lag(&mut self, view: ViewName) {
         let lag = self.lag[view as usize];
         if lag.is_some_and(|lag| !self.replica(view).is_behind(lag.revision)) {
@@ -275,8 +274,8 @@
         }
     }
 
-    /// Whether the granter tells of assignments. A node that has just started
-    /// gives it time to.
+    /// Whether the granter currently announces assignments. After startup it is given time to do
+    /// so.
     fn hears_granter(&self, now: Time) -> bool {
         let heard = self.granter_heard_at.unwrap_or(Time::ZERO);
         now.since(heard) < GRANTER_TIMEOUT
@@ -292,14 +291,14 @@
         self.notices.push(ViewNotice::WatchRestarted { prefix });
     }
 
-    /// Tries again at once what has failed: the store answers other calls.
+    /// Retries failed calls immediately, since the store answers other calls.
     pub fn retry_all(&mut self, now: Time) {
         for replica in &mut self.replicas {
             replica.retry(now);
         }
     }
 
-    /// Gives up on all watches and reads again: the path to the store was dead for a while.
+    /// Restarts all watches and reads everything again, after the path to the store was down.
     pub fn restart_all(&mut self, now: Time) {
         for view in ViewName::ALL {
             self.note_restart(view);
@@ -307,12 +306,12 @@
         }
     }
 
-    /// Notes that this node is the granter itself.
+    /// Records that this node is the granter itself.
     pub fn note_own_granter(&mut self, now: Time) {
         self.granter_heard_at = Some(now);
     }
 
-    /// What this node has seen, for other nodes.
+    /// The revisions that this node has seen, to be sent to other nodes.
     pub fn own_revisions(&self, contact: Option<StoreContact>) -> LatestRevisions {
         LatestRevisions {
             latest: ViewName::ALL.map(|view| self.replica(view).latest()),
@@ -320,13 +319,13 @@
         }
     }
 
-    /// Takes an assignment that this node wrote.
+    /// Applies a record that this node wrote.
     pub fn record_own_write(&mut self, now: Time, item: Item) {
         let changes = self.replica_mut(ViewName::State).apply_own_write(item);
         self.apply(now, ViewName::State, changes);
     }
 
-    /// Takes the outcome of a view's call of that generation.
+    /// Handles the outcome of a view's call of the given generation.
     pub fn handle(&mut self, now: Time, view: ViewName, generation: u32, outcome: StoreOutcome) {
         let was_failing = self.replica(view).is_failing();
         let (health, changes) = self.replica_mut(view).handle(now, generation, outcome);
@@ -340,19 +339,19 @@
         self.apply(now, view, changes);
     }
 
-    /// Drops unconfirmed upstreams whose time is over.
+    /// Removes unconfirmed upstreams whose time is up.
     pub fn expire(&mut self, now: Time) {
         let changes = self.directory.expire(now);
         self.note_directory(changes);
     }
 
-    /// Drops an upstream that was found gone.
+    /// Removes an upstream that is proven to be gone.
     pub fn proved_gone(&mut self, now: Time, id: &UpstreamId) {
         let change = self.directory.proved_gone(now, id);
         self.note_directory(change);
     }
 
-    /// Takes an upstream's word that it leaves; whether that was news.
+    /// Records that an upstream announced its shutdown. Returns whether that was new.
     pub fn mark_leaving(&mut self, now: Time, id: &UpstreamId) -> bool {
         let change = self.directory.says_it_leaves(now, id);
         let is_news = change.is_some();
@@ -370,7 +369,7 @@
         std::mem::take(&mut self.changed_assignments)
     }
 
-    /// Entries of a view that can't be used.
+    /// Number of unusable entries in a view.
     pub fn unusable(&self, view: ViewName) -> UnusableCounts {
         let unknown_service = match view {
             ViewName::Upstreams => self.unknown_services.count(),
@@ -382,7 +381,7 @@
         }
     }
 
-    /// Beliefs that changed since the last call.
+    /// Changes of the views since the last call.
     pub fn take_notices(&mut self) -> Vec<ViewNotice> {
         std::mem::take(&mut self.notices)
     }
--- a/crates/router/src/core/views/apply.rs
+++ b/crates/router/src/core/views/apply.rs
@@ -1,4 +1,4 @@
-//! Turns changes of the copies into what the node believes.
+//! Applies changes of the replicas to the node's views.
 
 use super::{ViewName, ViewNotice, Views};
 use crate::core::records::{NodeRecord, RouterKeys, RouterRecord, decode_part, decode_speeds};
@@ -16,7 +16,8 @@
 impl Views {
     pub(super) fn apply(&mut self, now: Time, view: ViewName, mut changes: Vec<MirrorChange>) {
         drop_superseded_writes(&mut changes);
-        // The newest registration at an address counts, so in their order.
+        // The newest registration at an address wins, so registrations are applied in revision
+        // order.
         changes.sort_by_key(|change| match change {
             MirrorChange::Absent(_) => Revision::ABSENT,
             MirrorChange::Present(item) => item.revision,
@@ -78,7 +79,7 @@
             Ok(()) => Ok(configuration),
             Err(error) => Err(error.to_string()),
         });
-        // One that can't be served leaves the one before it in force.
+        // An invalid configuration leaves the previous one in force.
         let Some(configuration) = self.readable(&item.key, checked) else {
             return;
         };
@@ -94,13 +95,13 @@
         self.configuration = Some(Rc::new(configuration));
     }
 
-    /// Tells upstreams of services that a configuration named from all others.
+    /// Updates which services are known, and so which registrations belong to unknown services.
     fn update_known_services(&mut self, now: Time, configuration: &Configuration) {
         for record in self.unknown_services.set_known(configuration) {
             let changes = self.directory.register(now, record);
             self.note_directory(changes);
         }
-        // Those that registered before there was a configuration.
+        // Upstreams that registered before any configuration was known.
         let registered = self.directory.iter().map(|known| &known.record);
         let unnamed: Vec<Rc<UpstreamRecord>> = registered
             .filter(|record| self.unknown_services.is_unknown(&record.service))
@@ -113,14 +114,14 @@
         }
     }
 
-    /// Keeps a registration that names no upstream to use.
+    /// Stores a registration of an unknown service separately, without using it.
     fn set_aside(&mut self, now: Time, key: String, record: UpstreamRecord) {
         self.withdraw(now, &key);
         self.notices
             .extend(self.unknown_services.insert(key, record));
     }
 
-    /// What was decoded from the value of a key, if that worked.
+    /// Returns the decoded value, or records that the value of the key is unreadable.
     fn readable<T>(&mut self, key: &str, decoded: Result<T, impl fmt::Display>) -> Option<T> {
         match decoded {
             Ok(value) => {
@@ -136,7 +137,7 @@
     }
 
     fn apply_upstream(&mut self, now: Time, change: MirrorChange) {
-        // Absent ones were taken together before.
+        // Removals have been applied together, in `remove_vanished`.
         let MirrorChange::Present(item) = change else {
             return;
         };
@@ -153,7 +154,7 @@
         self.note_directory(changes);
     }
 
-    /// Takes the registration out of force that a key had before.
+    /// Removes the registration that the key had before.
     fn withdraw(&mut self, now: Time, key: &str) {
         let prefix = self.dialect.keys().upstream_prefix;
         let name = UpstreamName(key.strip_prefix(prefix).unwrap_or(key).to_owned());
@@ -266,9 +267,9 @@
     }
 }
 
-/// Drops what was written and then removed, so that a removal which is taken before what is
-/// there, and together with others, is not undone by it: with one answer of the store an
-/// upstream may write its entry once more and remove it.
+/// Drops writes of entries that are later removed. Removals are applied first and together, so such
+/// a write would otherwise undo the removal: one store response may contain both an upstream's last
+/// write of its entry and its removal.
 fn drop_superseded_writes(changes: &mut Vec<MirrorChange>) {
     let mut removed: HashSet<String> = HashSet::new();
     let mut kept: Vec<MirrorChange> = Vec::with_capacity(changes.len());
--- a/crates/router/src/core/views/exchange.rs
+++ b/crates/router/src/core/views/exchange.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another of their copies, and the copies themselves.
+//! Exchange of view revisions and snapshots between nodes.
 
 use super::{ViewName, Views};
 use beamtray_metastore::{Item, MirrorDelta, Removal, Revision};
@@ -7,33 +7,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A view that a node wants to have from another one.
+/// A view that a node requests from another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct WantedView {
-    /// The view.
+    /// The requested view.
     pub view: ViewName,
-    /// Revision of the copy that it has.
+    /// Revision of the requester's replica, if it has one.
     pub at: Option<Revision>,
 }
 
-/// Asks another node for what is newer than the asker's copies.
+/// Asks another node for everything newer than the requester's replicas.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ViewRequest {
-    /// What is wanted.
+    /// The requested views.
     pub wanted: Vec<WantedView>,
 }
 
-/// How a relay stands with the store.
+/// A relay's contact with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StoreContact {
-    /// Milliseconds since it asked for the last answer that it got.
+    /// Milliseconds since the last successful store call was sent.
     pub age_ms: u16,
-    /// Milliseconds since a call got no answer, if that was of late.
+    /// Milliseconds since a call last failed, if that was recent.
     pub failure_age_ms: Option<u16>,
 }
 
 impl StoreContact {
-    /// Contact with those ages; ages that don't fit count as the longest.
+    /// Creates a contact with the given ages, capped at the largest value that fits.
     pub fn new(age: Duration, failure_age: Option<Duration>) -> Self {
         Self {
             age_ms: millis(age),
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Time since the last answer was asked for.
+    /// Time since the last successful store call was sent.
     pub fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms.into())
     }
 
-    /// Time since a call got no answer, if that was of late.
+    /// Time since a call last failed, if that was recent.
     pub fn failure_age(&self) -> Option<Duration> {
         let age = self.failure_age_ms.map(u64::from);
         age.map(Duration::from_millis)
@@ -57,33 +57,33 @@
     u16::try_from(age.as_millis()).unwrap_or(u16::MAX)
 }
 
-/// Newest changes that a node has seen, in the order of [`ViewName::ALL`].
+/// The latest revisions that a node has seen, in the order of [`ViewName::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct LatestRevisions {
-    /// The revisions.
+    /// The latest revision of each view.
     pub latest: [Revision; ViewName::ALL.len()],
-    /// How it stands with the store, if it is a relay.
+    /// The node's contact with the store, if it is a relay.
     pub contact: Option<StoreContact>,
 }
 
-/// A copy of one view, or what it has beyond the asker's.
+/// A full snapshot of one view, or a delta against the requester's replica.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Snapshot {
-    /// The view.
+    /// The view concerned.
     pub view: ViewName,
-    /// Its revision.
+    /// The view's revision.
     pub at: Revision,
-    /// Its items.
+    /// All items, or those that the requester lacks.
     pub items: Vec<Item>,
-    /// Keys that are gone; empty if it is whole.
+    /// The removed keys; empty in a full snapshot.
     pub removals: Vec<Removal>,
-    /// Whether these are all items, or those that the asker lacks.
+    /// Whether this is a full snapshot rather than a delta.
     pub is_full: bool,
 }
 
 impl Views {
-    /// Takes word of what another node has seen. The views of which it knows
-    /// more and that this node has from others.
+    /// Handles the latest revisions of another node. Returns the views in which that node is ahead
+    /// and that this node fetches from other nodes.
     pub fn handle_revisions(
         &mut self,
         now: Time,
@@ -112,8 +112,7 @@
             .collect()
     }
 
-    /// Views of which other nodes are known to have more, and that this node has
-    /// from others.
+    /// Views in which other nodes are known to be ahead and that this node fetches from them.
     pub fn lacking(&self, now: Time) -> Vec<ViewName> {
         let views = ViewName::ALL.into_iter();
         views
@@ -122,9 +121,9 @@
             .collect()
     }
 
-    /// Whether this node has a view from others. One that follows the store
-    /// asks others as well once its watch counts as dead: a slow store may take
-    /// longer for a large answer than any watch is given.
+    /// Whether this node fetches a view from other nodes. A node that follows the store does so as
+    /// well once its watch is considered stalled: a slow store may take longer to return a large
+    /// result than any watch is allowed.
     fn is_fetched(&self, now: Time, view: ViewName) -> bool {
         view == ViewName::State || !self.follows || self.is_stalled(now, view)
     }
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Asks for those views.
+    /// Creates a request for the given views.
     pub fn request(&self, views: &[ViewName]) -> ViewRequest {
         let wanted = views.iter().map(|view| WantedView {
             view: *view,
@@ -148,7 +147,7 @@
         }
     }
 
-    /// What is newer than the asker's copies.
+    /// Answers a request with everything newer than the requester's replicas.
     pub fn answer(&self, request: &ViewRequest) -> Vec<Snapshot> {
         let wanted = request.wanted.iter();
         wanted.filter_map(|wanted| self.snapshot(wanted)).collect()
@@ -173,7 +172,7 @@
         })
     }
 
-    /// Takes another node's copies.
+    /// Adopts snapshots of another node.
     pub fn adopt(&mut self, now: Time, snapshots: Vec<Snapshot>) {
         for snapshot in snapshots {
             let view = snapshot.view;
--- a/crates/router/src/core/views/notice.rs
+++ b/crates/router/src/core/views/notice.rs
@@ -1,19 +1,19 @@
-//! Which views there are, and what is told of changes in them.
+//! The views, and notices of changes in them.
 
 use beamtray_catalog::DirectoryChange;
 use beamtray_types::ServiceName;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Which replica a call or a snapshot belongs to.
+/// Identifies the view that a call or snapshot belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ViewName {
-    /// What operators write.
+    /// Records written by operators.
     Operator,
     /// Registrations of upstreams.
     Upstreams,
-    /// Nodes and the granter.
+    /// Registered nodes, and the granter.
     Members,
-    /// What the granter writes.
+    /// Records written by the granter.
     State,
 }
 
@@ -27,61 +27,62 @@
     ];
 }
 
-/// A belief that changed.
+/// A change of a node's views.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewNotice {
-    /// A configuration is in force.
+    /// A new configuration is in force.
     Configured {
-        /// Its version.
+        /// The configuration's version.
         version: u64,
-        /// How many routes it has.
+        /// Number of routes in the configuration.
         routes: usize,
     },
-    /// A value in the store can't be read. Told once for as long as it can't.
+    /// A value in the store can't be decoded. Reported once until the value becomes readable or is
+    /// removed.
     Unreadable {
-        /// Its key.
+        /// The value's key.
         key: String,
-        /// What is wrong.
+        /// The decoding error.
         cause: String,
     },
     /// An upstream registered for a service that no configuration has named.
     UnknownService {
-        /// Key of the entry.
+        /// Key of the registration.
         key: String,
-        /// The service.
+        /// The unknown service.
         service: ServiceName,
     },
-    /// The directory changed.
+    /// The upstream directory changed.
     Directory(DirectoryChange),
-    /// A new assignment of a service.
+    /// A service has a new assignment.
     Assigned {
-        /// The service.
+        /// The service that is assigned.
         service: ServiceName,
-        /// Term of the granter that wrote it.
+        /// Term of the granter that wrote the assignment.
         epoch: u64,
-        /// Its number in that term.
+        /// Sequence number of the assignment within its term.
         sequence: u64,
     },
-    /// Another granter, or none.
+    /// The granter changed, or there is none any more.
     Granter {
-        /// The node.
+        /// Name of the granter's node.
         node: Option<String>,
-        /// Its term.
+        /// The granter's term.
         epoch: u64,
     },
-    /// A watch was given up on, since others know more.
+    /// A watch was restarted because other nodes have seen newer changes.
     WatchRestarted {
         /// Prefix of the view.
         prefix: String,
     },
-    /// This node follows the store itself, or relies on relays.
+    /// This node started or stopped following the store itself.
     FollowsStore {
-        /// Whether it follows the store.
+        /// Whether the node follows the store itself rather than through relays.
         directly: bool,
-        /// Whether it is the relay that others rely on.
+        /// Whether the node follows the store as a relay for others.
         as_relay: bool,
     },
-    /// A view is not kept up by the store any more, or is again.
+    /// The store stopped or resumed answering the calls of a view.
     StoreReachable {
         /// Prefix of the view.
         prefix: String,
--- a/crates/router/src/core/views/unusable.rs
+++ b/crates/router/src/core/views/unusable.rs
@@ -1,7 +1,7 @@
-//! Entries of the store that name nothing to use, as other writers leave them.
+//! Unusable store entries, such as those left by other writers.
 //!
-//! Invariant: such an entry costs one line for as long as it stays unusable, however often
-//! it is written, and takes nothing from the entries beside it.
+//! Invariant: an unusable entry is logged once for as long as it remains unusable, however often it
+//! is rewritten, and does not affect other entries.
 
 use super::ViewNotice;
 use beamtray_catalog::{Configuration, UpstreamRecord};
@@ -9,24 +9,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Longest cause that is told, in bytes: a decoder may quote a value of a megabyte.
+/// Maximum length of a reported cause in bytes: a decoder may quote a value of a megabyte.
 const MAX_CAUSE_LENGTH: usize = 200;
 
-/// How many entries below one prefix can't be used.
+/// Number of unusable entries below one prefix.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnusableCounts {
-    /// Entries whose value is not what it should be.
+    /// Entries whose value can't be decoded.
     pub unreadable: usize,
     /// Registrations of services that no configuration has named.
     pub unknown_service: usize,
 }
 
-/// Keys whose value can't be read.
+/// Keys whose value can't be decoded.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreadableKeys(BTreeSet<String>);
 
 impl UnreadableKeys {
-    /// Notes an unreadable value; what to tell of it, unless it was unreadable before.
+    /// Records an unreadable value; returns a notice unless it was already recorded.
     pub fn note(&mut self, key: String, cause: &str) -> Option<ViewNotice> {
         if !self.0.insert(key.clone()) {
             return None;
@@ -35,12 +35,12 @@
         Some(ViewNotice::Unreadable { key, cause })
     }
 
-    /// Notes that a value could be read, or is gone.
+    /// Removes a key whose value was decoded or removed.
     pub fn forget(&mut self, key: &str) {
         self.0.remove(key);
     }
 
-    /// How many keys below a prefix there are.
+    /// Number of recorded keys below a prefix.
     pub fn count(&self, prefix: &str) -> usize {
         let from = self
             .0
@@ -59,25 +59,25 @@
 
 /// Registrations of services that no configuration has named so far.
 ///
-/// They are no evidence about an upstream whose address they bear, and no part of what
-/// vanishes together. A service that was named once stays known: upstreams of a service
-/// that comes back would have to get their keys anew.
+/// They are not evidence about another upstream with the same address, and do not count when
+/// registrations vanish together. A service that was named once stays known: otherwise the
+/// upstreams of a service that is removed and restored would have to acquire their keys again.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnknownServices {
-    /// Services that a configuration named; `None` before the first one.
+    /// Services named by any configuration so far; `None` before the first configuration.
     known_services: Option<BTreeSet<ServiceName>>,
-    /// By the key of the entry.
+    /// The registrations by their store keys.
     registrations: BTreeMap<String, UpstreamRecord>,
 }
 
 impl UnknownServices {
-    /// Whether an upstream of that service is one. Before there is a configuration, none is.
+    /// Whether the service is unknown. Before the first configuration, no service is.
     pub fn is_unknown(&self, service: &ServiceName) -> bool {
         let known = self.known_services.as_ref();
         known.is_some_and(|known| !known.contains(service))
     }
 
-    /// Keeps a registration aside; what to tell of it, unless it was there before.
+    /// Stores a registration; returns a notice unless the key was already present.
     pub fn insert(&mut self, key: String, record: UpstreamRecord) -> Option<ViewNotice> {
         let notice = ViewNotice::UnknownService {
             key: key.clone(),
@@ -87,12 +87,12 @@
         known.is_none().then_some(notice)
     }
 
-    /// Drops the registration of that key.
+    /// Removes the registration with this key.
     pub fn remove(&mut self, key: &str) {
         self.registrations.remove(key);
     }
 
-    /// Takes the services of a configuration; the registrations that it names now.
+    /// Adds the services of a configuration. Returns the stored registrations that it names.
     pub fn set_known(&mut self, configuration: &Configuration) -> Vec<UpstreamRecord> {
         let services = configuration.services.iter();
         let known_services = self.known_services.get_or_insert_default();
@@ -103,7 +103,7 @@
         newly_known.map(|(_, record)| record).collect()
     }
 
-    /// How many there are.
+    /// Number of stored registrations.
     pub fn count(&self) -> usize {
         self.registrations.len()
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router as a process: one node that serves callers, follows the metadata
-//! store and may be the granter.
+//! The router process: one node that serves client requests, follows the metadata store and can be
+//! elected granter.
 //!
-//! [`core`] decides and is pure; [`shell`] carries bytes. One thread runs
-//! both: a `tokio` runtime drives sockets, a `stakker` actor owns the core.
+//! [`core`] holds the pure decision logic; [`shell`] performs the I/O. Both run on a single thread:
+//! a `tokio` runtime drives the sockets and a `stakker` actor owns the core.
 
 pub mod core;
 pub mod settings;
