--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -411,8 +411,8 @@
     /// Revokes this node's leases in the store.
     pub fn resign(&mut self) -> Vec<StoreCall> {
         self.term = None;
-        let place = self.election.resign();
-        let entry = self.registrar.resign();
-        place.into_iter().chain(entry).collect()
+        let granter_lease = self.election.resign();
+        let node_lease = self.registrar.resign();
+        granter_lease.into_iter().chain(node_lease).collect()
     }
 }
--- a/crates/router/src/core/membership.rs
+++ b/crates/router/src/core/membership.rs
@@ -221,8 +221,8 @@
     fn unregistered_peers(&self, audience: Audience) -> impl Iterator<Item = SocketAddr> + '_ {
         let unregistered = self.unregistered.iter().copied();
         unregistered.filter(move |address| {
-            let is_meant = audience == Audience::All || self.is_same_zone(address);
-            *address != self.own && is_meant
+            let is_included = audience == Audience::All || self.is_same_zone(address);
+            *address != self.own && is_included
         })
     }
 }
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -167,8 +167,8 @@
                 outcome,
                 rate,
             } => {
-                if let Some(word) = rate {
-                    self.dispatcher.rate_named(now, ticket, word);
+                if let Some(rate) = rate {
+                    self.dispatcher.rate_named(now, ticket, rate);
                 }
                 if outcome == AttemptOutcome::Untouched(Untouched::Misdirected) {
                     self.fetch_from_granter(now);
@@ -254,7 +254,7 @@
             Datagram::TrialRequest(request) => self.lend_trial(now, from, request),
             Datagram::TrialReply(reply) => self.handle_trial_reply(now, reply),
             Datagram::TrialReport(report) => self.handle_trial_report(now, report),
-            Datagram::RateLimits(words) => self.handle_limits(now, words),
+            Datagram::RateLimits(limits) => self.handle_limits(now, limits),
             Datagram::PermitRequest(request) => self.lend_permits(now, from, request),
             Datagram::PermitReply(reply) => self.dispatcher.permits_lent(now, reply),
             Datagram::Suspicions(suspicions) => self.handle_suspicions(now, suspicions),
--- a/crates/router/src/core/node/load.rs
+++ b/crates/router/src/core/node/load.rs
@@ -52,7 +52,7 @@
     reported_idle: bool,
     sum_at: Time,
     /// Interval between sums of the relay that this node hears.
-    sum_pause: Duration,
+    sum_interval: Duration,
     pub(super) zone_at: Time,
     pub(super) reported_zone_idle: bool,
     pub(super) answers_at: Time,
@@ -174,7 +174,7 @@
 
     /// Whether a relay of this zone is sending sums.
     pub(super) fn is_sending_sums(&self, now: Time, relay: &SocketAddr) -> bool {
-        let silence = LEAD_RELAY_TIMEOUT.max(self.reports.sum_pause * MAX_MISSED_SUMS);
+        let silence = LEAD_RELAY_TIMEOUT.max(self.reports.sum_interval * MAX_MISSED_SUMS);
         let heard = self.reports.sums_heard_at.get(relay);
         heard.is_some_and(|heard| now.since(*heard) < silence)
     }
@@ -194,7 +194,7 @@
         if now >= self.reports.sum_at {
             let near = self.membership.peers(Audience::SameZone);
             let sums = self.dispatcher.load_sum(true);
-            let pause = sum_pause(near.len(), sums.len()).max(timing.relayed_report_interval);
+            let pause = sum_interval(near.len(), sums.len()).max(timing.relayed_report_interval);
             self.reports.sum_at = now + pause;
             for sum in sums {
                 self.outputs
@@ -230,7 +230,7 @@
     pub(super) fn handle_all_load(&mut self, now: Time, from: SocketAddr, sum: &LoadSum) {
         self.reports.sums_heard_at.insert(from, now);
         let near = self.membership.count(Audience::SameZone);
-        self.reports.sum_pause = sum_pause(near, sum.parts.into());
+        self.reports.sum_interval = sum_interval(near, sum.parts.into());
         if !self.is_relay() {
             self.dispatcher.take_sum(now, SumSource::OwnRelay, sum);
         }
@@ -305,6 +305,6 @@
 }
 
 /// Interval between sums of the given number of parts to the given number of nodes.
-fn sum_pause(nodes: usize, parts: usize) -> Duration {
+fn sum_interval(nodes: usize, parts: usize) -> Duration {
     Duration::from_secs(1) * (nodes * parts) as u32 / MAX_SUMS_PER_SECOND
 }
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -29,13 +29,13 @@
         if now < self.limits_due_at {
             return;
         }
-        let words = self.dispatcher.take_untold_limits(now);
-        if words.is_empty() {
+        let limits = self.dispatcher.take_untold_limits(now);
+        if limits.is_empty() {
             return;
         }
         self.limits_due_at = now + SEND_INTERVAL;
         let audience = self.broadcast_targets();
-        self.send_limits(&words, &audience);
+        self.send_limits(&limits, &audience);
     }
 
     fn registered_as(&self, upstream: UpstreamHash) -> Option<UpstreamId> {
@@ -43,11 +43,11 @@
         ids.find(|id| UpstreamHash::of(id) == upstream).cloned()
     }
 
-    fn send_limits(&mut self, words: &[LimitWord], audience: &[SocketAddr]) {
+    fn send_limits(&mut self, limits: &[LimitWord], audience: &[SocketAddr]) {
         if audience.is_empty() {
             return;
         }
-        for part in words.chunks(LIMITS_PER_DATAGRAM) {
+        for part in limits.chunks(LIMITS_PER_DATAGRAM) {
             let datagram = Datagram::RateLimits(part.to_vec());
             self.outputs.push(Output::Send(datagram, audience.to_vec()));
         }
@@ -60,18 +60,18 @@
             let is_relay = self.is_relay();
             started.retain(|address| is_relay && self.membership.is_same_zone(address));
         }
-        let words = self.dispatcher.limit_words(now);
-        self.send_limits(&words, &started);
+        let limits = self.dispatcher.limit_words(now);
+        self.send_limits(&limits, &started);
         self.send_leaving_to_started(&started);
     }
 
     /// Handles rate limits reported by another node; as a relay in a large deployment, forwards
     /// those that are new.
-    pub(super) fn handle_limits(&mut self, now: Time, words: &[LimitWord]) {
+    pub(super) fn handle_limits(&mut self, now: Time, limits: &[LimitWord]) {
         let mut news = Vec::new();
-        for word in words {
-            if self.dispatcher.limit_told(now, word) {
-                news.extend(self.dispatcher.limit_word(now, word.upstream));
+        for limit in limits {
+            if self.dispatcher.limit_told(now, limit) {
+                news.extend(self.dispatcher.limit_word(now, limit.upstream));
             }
         }
         let audience = self.forward_targets();
--- a/crates/router/src/core/node/zone_load.rs
+++ b/crates/router/src/core/node/zone_load.rs
@@ -100,7 +100,7 @@
 
     /// Records which node reported another zone's load, and forwards the report in this zone.
     pub(super) fn forward_zone_load(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
-        if !self.is_small_deployment() || self.is_same_zone(from) {
+        if !self.is_small_deployment() || self.is_in_own_zone(from) {
             return;
         }
         self.reports.zone_reporters.insert(from, now);
@@ -109,12 +109,12 @@
 
     /// Forwards another zone's message to the nodes of this zone.
     pub(super) fn forward_to_zone(&mut self, from: SocketAddr, datagram: &Datagram) {
-        if !self.is_same_zone(from) {
+        if !self.is_in_own_zone(from) {
             self.send(datagram.clone(), Audience::SameZone);
         }
     }
 
-    fn is_same_zone(&self, address: SocketAddr) -> bool {
+    fn is_in_own_zone(&self, address: SocketAddr) -> bool {
         self.membership.is_same_zone(&address)
     }
 }
--- a/crates/router/src/core/views.rs
+++ b/crates/router/src/core/views.rs
@@ -215,7 +215,7 @@
         let is_due = match view {
             ViewName::Members if !known => self.reads_members(now),
             _ if self.members_since.is_none() => false,
-            ViewName::State if known => self.follows && !self.hears_granter(now),
+            ViewName::State if known => self.follows && !self.is_granter_heard(now),
             _ => self.follows,
         };
         if !is_due && !self.is_stalled(now, view) {
@@ -276,7 +276,7 @@
 
     /// Whether the granter currently announces assignments. After startup it is given time to do
     /// so.
-    fn hears_granter(&self, now: Time) -> bool {
+    fn is_granter_heard(&self, now: Time) -> bool {
         let heard = self.granter_heard_at.unwrap_or(Time::ZERO);
         now.since(heard) < GRANTER_TIMEOUT
     }
--- a/crates/router/src/core/views/apply.rs
+++ b/crates/router/src/core/views/apply.rs
@@ -129,7 +129,7 @@
                 Some(value)
             }
             Err(error) => {
-                let notice = self.unreadable.note(key.to_owned(), &error.to_string());
+                let notice = self.unreadable.record(key.to_owned(), &error.to_string());
                 self.notices.extend(notice);
                 None
             }
--- a/crates/router/src/core/views/unusable.rs
+++ b/crates/router/src/core/views/unusable.rs
@@ -27,7 +27,7 @@
 
 impl UnreadableKeys {
     /// Records an unreadable value; returns a notice unless it was already recorded.
-    pub fn note(&mut self, key: String, cause: &str) -> Option<ViewNotice> {
+    pub fn record(&mut self, key: String, cause: &str) -> Option<ViewNotice> {
         if !self.0.insert(key.clone()) {
             return None;
         }
