--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -36,7 +36,8 @@
     pub zone_report_interval: Duration,
     /// Interval at which relays forward response statistics.
     pub answers_interval: Duration,
-    /// Interval of load reports while no request is in flight.
+    /// Interval of load reports while no request is in flight, and of reports to relays that carry
+    /// response statistics.
     pub idle_report_interval: Duration,
     /// Interval at which the latest known revisions are sent.
     pub revisions_interval: Duration,
