--- a/crates/catalog/src/configuration.rs
+++ b/crates/catalog/src/configuration.rs
@@ -57,7 +57,7 @@
     /// Most connections that one upstream takes from all callers together.
     pub max_connections: u32,
     /// Whether each key is held by one upstream alone.
-    pub divided: bool,
+    pub sharded: bool,
     /// How long keys are slow at an upstream that took them without handover.
     pub warm_up: Duration,
     /// What an upstream takes while it is cold; none where that is not bounded.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
     /// How long it stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that it handles meanwhile.
     pub rate: f64,
 }
--- a/crates/catalog/src/directory.rs
+++ b/crates/catalog/src/directory.rs
@@ -33,10 +33,10 @@
 pub struct DirectoryPolicy {
     /// How long after the store's last trouble a vanished registration proves
     /// nothing.
-    pub distrust: Duration,
+    pub outage_grace: Duration,
     /// How long an upstream has to register again after its registration
     /// vanished.
-    pub patience: Duration,
+    pub reregistration_timeout: Duration,
 }
 
 /// An upstream as the directory holds it.
@@ -124,7 +124,7 @@
 
     /// Number of changes so far; an index that was made at this number is still
     /// right.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
@@ -135,13 +135,13 @@
 
     /// Notes that the store failed to answer at that time, or said that it lost
     /// history.
-    pub fn store_troubled(&mut self, at: Time) {
+    pub fn note_store_failure(&mut self, at: Time) {
         self.store_trouble = self.store_trouble.max(Some(at));
     }
 
     /// Notes that some node has the answers to all of its calls. Trouble that others have
     /// with the store is then their path's: leases did not run out for lack of a store.
-    pub fn store_is_sound(&mut self, at: Time) {
+    pub fn note_store_healthy(&mut self, at: Time) {
         self.store_sound = self.store_sound.max(Some(at));
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Takes the absence of registrations that vanished together.
-    pub fn vanish(&mut self, now: Time, names: &[UpstreamName]) -> Vec<DirectoryChange> {
+    pub fn handle_missing(&mut self, now: Time, names: &[UpstreamName]) -> Vec<DirectoryChange> {
         for name in names {
             self.incarnations.vanishes(now, name);
         }
@@ -251,7 +251,7 @@
         let ids: Vec<UpstreamId> = registered.map(|one| one.record.id.clone()).collect();
         let distrusted = self
             .store_trouble
-            .is_some_and(|trouble| now.since(trouble) < self.policy.distrust)
+            .is_some_and(|trouble| now.since(trouble) < self.policy.outage_grace)
             && self.store_sound != Some(now);
         let many = ids.len() * 100 > self.upstreams.len() * MANY_PERCENT;
         let many = many && names.len() > 1;
@@ -281,7 +281,7 @@
     }
 
     /// Removes an upstream at whose address another one answers.
-    pub fn proved_gone(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
+    pub fn confirm_gone(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
         self.gone.insert(id.clone(), now);
         self.remove(id)
     }
@@ -289,7 +289,7 @@
     /// Takes an upstream's word that it leaves, from an answer. It holds for as long as this
     /// incarnation is there, whatever its entry says: the store may not have been told yet, or
     /// an entry may have been written before the answer.
-    pub fn says_it_leaves(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
+    pub fn mark_leaving(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
         if self.leaving.contains_key(id) || self.gone.contains_key(id) {
             return None;
         }
@@ -337,11 +337,11 @@
                 changes.extend(self.restarted(now, earlier, record));
             }
         }
-        let patience = self.policy.patience;
+        let reregistration_timeout = self.policy.reregistration_timeout;
         let is_over = |id: &&UpstreamId| {
             let registration = self.upstreams.get(*id);
             let since = registration.and_then(|registration| registration.unconfirmed_since);
-            since.is_some_and(|since| now.since(since) >= patience)
+            since.is_some_and(|since| now.since(since) >= reregistration_timeout)
         };
         let expired: Vec<UpstreamId> = self.unconfirmed.iter().filter(is_over).cloned().collect();
         changes.extend(expired.into_iter().filter_map(|id| self.remove(&id)));
@@ -388,7 +388,7 @@
 ) -> Option<&'a Registration> {
     let first = UpstreamId {
         name: name.clone(),
-        born: None,
+        started_at: None,
     };
     let (id, registration) = upstreams.range(first..).next()?;
     (id.name == *name).then_some(registration)
--- a/crates/catalog/src/incarnations.rs
+++ b/crates/catalog/src/incarnations.rs
@@ -8,10 +8,10 @@
 //! A node that knows neither of two incarnations may see a late write of the dead one
 //! after the living one's entry, and take it for a restart. Then the living one's entry
 //! stands again soon and stays, which only a writer that lives can bring about: after
-//! [`CLAIM_STANDS`] it counts again. Meanwhile requests and orders reach it all the same
+//! [`REINSTATEMENT_DELAY`] it counts again. Meanwhile requests and orders reach it all the same
 //! where its address is the same, since they carry the name only.
 
-use crate::upstream::{Birth, UpstreamId, UpstreamName, UpstreamRecord};
+use crate::upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// How long the entry of a replaced incarnation must stand in the store before it is
 /// believed. An entry goes after three heartbeats without a write, and heartbeats of up to
 /// 3 s are known; a late write is written over within one.
-pub const CLAIM_STANDS: Duration = Duration::from_secs(10);
+pub const REINSTATEMENT_DELAY: Duration = Duration::from_secs(10);
 /// How long a replaced incarnation is remembered: its last write may be that late.
 const REMEMBER_REPLACED: Duration = Duration::from_secs(120);
 
@@ -43,9 +43,9 @@
 
 #[derive(Clone, Debug)]
 struct Succession {
-    current: Option<Birth>,
+    current: Option<StartTimestamp>,
     seen_at: Time,
-    replaced: BTreeMap<Option<Birth>, Replaced>,
+    replaced: BTreeMap<Option<StartTimestamp>, Replaced>,
 }
 
 /// The incarnations of each name that were seen of late.
@@ -60,26 +60,26 @@
         let id = &record.id;
         let Some(succession) = self.by_name.get_mut(&id.name) else {
             let succession = Succession {
-                current: id.born,
+                current: id.started_at,
                 seen_at: now,
                 replaced: BTreeMap::new(),
             };
             self.by_name.insert(id.name.clone(), succession);
             return Appearance::Current;
         };
-        if succession.current == id.born {
+        if succession.current == id.started_at {
             succession.seen_at = now;
             succession.drop_claims();
             return Appearance::Current;
         }
-        if let Some(replaced) = succession.replaced.get_mut(&id.born) {
+        if let Some(replaced) = succession.replaced.get_mut(&id.started_at) {
             let since = replaced.claim.as_ref().map_or(now, |(since, _)| *since);
             replaced.claim = Some((since, record.clone()));
             return Appearance::Replaced;
         }
         Appearance::RestartOf(UpstreamId {
             name: id.name.clone(),
-            born: succession.replace(now, id.born),
+            started_at: succession.replace(now, id.started_at),
         })
     }
 
@@ -101,9 +101,9 @@
         let mut believed = Vec::new();
         for (name, succession) in &mut self.by_name {
             if let Some(record) = succession.take_standing(now) {
-                let born = succession.replace(now, record.id.born);
+                let started_at = succession.replace(now, record.id.started_at);
                 let name = name.clone();
-                believed.push((UpstreamId { name, born }, record));
+                believed.push((UpstreamId { name, started_at }, record));
             }
             succession.replaced.retain(|_, replaced| {
                 replaced.claim.is_some() || now.since(replaced.since) < REMEMBER_REPLACED
@@ -118,10 +118,10 @@
 
 impl Succession {
     /// Lets another incarnation count; the one that did.
-    fn replace(&mut self, now: Time, born: Option<Birth>) -> Option<Birth> {
-        let before = std::mem::replace(&mut self.current, born);
+    fn replace(&mut self, now: Time, started_at: Option<StartTimestamp>) -> Option<StartTimestamp> {
+        let before = std::mem::replace(&mut self.current, started_at);
         self.seen_at = now;
-        self.replaced.remove(&born);
+        self.replaced.remove(&started_at);
         self.drop_claims();
         let replaced = Replaced {
             since: now,
@@ -139,7 +139,7 @@
 
     /// The entry of a replaced incarnation that has stood for long enough.
     fn take_standing(&mut self, now: Time) -> Option<UpstreamRecord> {
-        let stands = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= CLAIM_STANDS;
+        let stands = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= REINSTATEMENT_DELAY;
         let mut replaced = self.replaced.values_mut();
         let claim = replaced.find_map(|replaced| replaced.claim.take_if(|claim| stands(claim)))?;
         Some(claim.1)
--- a/crates/catalog/src/leaving.rs
+++ b/crates/catalog/src/leaving.rs
@@ -2,11 +2,11 @@
 
 /// What an answer of an upstream says of whether the upstream leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaveWord {
+pub enum LeavingStatus {
     /// It says nothing of it, or that it does not.
-    Stays,
+    NotLeaving,
     /// It leaves: it wants no more requests.
-    Leaves,
+    Leaving,
     /// It says something that can't be read; nothing is learned of that.
     Unreadable,
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -19,9 +19,9 @@
     ServiceConfig, WeightedBackend,
 };
 pub use directory::{Directory, DirectoryChange, DirectoryPolicy, Registration};
-pub use incarnations::CLAIM_STANDS;
-pub use leaving::LeaveWord;
-pub use rate::{RateWord, RequestRate};
-pub use rest::RestWord;
+pub use incarnations::REINSTATEMENT_DELAY;
+pub use leaving::LeavingStatus;
+pub use rate::{AdvertisedRate, RequestRate};
+pub use rest::RetryAfter;
 pub use route_table::RouteTable;
-pub use upstream::{Birth, UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
+pub use upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
--- a/crates/catalog/src/rate.rs
+++ b/crates/catalog/src/rate.rs
@@ -12,12 +12,12 @@
 
 impl RequestRate {
     /// That many requests a second; `None` if it is no rate.
-    pub fn new(a_second: f64) -> Option<Self> {
-        (a_second.is_finite() && a_second >= 0.0).then_some(Self(a_second.min(HIGHEST)))
+    pub fn new(per_second: f64) -> Option<Self> {
+        (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second.min(HIGHEST)))
     }
 
     /// Requests a second.
-    pub fn a_second(self) -> f64 {
+    pub fn per_second(self) -> f64 {
         self.0
     }
 }
@@ -30,7 +30,7 @@
 
 /// What an answer of an upstream says of the rate that it takes from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RateWord {
+pub enum AdvertisedRate {
     /// It names none, so it takes whatever comes.
     Unlimited,
     /// It takes no more than this.
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -23,7 +23,7 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
-pub struct Birth(pub u64);
+pub struct StartTimestamp(pub u64);
 
 /// One incarnation of an upstream. A restart has another name, or another birth under the
 /// same one. What is remembered of an upstream is remembered of its incarnation, so that a
@@ -33,21 +33,21 @@
     /// Its name.
     pub name: UpstreamName,
     /// Its birth. Upstreams that don't tell it have one incarnation for each name.
-    pub born: Option<Birth>,
+    pub started_at: Option<StartTimestamp>,
 }
 
 impl UpstreamId {
     /// The incarnation of that name with that birth.
-    pub fn born_at(name: impl Into<String>, birth: Birth) -> Self {
+    pub fn with_start(name: impl Into<String>, birth: StartTimestamp) -> Self {
         Self {
             name: UpstreamName(name.into()),
-            born: Some(birth),
+            started_at: Some(birth),
         }
     }
 
     /// Whether `other` is another incarnation of the same name.
     pub fn is_restart_of(&self, other: &UpstreamId) -> bool {
-        self.name == other.name && self.born != other.born
+        self.name == other.name && self.started_at != other.started_at
     }
 }
 
@@ -55,7 +55,7 @@
     fn from(name: String) -> Self {
         Self {
             name: UpstreamName(name),
-            born: None,
+            started_at: None,
         }
     }
 }
@@ -68,7 +68,7 @@
 
 impl fmt::Display for UpstreamId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
+        match self.started_at {
             Some(birth) => write!(formatter, "{}@{}", self.name, birth.0),
             None => self.name.fmt(formatter),
         }
--- a/crates/catalog/tests/directory.rs
+++ b/crates/catalog/tests/directory.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 const POLICY: DirectoryPolicy = DirectoryPolicy {
-    distrust: Duration::from_millis(500),
-    patience: Duration::from_millis(1_600),
+    outage_grace: Duration::from_millis(500),
+    reregistration_timeout: Duration::from_millis(1_600),
 };
 
 fn id(number: u16) -> UpstreamId {
@@ -43,7 +43,7 @@
 #[test]
 fn one_that_vanishes_from_a_sound_store_is_gone() {
     let mut directory = directory(10);
-    let changes = directory.vanish(at(10_000), &[id(3).name]);
+    let changes = directory.handle_missing(at(10_000), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
     assert!(directory.get(&id(3)).is_none());
 }
@@ -52,7 +52,7 @@
 fn many_that_vanish_together_are_kept_for_a_while() {
     let mut directory = directory(10);
     let names: Vec<UpstreamName> = (0..8).map(|number| id(number).name).collect();
-    directory.vanish(at(10_000), &names);
+    directory.handle_missing(at(10_000), &names);
     assert_eq!(directory.iter().count(), 10);
     directory.register(at(11_000), record(0, 8_000));
     directory.expire(at(11_599));
@@ -64,8 +64,8 @@
 #[test]
 fn right_after_trouble_one_that_vanishes_is_kept_for_a_while() {
     let mut directory = directory(10);
-    directory.store_troubled(at(10_000));
-    let changes = directory.vanish(at(10_400), &[id(3).name]);
+    directory.note_store_failure(at(10_000));
+    let changes = directory.handle_missing(at(10_400), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Unconfirmed(id(3))]);
     directory.expire(at(12_000));
     assert!(directory.get(&id(3)).is_none());
@@ -79,9 +79,9 @@
     let noticed_late = Duration::from_millis(900);
     let mut directory = directory(10);
     let outage_end = at(10_000);
-    directory.store_troubled(outage_end + noticed_late);
-    let last_doubt = outage_end + noticed_late + POLICY.distrust - Duration::from_millis(1);
-    directory.vanish(last_doubt, &[id(3).name]);
+    directory.note_store_failure(outage_end + noticed_late);
+    let last_doubt = outage_end + noticed_late + POLICY.outage_grace - Duration::from_millis(1);
+    directory.handle_missing(last_doubt, &[id(3).name]);
     directory.expire(outage_end + contact);
     assert!(directory.get(&id(3)).is_none());
 }
@@ -92,8 +92,8 @@
     let mut draining = record(3, 8_003);
     draining.state = UpstreamState::Draining;
     directory.register(at(1_000), draining);
-    directory.store_troubled(at(10_000));
-    let changes = directory.vanish(at(10_100), &[id(3).name]);
+    directory.note_store_failure(at(10_000));
+    let changes = directory.handle_missing(at(10_100), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
 }
 
@@ -111,7 +111,7 @@
 #[test]
 fn who_was_found_gone_does_not_come_back_by_a_late_write() {
     let mut directory = directory(3);
-    let change = directory.proved_gone(at(5_000), &id(1));
+    let change = directory.confirm_gone(at(5_000), &id(1));
     assert_eq!(change, Some(DirectoryChange::Removed(id(1))));
     assert!(directory.register(at(9_000), record(1, 8_001)).is_empty());
     assert!(directory.get(&id(1)).is_none());
@@ -145,7 +145,7 @@
     let mut leaving = record(0, 8_000);
     leaving.state = UpstreamState::Draining;
     directory.register(at(1_000), leaving);
-    directory.says_it_leaves(at(1_000), &id(1));
+    directory.mark_leaving(at(1_000), &id(1));
     for number in 0..3 {
         directory.register(at(2_000), record(number, 8_000 + number));
     }
@@ -159,8 +159,8 @@
 #[test]
 fn nor_after_its_entry_was_gone() {
     let mut directory = directory(3);
-    directory.says_it_leaves(at(1_000), &id(1));
-    directory.vanish(at(2_000), &[id(1).name]);
+    directory.mark_leaving(at(1_000), &id(1));
+    directory.handle_missing(at(2_000), &[id(1).name]);
     directory.expire(at(4_000));
     directory.register(at(5_000), record(1, 8_001));
     let state = directory.get(&id(1)).map(|one| one.record.state);
--- a/crates/catalog/tests/incarnations.rs
+++ b/crates/catalog/tests/incarnations.rs
@@ -1,8 +1,8 @@
 //! Which of two incarnations of one name counts.
 
 use beamtray_catalog::{
-    Birth, CLAIM_STANDS, Directory, DirectoryChange, DirectoryPolicy, UpstreamId, UpstreamName,
-    UpstreamRecord, UpstreamState,
+    Directory, DirectoryChange, DirectoryPolicy, REINSTATEMENT_DELAY, StartTimestamp, UpstreamId,
+    UpstreamName, UpstreamRecord, UpstreamState,
 };
 use beamtray_types::Time;
 use quickcheck::quickcheck;
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 const POLICY: DirectoryPolicy = DirectoryPolicy {
-    distrust: Duration::from_millis(500),
-    patience: Duration::from_millis(1_600),
+    outage_grace: Duration::from_millis(500),
+    reregistration_timeout: Duration::from_millis(1_600),
 };
 /// How late a dead writer's entry may still come.
 const LATE: u64 = 6_000;
@@ -25,7 +25,7 @@
 }
 
 fn born(millis: u64) -> UpstreamId {
-    UpstreamId::born_at("u", Birth(millis))
+    UpstreamId::with_start("u", StartTimestamp(millis))
 }
 
 fn record(id: UpstreamId) -> UpstreamRecord {
@@ -83,7 +83,7 @@
 fn a_late_write_changes_nothing_also_after_the_registration_vanished() {
     let mut directory = directory();
     directory.register(at(0), record(born(100)));
-    directory.vanish(at(3_000), &[born(100).name]);
+    directory.handle_missing(at(3_000), &[born(100).name]);
     assert_eq!(held(&directory), []);
     let restarted = directory.register(at(3_500), record(born(200)));
     assert!(restarted.iter().any(|change| matches!(
@@ -106,7 +106,7 @@
     directory.register(at(100), record(dead.clone()));
     assert_eq!(held(&directory), [dead]);
     directory.register(at(1_100), record(living.clone()));
-    let stands = at(1_100) + CLAIM_STANDS;
+    let stands = at(1_100) + REINSTATEMENT_DELAY;
     assert_eq!(directory.expire(stands - Duration::from_millis(1)), []);
     let changes = directory.expire(stands + Duration::from_secs(1));
     assert!(!changes.is_empty());
@@ -119,7 +119,7 @@
     directory.register(at(0), record(born(100)));
     directory.register(at(1_000), record(born(200)));
     directory.register(at(2_000), record(born(100)));
-    directory.vanish(at(5_000), &[born(100).name]);
+    directory.handle_missing(at(5_000), &[born(100).name]);
     directory.expire(at(30_000));
     assert_eq!(held(&directory), []);
 }
@@ -128,7 +128,7 @@
 fn who_was_found_gone_is_one_incarnation() {
     let mut directory = directory();
     directory.register(at(0), record(born(100)));
-    directory.proved_gone(at(1_000), &born(100));
+    directory.confirm_gone(at(1_000), &born(100));
     directory.register(at(1_500), record(born(100)));
     assert_eq!(held(&directory), []);
     directory.register(at(2_000), record(born(200)));
@@ -140,11 +140,11 @@
     let mut directory = directory();
     let unborn = UpstreamId::from("u");
     directory.register(at(0), record(unborn.clone()));
-    directory.vanish(at(1_000), &[UpstreamName("u".to_owned())]);
+    directory.handle_missing(at(1_000), &[UpstreamName("u".to_owned())]);
     let changes = directory.register(at(2_000), record(unborn.clone()));
     let registered = DirectoryChange::Registered(unborn.clone(), UpstreamState::Ready);
     assert_eq!(changes, [registered]);
-    directory.proved_gone(at(3_000), &unborn);
+    directory.confirm_gone(at(3_000), &unborn);
     directory.register(at(4_000), record(unborn));
     assert_eq!(held(&directory), []);
 }
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -11,14 +11,14 @@
     /// Time since the machine's start, the time in which it was suspended included.
     fn boot(&self) -> Duration;
     /// The same without that time.
-    fn steady(&self) -> Duration;
+    fn monotonic(&self) -> Duration;
 }
 
 /// The system's clocks.
 #[derive(Debug)]
 pub struct SystemClocks {
     boot: Cell<Duration>,
-    steady: Cell<Duration>,
+    monotonic: Cell<Duration>,
 }
 
 impl SystemClocks {
@@ -29,7 +29,7 @@
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             boot: Cell::new(read(ClockId::CLOCK_BOOTTIME)?),
-            steady: Cell::new(read(ClockId::CLOCK_MONOTONIC)?),
+            monotonic: Cell::new(read(ClockId::CLOCK_MONOTONIC)?),
         })
     }
 }
@@ -39,8 +39,8 @@
         read_again(&self.boot, ClockId::CLOCK_BOOTTIME)
     }
 
-    fn steady(&self) -> Duration {
-        read_again(&self.steady, ClockId::CLOCK_MONOTONIC)
+    fn monotonic(&self) -> Duration {
+        read_again(&self.monotonic, ClockId::CLOCK_MONOTONIC)
     }
 }
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -8,10 +8,10 @@
 //! place and given its keys away.
 //!
 //! Timers may stay steady: they end late, never early, and what is due is looked at again
-//! after each. [`SleepWatch`] tells when that is needed.
+//! after each. [`SuspendDetector`] tells when that is needed.
 
 mod boot;
 mod sleep;
 
 pub use boot::{BootClock, ClockSource, SystemClocks};
-pub use sleep::SleepWatch;
+pub use sleep::SuspendDetector;
--- a/crates/clock/src/sleep.rs
+++ b/crates/clock/src/sleep.rs
@@ -12,11 +12,11 @@
 
 /// Compares two clocks from look to look.
 #[derive(Clone, Copy, Debug)]
-pub struct SleepWatch {
+pub struct SuspendDetector {
     ahead: Duration,
 }
 
-impl SleepWatch {
+impl SuspendDetector {
     /// Compares from now on.
     pub fn new(source: &impl ClockSource) -> Self {
         // The process may be interrupted between two readings, which shows too little.
@@ -27,7 +27,7 @@
     }
 
     /// For how long the machine was suspended since the last look, if it was.
-    pub fn asleep(&mut self, source: &impl ClockSource) -> Option<Duration> {
+    pub fn suspended_for(&mut self, source: &impl ClockSource) -> Option<Duration> {
         let ahead = ahead(source);
         let asleep = ahead
             .checked_sub(self.ahead)
@@ -41,5 +41,5 @@
 /// between the two readings does not look like a suspension.
 fn ahead(source: &impl ClockSource) -> Duration {
     let boot = source.boot();
-    boot.saturating_sub(source.steady())
+    boot.saturating_sub(source.monotonic())
 }
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -1,6 +1,6 @@
 //! The process's clock where the steady one stands still.
 
-use beamtray_clock::{BootClock, ClockSource, SleepWatch, SystemClocks};
+use beamtray_clock::{BootClock, ClockSource, SuspendDetector, SystemClocks};
 use beamtray_types::Time;
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 /// A machine that runs and is suspended as told.
 #[derive(Default)]
 struct Machine {
-    steady: Cell<Duration>,
+    monotonic: Cell<Duration>,
     asleep: Cell<Duration>,
 }
 
 impl Machine {
     fn run(&self, millis: u64) {
-        let steady = self.steady.get() + Duration::from_millis(millis);
-        self.steady.set(steady);
+        let monotonic = self.monotonic.get() + Duration::from_millis(millis);
+        self.monotonic.set(monotonic);
     }
 
     fn suspend(&self, millis: u64) {
@@ -26,11 +26,11 @@
 
 impl ClockSource for &Machine {
     fn boot(&self) -> Duration {
-        self.steady.get() + self.asleep.get()
+        self.monotonic.get() + self.asleep.get()
     }
 
-    fn steady(&self) -> Duration {
-        self.steady.get()
+    fn monotonic(&self) -> Duration {
+        self.monotonic.get()
     }
 }
 
@@ -50,13 +50,13 @@
 #[test]
 fn a_suspension_is_noticed_once() {
     let machine = Machine::default();
-    let mut watch = SleepWatch::new(&&machine);
+    let mut watch = SuspendDetector::new(&&machine);
     machine.run(10_000);
-    assert_eq!(watch.asleep(&&machine), None);
+    assert_eq!(watch.suspended_for(&&machine), None);
     machine.suspend(6_000);
     machine.run(10);
-    assert_eq!(watch.asleep(&&machine), Some(Duration::from_secs(6)));
-    assert_eq!(watch.asleep(&&machine), None);
+    assert_eq!(watch.suspended_for(&&machine), Some(Duration::from_secs(6)));
+    assert_eq!(watch.suspended_for(&&machine), None);
 }
 
 /// A machine that gives its process no processor after some readings.
@@ -81,8 +81,8 @@
         self.read(|machine| machine.boot())
     }
 
-    fn steady(&self) -> Duration {
-        self.read(|machine| machine.steady())
+    fn monotonic(&self) -> Duration {
+        self.read(|machine| machine.monotonic())
     }
 }
 
@@ -90,20 +90,20 @@
 fn a_pause_between_two_readings_is_no_suspension() {
     let source = Interrupted::default();
     source.machine.run(1_000);
-    let mut watch = SleepWatch::new(&source);
+    let mut watch = SuspendDetector::new(&source);
     for pauses in [false, true, false, true, true, false] {
         source.pauses.set(pauses);
-        assert_eq!(watch.asleep(&source), None);
+        assert_eq!(watch.suspended_for(&source), None);
     }
 }
 
 #[test]
 fn the_system_has_both_clocks() {
     let clocks = SystemClocks::new().expect("both clocks can be read");
-    let watch = &mut SleepWatch::new(&clocks);
+    let watch = &mut SuspendDetector::new(&clocks);
     let clock = BootClock::start(clocks);
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(clock.now().since(before) >= Duration::from_millis(20));
-    assert_eq!(watch.asleep(clock.source()), None);
+    assert_eq!(watch.suspended_for(clock.source()), None);
 }
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -4,7 +4,7 @@
 //! A [`Dialect`] translates. It decides nothing, waits for nothing and keeps
 //! nothing.
 
-use beamtray_catalog::{Configuration, LeaveWord, RateWord, RestWord, UpstreamRecord};
+use beamtray_catalog::{AdvertisedRate, Configuration, LeavingStatus, RetryAfter, UpstreamRecord};
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use thiserror::Error;
@@ -54,7 +54,7 @@
 
 /// An answer to such a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: u16,
     /// Value of the header that hands keys over, if there is one.
@@ -93,7 +93,7 @@
     /// Tells that the upstream leaves.
     pub leaving: &'static str,
     /// How long an upstream that turned a request away wants none from the node.
-    pub rest: &'static str,
+    pub retry_after: &'static str,
 }
 
 /// Keys of the metadata store.
@@ -122,11 +122,11 @@
     fn encode_store(&self, call: &StoreCall) -> HttpCall;
 
     /// Reads the store's answer to a call.
-    fn decode_store(&self, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome;
+    fn decode_store(&self, call: &StoreCall, answer: &HttpResponse) -> StoreOutcome;
 
     /// Reads the store's era from an answer; `None` where it tells none, or none that can be
     /// read.
-    fn decode_era(&self, answer: &HttpAnswer) -> Option<StoreEra>;
+    fn decode_era(&self, answer: &HttpResponse) -> Option<StoreEra>;
 
     /// Reads a configuration.
     ///
@@ -146,15 +146,15 @@
     /// Reads an upstream's answer to an order of that kind. One that answers a
     /// client's request came late in the place of the order's answer, which is
     /// then not known.
-    fn decode_order(&self, kind: &OrderKind, answer: &HttpAnswer) -> GrantReply;
+    fn decode_order(&self, kind: &OrderKind, answer: &HttpResponse) -> GrantReply;
 
     /// Reads what an upstream's answer says of the rate that it takes, from the values of
     /// the header for it, in their order.
-    fn decode_rate(&self, values: &[&[u8]]) -> RateWord;
+    fn decode_rate(&self, values: &[&[u8]]) -> AdvertisedRate;
 
     /// Reads what an upstream's answer says of its leaving, in the same way.
-    fn decode_leaving(&self, values: &[&[u8]]) -> LeaveWord;
+    fn decode_leaving(&self, values: &[&[u8]]) -> LeavingStatus;
 
     /// Reads how long an upstream that turned a request away asks for rest, in the same way.
-    fn decode_rest(&self, values: &[&[u8]]) -> RestWord;
+    fn decode_retry_after(&self, values: &[&[u8]]) -> RetryAfter;
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -260,7 +260,7 @@
         self.divided = configuration
             .services
             .iter()
-            .map(|service| (service.name.clone(), service.divided))
+            .map(|service| (service.name.clone(), service.sharded))
             .collect();
         let services = configuration.services.iter();
         let bounded =
@@ -295,10 +295,10 @@
 
     /// Follows the directory: forgets who is gone, notes who begins to leave.
     pub fn follow(&mut self, now: Time, directory: &Directory) {
-        if self.followed == Some(directory.changes()) {
+        if self.followed == Some(directory.change_count()) {
             return;
         }
-        self.followed = Some(directory.changes());
+        self.followed = Some(directory.change_count());
         self.draining_since
             .retain(|id, _| directory.get(id).is_some());
         let known: std::collections::HashSet<UpstreamHash> = directory
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -16,7 +16,7 @@
 };
 use crate::report::UpstreamHash;
 use crate::request::{LimitFacts, RefusalReason, Ticket};
-use beamtray_catalog::{RateWord, Registration, RequestRate};
+use beamtray_catalog::{AdvertisedRate, Registration, RequestRate};
 use beamtray_types::Time;
 use rand::RngExt;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 
 impl Dispatcher {
     /// Takes what the answer to a request said of its upstream's rate, before its end.
-    pub fn rate_named(&mut self, now: Time, ticket: Ticket, word: RateWord) {
+    pub fn rate_named(&mut self, now: Time, ticket: Ticket, word: AdvertisedRate) {
         if !self.config.keeps_named_rates {
             return;
         }
--- a/crates/dispatch/src/dispatcher/pools.rs
+++ b/crates/dispatch/src/dispatcher/pools.rs
@@ -29,10 +29,10 @@
 impl Pools {
     /// Follows the directory.
     pub fn follow(&mut self, directory: &Directory) {
-        if self.made_of == Some(directory.changes()) {
+        if self.made_of == Some(directory.change_count()) {
             return;
         }
-        self.made_of = Some(directory.changes());
+        self.made_of = Some(directory.change_count());
         let mut members: HashMap<ServiceName, Vec<PoolMember>> = HashMap::new();
         self.warm_at.clear();
         let ready = |one: &&Registration| {
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -14,7 +14,7 @@
 
 use crate::rendezvous;
 use crate::report::{NodeHash, UpstreamHash};
-use beamtray_catalog::{RateWord, RequestRate};
+use beamtray_catalog::{AdvertisedRate, RequestRate};
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
 use known::KnownLimits;
@@ -323,8 +323,8 @@
     }
 
     /// Takes what an answer said of its upstream's rate.
-    pub fn named(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
-        if self.known.is_empty() && word == RateWord::Unlimited {
+    pub fn named(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: AdvertisedRate) {
+        if self.known.is_empty() && word == AdvertisedRate::Unlimited {
             return;
         }
         self.known.answered(now, upstream, sent, word);
--- a/crates/dispatch/src/rate_limit/known.rs
+++ b/crates/dispatch/src/rate_limit/known.rs
@@ -7,7 +7,7 @@
 //! and would have every node send at full pace again.
 
 use crate::report::UpstreamHash;
-use beamtray_catalog::{RateWord, RequestRate};
+use beamtray_catalog::{AdvertisedRate, RequestRate};
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{HashMap, HashSet};
@@ -114,11 +114,17 @@
     }
 
     /// Takes what the answer to a request says that was sent to an upstream then.
-    pub fn answered(&mut self, now: Time, upstream: UpstreamHash, sent: Time, word: RateWord) {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        upstream: UpstreamHash,
+        sent: Time,
+        word: AdvertisedRate,
+    ) {
         let rate = match word {
-            RateWord::Unlimited => None,
-            RateWord::Limited(rate) => Some(rate),
-            RateWord::Unreadable => {
+            AdvertisedRate::Unlimited => None,
+            AdvertisedRate::Limited(rate) => Some(rate),
+            AdvertisedRate::Unreadable => {
                 self.notices.push(LimitNotice::Unreadable { upstream });
                 return;
             }
--- a/crates/dispatch/src/rate_limit/lender.rs
+++ b/crates/dispatch/src/rate_limit/lender.rs
@@ -57,7 +57,7 @@
     /// The share of each of so many lenders.
     pub fn of(rate: RequestRate, lenders: usize) -> Self {
         let shares = lenders.max(1) as f64;
-        let each = rate.a_second().max(LEAST_RATE) / shares;
+        let each = rate.per_second().max(LEAST_RATE) / shares;
         let window = WINDOW.as_secs_f64();
         let beyond = USE_WITHIN + BURST;
         let rate = each * window / (window + beyond.as_secs_f64());
@@ -71,7 +71,7 @@
 
     /// Whether the upstream takes anything.
     fn is_closed(rate: RequestRate) -> bool {
-        rate.a_second() < LEAST_RATE
+        rate.per_second() < LEAST_RATE
     }
 }
 
--- a/crates/dispatch/src/report.rs
+++ b/crates/dispatch/src/report.rs
@@ -19,7 +19,7 @@
 impl UpstreamHash {
     /// The short name of an upstream, which another incarnation does not share.
     pub fn of(id: &UpstreamId) -> Self {
-        let birth = id.born.map_or(0, |birth| birth.0);
+        let birth = id.started_at.map_or(0, |birth| birth.0);
         Self(xxh3_64_with_seed(id.name.0.as_bytes(), birth) as u32)
     }
 }
--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -41,7 +41,10 @@
 fn node(number: usize, rate: f64) -> Dispatcher {
     let mut configuration = configuration();
     for service in &mut configuration.services {
-        service.cold_start = Some(ColdStart { lasts: LASTS, rate });
+        service.cold_start = Some(ColdStart {
+            duration: LASTS,
+            rate,
+        });
     }
     let mut dispatcher = unconfigured_as(&name(number));
     if rate < RATE {
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -45,11 +45,11 @@
 }
 
 pub fn configuration() -> Configuration {
-    let service = |name: &str, divided| ServiceConfig {
+    let service = |name: &str, sharded| ServiceConfig {
         name: name.into(),
         health_path: "/health".to_owned(),
         max_connections: 100,
-        divided,
+        sharded,
         warm_up: Duration::ZERO,
         cold_start: None,
     };
@@ -84,8 +84,8 @@
 
 pub fn directory() -> Directory {
     let mut directory = Directory::new(DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     });
     for (number, (id, service, zone)) in [
         ("near", "pool", "here"),
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -8,7 +8,7 @@
 
 mod common;
 
-use beamtray_catalog::{RateWord, RequestRate};
+use beamtray_catalog::{AdvertisedRate, RequestRate};
 use beamtray_dispatch::{
     AttemptOutcome, Conclusion, Decision, Dispatcher, LimitWord, NodeHash, PermitReply,
     PermitRequest, RefusalReason, Ticket, UpstreamHash,
@@ -32,8 +32,8 @@
     format!("node-{node}")
 }
 
-fn limited(a_second: f64) -> RateWord {
-    RateWord::Limited(RequestRate::new(a_second).expect("a rate"))
+fn limited(a_second: f64) -> AdvertisedRate {
+    AdvertisedRate::Limited(RequestRate::new(a_second).expect("a rate"))
 }
 
 /// What one node has said to another.
@@ -57,7 +57,7 @@
     is_cut: Vec<bool>,
     random: ChaCha8Rng,
     directory: beamtray_catalog::Directory,
-    word: RateWord,
+    word: AdvertisedRate,
     messages: Vec<Sent>,
     under_way: Vec<(u64, usize, Ticket)>,
     next: u64,
@@ -75,7 +75,7 @@
             is_cut: vec![false; nodes],
             random: ChaCha8Rng::seed_from_u64(seed),
             directory: directory(),
-            word: RateWord::Unlimited,
+            word: AdvertisedRate::Unlimited,
             messages: Vec::new(),
             under_way: Vec::new(),
             next: 0,
@@ -168,7 +168,7 @@
                 continue;
             }
             self.nodes[node].rate_named(now, ticket, self.word);
-            self.has_word[node] |= matches!(self.word, RateWord::Limited(_));
+            self.has_word[node] |= matches!(self.word, AdvertisedRate::Limited(_));
             let outcome = AttemptOutcome::Answered { success: true };
             self.nodes[node].ended(now, ticket, outcome);
         }
@@ -373,7 +373,7 @@
         .filter(|at| **at > NAMED_MS + 1_000)
         .count();
     assert!((1..=30).contains(&trials), "{trials} in two minutes");
-    world.word = RateWord::Unlimited;
+    world.word = AdvertisedRate::Unlimited;
     world.sent.clear();
     let begin = NAMED_MS + lasts_ms(0.0);
     for millis in begin..begin + 25_000 {
@@ -399,7 +399,7 @@
             world.word = limited(rates[millis as usize % rates.len()]);
         }
         if millis % 977 == 0 && millis > NAMED_MS {
-            world.word = RateWord::Unreadable;
+            world.word = AdvertisedRate::Unreadable;
         }
         world.step(millis, "/keyed/1", Some(7), &every(200));
     }
@@ -424,7 +424,7 @@
                 world.nodes[node].limit_told(at(millis), &word);
             }
         }
-        world.word = RateWord::Unlimited;
+        world.word = AdvertisedRate::Unlimited;
         world.step(millis, "/read/1", None, &every(250));
     }
     assert!(
@@ -450,10 +450,10 @@
     send(&mut node, 2_002, 3);
     node.rate_named(at(2_100), Ticket(1), limited(100.0));
     // It was answered before.
-    node.rate_named(at(2_101), Ticket(2), RateWord::Unlimited);
+    node.rate_named(at(2_101), Ticket(2), AdvertisedRate::Unlimited);
     assert_eq!(node.named_rate(holder), RequestRate::new(100.0));
     send(&mut node, 2_200, 4);
-    node.rate_named(at(2_300), Ticket(4), RateWord::Unlimited);
+    node.rate_named(at(2_300), Ticket(4), AdvertisedRate::Unlimited);
     assert_eq!(node.named_rate(holder), None);
     node.rate_named(at(2_301), Ticket(3), limited(100.0));
     assert_eq!(node.named_rate(holder), None);
@@ -466,7 +466,7 @@
     assert!(!node.limit_told(at(2_400), &word(RequestRate::new(5.0), 200)));
     assert!(node.limit_told(at(2_400), &word(RequestRate::new(5.0), 50)));
     // What is no rate tells nothing.
-    node.rate_named(at(2_500), Ticket(3), RateWord::Unreadable);
+    node.rate_named(at(2_500), Ticket(3), AdvertisedRate::Unreadable);
     assert_eq!(node.named_rate(holder), RequestRate::new(5.0));
 }
 
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use beamtray_catalog::{Birth, Directory, DirectoryPolicy, UpstreamId, UpstreamRecord};
+use beamtray_catalog::{Directory, DirectoryPolicy, StartTimestamp, UpstreamId, UpstreamRecord};
 use beamtray_dispatch::{
     AttemptOutcome, Conclusion, Dispatcher, Fingerprint, Quarantine, RunHash, SpeedRecord,
     Suspicion, Ticket, UnknownCause, Untouched, UpstreamHash, UpstreamSpeed,
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 fn born(birth: u64) -> UpstreamId {
-    UpstreamId::born_at("only", Birth(birth))
+    UpstreamId::with_start("only", StartTimestamp(birth))
 }
 
 fn registration(birth: u64) -> UpstreamRecord {
@@ -25,8 +25,8 @@
 /// A service with one upstream.
 fn directory() -> Directory {
     let mut directory = Directory::new(DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     });
     directory.register(at(0), registration(1));
     directory
--- a/crates/dispatch/tests/rests.rs
+++ b/crates/dispatch/tests/rests.rs
@@ -99,8 +99,8 @@
     let mut dispatcher = dispatcher();
     dispatcher.asked_to_rest(at(0), &upstream("near"), REST);
     let empty = beamtray_catalog::Directory::new(beamtray_catalog::DirectoryPolicy {
-        distrust: Duration::ZERO,
-        patience: Duration::ZERO,
+        outage_grace: Duration::ZERO,
+        reregistration_timeout: Duration::ZERO,
     });
     dispatcher.follow(at(10), &empty);
     dispatcher.expire(at(10));
@@ -108,7 +108,7 @@
     dispatcher.follow(at(20), &again);
     assert_eq!(dispatcher.resting_count(at(20)), 1);
     let mut restarted = record("near", "pool", "here", 8_000);
-    restarted.id.born = Some(beamtray_catalog::Birth(5));
+    restarted.id.started_at = Some(beamtray_catalog::StartTimestamp(5));
     again.register(at(30), restarted);
     dispatcher
         .admit(at(40), Ticket(1), &head("/read/1", None))
--- a/crates/dispatch/tests/unconfirmed.rs
+++ b/crates/dispatch/tests/unconfirmed.rs
@@ -25,10 +25,10 @@
         let port = 9_000 + number as u16;
         directory.register(at(0), record(name, "pool", "here", port));
     }
-    directory.store_troubled(at(MISSING_SINCE));
+    directory.note_store_failure(at(MISSING_SINCE));
     let names = names.iter().copied().chain(["near"]);
     let names: Vec<UpstreamName> = names.map(|name| UpstreamId::from(name).name).collect();
-    directory.vanish(at(MISSING_SINCE), &names);
+    directory.handle_missing(at(MISSING_SINCE), &names);
     directory
 }
 
@@ -63,7 +63,7 @@
 #[test]
 fn one_that_is_not_is_tried_where_no_other_has_room() {
     let mut directory = missing(&[]);
-    directory.vanish(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
+    directory.handle_missing(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
     let mut dispatcher = dispatcher();
     admit(&mut dispatcher, 1);
     let sent = sent_to(dispatcher.poll(at(MISSING_SINCE), &directory));
@@ -74,7 +74,7 @@
 #[test]
 fn it_is_tried_with_one_request_at_a_time() {
     let mut directory = missing(&[]);
-    directory.vanish(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
+    directory.handle_missing(at(MISSING_SINCE), &[UpstreamId::from("far").name]);
     let mut dispatcher = dispatcher();
     for ticket in 0..6 {
         admit(&mut dispatcher, ticket);
--- a/crates/grantsearch/src/world/faults.rs
+++ b/crates/grantsearch/src/world/faults.rs
@@ -5,7 +5,7 @@
 use crate::scope::TICK;
 use crate::transport::{HeldCopy, Place};
 use crate::upstream::Upstream;
-use beamtray_catalog::{Birth, UpstreamId};
+use beamtray_catalog::{StartTimestamp, UpstreamId};
 use std::time::Duration;
 
 /// How long an upstream that ended takes to be up again.
@@ -110,8 +110,8 @@
         let next_id = if same_id {
             self.left.restarts_same_id -= 1;
             let name = old.id.name.clone();
-            let born = Some(Birth(life.into()));
-            Some(UpstreamId { name, born })
+            let started_at = Some(StartTimestamp(life.into()));
+            Some(UpstreamId { name, started_at })
         } else {
             self.left.restarts_new_id -= 1;
             Some(upstream_id(index, life))
--- a/crates/metastore/src/call.rs
+++ b/crates/metastore/src/call.rs
@@ -197,7 +197,7 @@
 
 impl StoreOutcome {
     /// The same, as an answer of the store in that era.
-    pub fn of_era(mut self, era: StoreEra) -> Self {
+    pub fn with_era(mut self, era: StoreEra) -> Self {
         match &mut self {
             Self::Found(item) => item.revision.put_in(era),
             Self::Page { items, at, .. } => {
--- a/crates/metastore/src/election.rs
+++ b/crates/metastore/src/election.rs
@@ -48,7 +48,7 @@
     /// Its term.
     pub epoch: Epoch,
     /// Where it hears other nodes.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 /// Keys and timing of an election.
@@ -63,12 +63,12 @@
     /// Number of this run.
     pub run: u64,
     /// Where this node hears others.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The lease.
     pub lease: LeaseTiming,
     /// How long the place is left vacant before this node tries to take it;
     /// differs from node to node, so that not all try at once.
-    pub patience: Duration,
+    pub candidacy_delay: Duration,
 }
 
 /// The right to grant, to be checked right before every use.
@@ -160,7 +160,7 @@
     }
 
     /// Lets other nodes try to take a vacant place that much earlier.
-    pub fn set_handicap(&mut self, handicap: Duration) {
+    pub fn set_extra_delay(&mut self, handicap: Duration) {
         self.handicap = handicap;
     }
 
@@ -195,8 +195,8 @@
         }
         let vacant_since = self.vacant_since?;
         let waits_for_others = self.replaces == Revision::ABSENT;
-        let patience = self.config.patience + self.handicap;
-        if waits_for_others && now.since(vacant_since) < patience {
+        let candidacy_delay = self.config.candidacy_delay + self.handicap;
+        if waits_for_others && now.since(vacant_since) < candidacy_delay {
             return None;
         }
         let Some(lease) = self.keeper.lease(now) else {
@@ -246,7 +246,7 @@
                 self.place = None;
             }
             let is_predecessor =
-                record.node == self.config.node && record.peers == self.config.peers;
+                record.node == self.config.node && record.peer_address == self.config.peer_address;
             if is_predecessor && self.place.is_none() {
                 self.vacant_since = Some(now);
                 self.replaces = item.revision;
@@ -293,7 +293,7 @@
             node: self.config.node.clone(),
             run: self.config.run,
             epoch: next,
-            peers: self.config.peers,
+            peer_address: self.config.peer_address,
         };
         let condition = |key: &str, revision| Condition {
             key: key.to_owned(),
@@ -345,7 +345,7 @@
                 // The lease ended before it was used.
                 self.keeper = LeaseKeeper::new(self.config.lease);
             }
-            _ => self.retry_at = now + self.config.patience,
+            _ => self.retry_at = now + self.config.candidacy_delay,
         }
     }
 
--- a/crates/metastore/src/mirror.rs
+++ b/crates/metastore/src/mirror.rs
@@ -52,7 +52,7 @@
 impl Mirror {
     /// Revision up to which the copy is known to be whole; none before the
     /// first reading.
-    pub fn at(&self) -> Option<Revision> {
+    pub fn revision(&self) -> Option<Revision> {
         self.at
     }
 
--- a/crates/metastore/tests/election.rs
+++ b/crates/metastore/tests/election.rs
@@ -15,12 +15,12 @@
         epoch_key: "epoch".to_owned(),
         node: "node".to_owned(),
         run: 7,
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
         lease: LeaseTiming {
             ttl: TTL,
             renewal: Duration::from_millis(500),
         },
-        patience: Duration::from_millis(50),
+        candidacy_delay: Duration::from_millis(50),
     }
 }
 
@@ -130,7 +130,7 @@
         node: "node".to_owned(),
         run: 7,
         epoch: Epoch(1),
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
     };
     let seen = item("granter", borsh::to_vec(&record).expect("encodes"), 9);
     election.poll(at(1_010), Some((Some(&seen), None)));
@@ -143,7 +143,7 @@
         node: node.to_owned(),
         run: 6,
         epoch: Epoch(4),
-        peers: ([127, 0, 0, 1], port).into(),
+        peer_address: ([127, 0, 0, 1], port).into(),
     };
     item("granter", borsh::to_vec(&record).expect("encodes"), 9)
 }
@@ -197,7 +197,7 @@
         node: "node".to_owned(),
         run,
         epoch: Epoch(epoch),
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
     };
     item(
         "granter",
@@ -249,7 +249,7 @@
         node: "other".to_owned(),
         run: 3,
         epoch: Epoch(1),
-        peers: ([127, 0, 0, 2], 7_000).into(),
+        peer_address: ([127, 0, 0, 2], 7_000).into(),
     };
     let place = item("granter", borsh::to_vec(&record).expect("encodes"), 2);
     for millis in [200, 400, 1_000] {
--- a/crates/metastore/tests/mirror.rs
+++ b/crates/metastore/tests/mirror.rs
@@ -71,8 +71,8 @@
             } else {
                 mirror.apply(at, vec![StoreEvent::Put(item("a", revision.into()))]);
             }
-            let rose = mirror.at() >= last;
-            last = mirror.at();
+            let rose = mirror.revision() >= last;
+            last = mirror.revision();
             rose
         })
     }
@@ -100,14 +100,14 @@
         before.into_iter().for_each(|one| step(&mut ahead, one));
         let mut behind = ahead.clone();
         after.into_iter().for_each(|one| step(&mut ahead, one));
-        let since = behind.at().expect("read");
+        let since = behind.revision().expect("read");
         let delta = ahead.delta(since).expect("remembered");
         let removed = delta.absent.into_iter().map(|removal| StoreEvent::Removed {
             key: removal.key,
             revision: removal.revision,
         });
         let events = removed.chain(delta.present.into_iter().map(StoreEvent::Put));
-        behind.apply(ahead.at().expect("read"), events.collect());
+        behind.apply(ahead.revision().expect("read"), events.collect());
         behind.items().eq(ahead.items())
     }
     QuickCheck::new()
@@ -132,7 +132,7 @@
         mirror.apply(Revision::new(put + 1), vec![removed]);
     }
     assert!(mirror.delta(Revision::new(10)).is_none());
-    assert!(mirror.delta(mirror.at().expect("read")).is_some());
+    assert!(mirror.delta(mirror.revision().expect("read")).is_some());
 }
 
 fn later(number: u64) -> Revision {
@@ -161,7 +161,7 @@
     ];
     mirror.replace(Revision::new(100), old);
     let changes = mirror.replace(later(60), vec![item_at("a", later(55))]);
-    assert_eq!(mirror.at(), Some(later(60)));
+    assert_eq!(mirror.revision(), Some(later(60)));
     assert!(changes.contains(&MirrorChange::Absent("b".to_owned())));
     assert!(changes.contains(&MirrorChange::Present(item_at("a", later(55)))));
     let late = mirror.replace(Revision::new(120), vec![item_at("c", Revision::new(110))]);
@@ -175,7 +175,7 @@
     mirror.replace(Revision::new(100), vec![item_at("a", Revision::new(80))]);
     let put = StoreEvent::Put(item_at("c", later(101)));
     assert!(mirror.apply(later(101), vec![put]).is_empty());
-    assert_eq!(mirror.at(), Some(Revision::new(100)));
+    assert_eq!(mirror.revision(), Some(Revision::new(100)));
 }
 
 /// Guards against another node's copy of an era before that is taken for a part of this one.
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -116,9 +116,9 @@
             epoch_key: OwnKeys::EPOCH.to_owned(),
             node: config.record.name.clone(),
             run: config.record.run,
-            peers: config.record.peers,
+            peer_address: config.record.peers,
             lease: config.granter_lease,
-            patience: config.patience,
+            candidacy_delay: config.patience,
         });
         Self {
             registrar: Registrar::new(config.record.clone(), config.node_lease),
@@ -153,7 +153,7 @@
         self.registrar.set_renewal(renewal);
         let handicap = if is_relay { Duration::ZERO } else { HANDICAP };
         let weak = WEAK_HANDICAP.mul_f64((1.0 - ability).clamp(0.0, 1.0));
-        self.election.set_handicap(handicap + weak);
+        self.election.set_extra_delay(handicap + weak);
     }
 
     /// When the last call was sent that shows a sound path to the store.
@@ -190,7 +190,7 @@
     ) -> Vec<(StoreTask, StoreCall)> {
         let mirror = views.replica(ViewName::Members).mirror();
         let view = mirror
-            .at()
+            .revision()
             .filter(|at| at.era >= self.era)
             .map(|_| (mirror.get(OwnKeys::GRANTER), mirror.get(OwnKeys::EPOCH)));
         let mut calls = Vec::new();
@@ -265,7 +265,7 @@
         if term.grants.is_none() || !views.knows_upstreams() {
             return Vec::new();
         }
-        let refreshes = term.refreshes_candidates(now, views.directory.changes());
+        let refreshes = term.refreshes_candidates(now, views.directory.change_count());
         let Some(all) = &mut term.grants else {
             return Vec::new();
         };
@@ -300,10 +300,10 @@
     /// Follows where upstreams listen. An address never changes during the life of
     /// an upstream.
     fn follow_addresses(&mut self, directory: &Directory) {
-        if self.addresses_of == Some(directory.changes()) {
+        if self.addresses_of == Some(directory.change_count()) {
             return;
         }
-        self.addresses_of = Some(directory.changes());
+        self.addresses_of = Some(directory.change_count());
         for registration in directory.iter() {
             let record = &registration.record;
             if !self.addresses.contains_key(&record.id) {
@@ -330,11 +330,11 @@
         if configuration
             .services
             .iter()
-            .any(|service| service.divided && !all.contains_key(&service.name))
+            .any(|service| service.sharded && !all.contains_key(&service.name))
         {
             term.candidates_of = None;
         }
-        let divided = configuration.services.iter().filter(|s| s.divided);
+        let divided = configuration.services.iter().filter(|s| s.sharded);
         for service in divided {
             all.entry(service.name.clone()).or_insert_with(|| {
                 let mut grants = Grants::new(now, self.config.grants, epoch);
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -346,7 +346,7 @@
             let is_cold = now < registration.warm_at;
             let cold_rate = cold_start.filter(|_| is_cold).map(|cold| cold.rate);
             // Keys go on to holders with room, sooner than requests wait for permits.
-            let named_rate = dispatcher.named_rate(hash).map(RequestRate::a_second);
+            let named_rate = dispatcher.named_rate(hash).map(RequestRate::per_second);
             let rates = cold_rate.into_iter().chain(named_rate);
             Candidate {
                 id: record.id.clone(),
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -3,7 +3,7 @@
 use crate::core::node::CoreConfig;
 use crate::core::standby::{StandbyReport, StandbyState, StandbyWord};
 use crate::core::views::{Snapshot, ViewHeads, ViewName, ViewNotice, ViewRequest};
-use beamtray_catalog::{ClientLimits, RateWord, UpstreamId};
+use beamtray_catalog::{AdvertisedRate, ClientLimits, UpstreamId};
 use beamtray_dispatch::{
     Admission, Answers, AttemptOutcome, DoubtedUpstream, Ending, Forward, KeyReport, LimitNotice,
     LimitWord, LoadReport, LoadSum, PermitReply, PermitRequest, QuarantineNotice, RequestHead,
@@ -200,7 +200,7 @@
         /// How.
         outcome: AttemptOutcome,
         /// What its answer said of the rate that the upstream takes; none if none came.
-        rate: Option<RateWord>,
+        rate: Option<AdvertisedRate>,
     },
     /// An upstream said in an answer that it leaves.
     Leaves {
--- a/crates/router/src/core/node/fetch.rs
+++ b/crates/router/src/core/node/fetch.rs
@@ -37,7 +37,11 @@
     /// A holder that denies a key tells that the assignment here is old.
     pub(super) fn fetch_from_granter(&mut self, now: Time) {
         let own = self.config.control.record.peers;
-        let granter = self.views.granter.as_ref().map(|granter| granter.peers);
+        let granter = self
+            .views
+            .granter
+            .as_ref()
+            .map(|granter| granter.peer_address);
         if let Some(granter) = granter.filter(|granter| *granter != own) {
             self.fetch(now, granter, &[ViewName::State]);
         }
--- a/crates/router/src/core/node/quarantine.rs
+++ b/crates/router/src/core/node/quarantine.rs
@@ -103,7 +103,7 @@
         match liveness {
             Liveness::Ended => self.upstream_ended(now, upstream),
             // What listens may be its restart, which its registration tells soon.
-            Liveness::Listens if upstream.born.is_some() => {}
+            Liveness::Listens if upstream.started_at.is_some() => {}
             Liveness::Listens => {
                 let hash = UpstreamHash::of(upstream);
                 self.dispatcher.quarantine_mut().upstream_lives(hash);
--- a/crates/router/src/core/node/rests.rs
+++ b/crates/router/src/core/node/rests.rs
@@ -24,7 +24,7 @@
         if self.control.is_granter(now) {
             self.take_rest_notice(now, &notice);
         } else if let Some(granter) = &self.views.granter {
-            let peers = vec![granter.peers];
+            let peers = vec![granter.peer_address];
             self.outputs
                 .push(Output::Send(Datagram::Rest(notice), peers));
         }
--- a/crates/router/src/core/node/standby.rs
+++ b/crates/router/src/core/node/standby.rs
@@ -48,7 +48,7 @@
         let Some(granter) = &self.views.granter else {
             return;
         };
-        let address = granter.peers;
+        let address = granter.peer_address;
         let report = self.standby.report(now, &self.views.assignments, changed);
         if let Some(report) = report {
             let datagram = Datagram::StandbyReport(report);
@@ -61,7 +61,7 @@
         let granter = self.views.granter.as_ref();
         let is_heard = granter.is_some_and(|granter| {
             self.membership
-                .is_heard(now, &granter.peers, GRANTER_SILENCE)
+                .is_heard(now, &granter.peer_address, GRANTER_SILENCE)
         });
         let is_heard = is_heard || self.control.is_granter(now);
         let sound_at = self.control.store_sound_at();
--- a/crates/router/src/core/node/store_path.rs
+++ b/crates/router/src/core/node/store_path.rs
@@ -58,7 +58,7 @@
             .trouble_at
             .is_some_and(|at| now.since(at) < TROUBLE_TOLD);
         if (is_answered && !had_trouble) || self.views.relays.any_untroubled(now) {
-            self.views.directory.store_is_sound(now);
+            self.views.directory.note_store_healthy(now);
         }
     }
 
@@ -72,7 +72,7 @@
             self.path_failed = true;
             if !matches!(task, StoreTask::View(..)) {
                 self.trouble_at = Some(now);
-                self.views.directory.store_troubled(now);
+                self.views.directory.note_store_failure(now);
             }
             return;
         }
--- a/crates/router/src/core/node/talk.rs
+++ b/crates/router/src/core/node/talk.rs
@@ -134,7 +134,7 @@
         if self.control.is_granter(now) {
             self.control.report(&report);
         } else if let Some(granter) = &self.views.granter {
-            let peers = vec![granter.peers];
+            let peers = vec![granter.peer_address];
             self.outputs
                 .push(Output::Send(Datagram::Keys(report), peers));
         }
--- a/crates/router/src/core/replica.rs
+++ b/crates/router/src/core/replica.rs
@@ -149,7 +149,7 @@
             return None;
         }
         self.pending = true;
-        Some(match (&self.phase, self.mirror.at()) {
+        Some(match (&self.phase, self.mirror.revision()) {
             (Phase::Watching, Some(after)) => StoreCall::Watch {
                 prefix: self.prefix.clone(),
                 after,
@@ -178,7 +178,7 @@
 
     /// Whether a change of that revision has passed this replica by.
     pub fn lacks(&self, revision: Revision) -> bool {
-        revision > self.latest && self.mirror.at().is_none_or(|at| revision > at)
+        revision > self.latest && self.mirror.revision().is_none_or(|at| revision > at)
     }
 
     /// Gives up on the call under way: it may wait on a path that is dead.
@@ -259,7 +259,9 @@
     /// Whether the store has begun another era since this copy was filled: the revision
     /// that a watch began at may be another state by now.
     fn is_of_other_era(&self, at: Revision) -> bool {
-        self.mirror.at().is_none_or(|known| known.era != at.era)
+        self.mirror
+            .revision()
+            .is_none_or(|known| known.era != at.era)
     }
 
     /// Tries again at once what has failed: the store answers other calls.
@@ -276,7 +278,7 @@
         let StoreOutcome::Events { events, at } = outcome else {
             return Vec::new();
         };
-        if events.is_empty() || self.mirror.at().is_none() {
+        if events.is_empty() || self.mirror.revision().is_none() {
             return Vec::new();
         }
         for event in &events {
@@ -358,7 +360,7 @@
             is_whole,
             ..
         } = snapshot;
-        if self.mirror.at().is_some_and(|known| at <= known) {
+        if self.mirror.revision().is_some_and(|known| at <= known) {
             return Vec::new();
         }
         self.phase = Phase::Watching;
--- a/crates/router/src/core/views.rs
+++ b/crates/router/src/core/views.rs
@@ -151,7 +151,11 @@
     /// relays time to tell it.
     pub fn follow(&mut self, now: Time, is_relay: bool) {
         self.relays.expire(now);
-        let known = self.replica(ViewName::Members).mirror().at().is_some();
+        let known = self
+            .replica(ViewName::Members)
+            .mirror()
+            .revision()
+            .is_some();
         let since = match self.members_since {
             Some(since) => since,
             None if known => *self.members_since.insert(now),
@@ -190,7 +194,7 @@
     /// Whether neither the store nor a relay keeps some view up.
     pub fn is_troubled(&self, now: Time) -> bool {
         let watched = [ViewName::Operator, ViewName::Upstreams, ViewName::Members];
-        let unknown = |view: &ViewName| self.replica(*view).mirror().at().is_none();
+        let unknown = |view: &ViewName| self.replica(*view).mirror().revision().is_none();
         if !self.follows && self.relays.any(now) {
             return watched.iter().any(unknown);
         }
@@ -199,7 +203,10 @@
 
     /// Whether the registrations of upstreams were read.
     pub fn knows_upstreams(&self) -> bool {
-        self.replica(ViewName::Upstreams).mirror().at().is_some()
+        self.replica(ViewName::Upstreams)
+            .mirror()
+            .revision()
+            .is_some()
     }
 
     /// Whether enough is known to serve.
@@ -209,7 +216,7 @@
 
     /// The call that is due for a view.
     pub fn poll(&mut self, now: Time, view: ViewName) -> Option<StoreCall> {
-        let known = self.replica(view).mirror().at().is_some();
+        let known = self.replica(view).mirror().revision().is_some();
         let is_due = match view {
             ViewName::Members if !known => self.reads_members(now),
             _ if self.members_since.is_none() => false,
@@ -343,13 +350,13 @@
 
     /// Drops an upstream that was found gone.
     pub fn proved_gone(&mut self, now: Time, id: &UpstreamId) {
-        let change = self.directory.proved_gone(now, id);
+        let change = self.directory.confirm_gone(now, id);
         self.note_directory(change);
     }
 
     /// Takes an upstream's word that it leaves; whether that was news.
     pub fn says_it_leaves(&mut self, now: Time, id: &UpstreamId) -> bool {
-        let change = self.directory.says_it_leaves(now, id);
+        let change = self.directory.mark_leaving(now, id);
         let is_news = change.is_some();
         self.note_directory(change);
         is_news
--- a/crates/router/src/core/views/apply.rs
+++ b/crates/router/src/core/views/apply.rs
@@ -62,7 +62,7 @@
         let warm_up = |service: &ServiceName| {
             let service = configuration.and_then(|known| known.service(service));
             let cold_start = service.and_then(|service| service.cold_start);
-            cold_start.map_or(Duration::ZERO, |cold_start| cold_start.lasts)
+            cold_start.map_or(Duration::ZERO, |cold_start| cold_start.duration)
         };
         let change = self.directory.readmit(now, zone.into(), warm_up);
         self.note_directory(change);
@@ -168,7 +168,7 @@
         });
         let names: Vec<UpstreamName> = absent.map(|name| UpstreamName(name.to_owned())).collect();
         if !names.is_empty() {
-            let changes = self.directory.vanish(now, &names);
+            let changes = self.directory.handle_missing(now, &names);
             self.note_directory(changes);
         }
     }
--- a/crates/router/src/core/views/exchange.rs
+++ b/crates/router/src/core/views/exchange.rs
@@ -88,7 +88,7 @@
         if self
             .granter
             .as_ref()
-            .is_some_and(|granter| granter.peers == from)
+            .is_some_and(|granter| granter.peer_address == from)
         {
             self.granter_heard = Some(now);
         }
@@ -128,7 +128,7 @@
         let trouble_age = contact.trouble_age();
         self.relays.hear(now, from, contact.age(), trouble_age);
         if let Some(age) = trouble_age {
-            self.directory.store_troubled(now - age);
+            self.directory.note_store_failure(now - age);
         }
     }
 
@@ -136,7 +136,7 @@
     pub fn request(&self, views: &[ViewName]) -> ViewRequest {
         let wanted = views.iter().map(|view| WantedView {
             view: *view,
-            at: self.replica(*view).mirror().at(),
+            at: self.replica(*view).mirror().revision(),
         });
         ViewRequest {
             wanted: wanted.collect(),
@@ -152,7 +152,7 @@
     fn snapshot(&self, wanted: &WantedView) -> Option<Snapshot> {
         let mirror = self.replica(wanted.view).mirror();
         let newer = |at: &Revision| wanted.at.is_none_or(|theirs| theirs < *at);
-        let at = mirror.at().filter(newer)?;
+        let at = mirror.revision().filter(newer)?;
         let delta = wanted.at.and_then(|theirs| mirror.delta(theirs));
         let is_whole = delta.is_none();
         let delta = delta.unwrap_or_else(|| MirrorDelta {
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -113,8 +113,8 @@
     fn directory_policy(&self) -> DirectoryPolicy {
         let contact = Duration::from_millis(self.bounds.contact_ms.max(500));
         DirectoryPolicy {
-            distrust: contact / 6,
-            patience: contact * 53 / 100,
+            outage_grace: contact / 6,
+            reregistration_timeout: contact * 53 / 100,
         }
     }
 
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -4,7 +4,7 @@
 use crate::shell::answer::strip_connection_headers;
 use crate::shell::connections::{Answer, CallFailure, CallProgress};
 use crate::shell::handle::{AnswerBody, Shared, Step};
-use beamtray_catalog::{LeaveWord, RateWord, RestWord};
+use beamtray_catalog::{AdvertisedRate, LeavingStatus, RetryAfter};
 use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, Ticket, UnknownCause, Untouched};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -34,7 +34,7 @@
     /// Set when an upstream of another name answered at the upstream's address.
     replaced: bool,
     /// What the upstream's answer said of the rate that it takes.
-    rate: Option<RateWord>,
+    rate: Option<AdvertisedRate>,
     /// Whether the upstream's answer said that it leaves.
     leaves: bool,
     /// How long it asked this node for rest.
@@ -240,9 +240,9 @@
         .dialect
         .decode_leaving(&values(headers, names.leaving))
     {
-        LeaveWord::Leaves => true,
-        LeaveWord::Stays => false,
-        LeaveWord::Unreadable => {
+        LeavingStatus::Leaving => true,
+        LeavingStatus::NotLeaving => false,
+        LeavingStatus::Unreadable => {
             shared
                 .observer
                 .word_unreadable(&forward.upstream, "leaving");
@@ -261,11 +261,11 @@
         return None;
     }
     let names = shared.dialect.headers();
-    let values = values(&answer.head.headers, names.rest);
-    match shared.dialect.decode_rest(&values) {
-        RestWord::Rest(rest) => Some(rest),
-        RestWord::Unsaid => None,
-        RestWord::Unreadable => {
+    let values = values(&answer.head.headers, names.retry_after);
+    match shared.dialect.decode_retry_after(&values) {
+        RetryAfter::Delay(rest) => Some(rest),
+        RetryAfter::Unspecified => None,
+        RetryAfter::Unreadable => {
             shared.observer.word_unreadable(&forward.upstream, "rest");
             None
         }
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -3,7 +3,7 @@
 use crate::core::{GRANT_TIMEOUT, Input, OrderTask, StoreTask};
 use crate::shell::connections::{Answer, CallFailure, CallProgress, Connections};
 use crate::shell::handle::Shared;
-use beamtray_dialect::{CallMethod, HttpAnswer, HttpCall};
+use beamtray_dialect::{CallMethod, HttpCall, HttpResponse};
 use beamtray_metastore::{StoreCall, StoreOutcome};
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use beamtray_types::Time;
@@ -59,7 +59,7 @@
 /// What an answer of the store says. The core is told of a new era before.
 ///
 /// One of an older era came late: what it says has been taken back.
-fn judge(shared: &Shared, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome {
+fn judge(shared: &Shared, call: &StoreCall, answer: &HttpResponse) -> StoreOutcome {
     let known = shared.store_era.get();
     let era = match shared.dialect.decode_era(answer) {
         Some(era) if known.is_some_and(|known| era < known) => return StoreOutcome::Unknown,
@@ -75,7 +75,7 @@
         shared.store_era.set(Some(era));
         shared.input(Input::StoreEra(era));
     }
-    shared.dialect.decode_store(call, answer).of_era(era)
+    shared.dialect.decode_store(call, answer).with_era(era)
 }
 
 /// Gives an order and tells the core how it went.
@@ -171,7 +171,7 @@
     address: SocketAddr,
     call: HttpCall,
     progress: &CallProgress,
-) -> Result<HttpAnswer, CallFailure> {
+) -> Result<HttpResponse, CallFailure> {
     let request = request(address, call).map_err(|_| CallFailure::Unsent)?;
     let answer = connections.call(address, request, progress).await?;
     let read = read(shared, &answer);
@@ -207,13 +207,13 @@
     builder.body(Full::new(Bytes::from(call.body)))
 }
 
-fn read(shared: &Shared, answer: &Answer) -> HttpAnswer {
+fn read(shared: &Shared, answer: &Answer) -> HttpResponse {
     let names = shared.dialect.headers();
     let header = |name| {
         let value = answer.head.headers.get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
-    HttpAnswer {
+    HttpResponse {
         status: answer.head.status.as_u16(),
         handover: header(names.handover),
         request_id: header(names.request_id),
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -15,7 +15,7 @@
             return Ok(());
         };
         serializer.emit_u32("limited_by", facts.upstream.0)?;
-        let rate = facts.rate.map_or(f64::INFINITY, |rate| rate.a_second());
+        let rate = facts.rate.map_or(f64::INFINITY, |rate| rate.per_second());
         serializer.emit_f64("a_second", rate)?;
         serializer.emit_u64("next_in_ms", facts.next_in.as_millis() as u64)?;
         serializer.emit_u64("room_in_ms", facts.room_in.as_millis() as u64)
@@ -34,7 +34,7 @@
         let name = upstream.map_or("-", |upstream| upstream.name.0.as_str());
         match notice {
             LimitNotice::Limited { rate, is_own, .. } => {
-                info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.a_second(),
+                info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.per_second(),
                     "heard_from" => heard_from(is_own), left_out);
             }
             LimitNotice::Ended { is_own, .. } => {
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -185,7 +185,7 @@
         .map(|wanted| {
             let replica = views.replica(wanted.view);
             CopyState {
-                at: replica.mirror().at(),
+                at: replica.mirror().revision(),
                 latest: replica.latest(),
             }
         })
--- a/crates/router/src/shell/process.rs
+++ b/crates/router/src/shell/process.rs
@@ -10,7 +10,7 @@
 use crate::shell::outputs::carry_out;
 use crate::shell::{clients, peers, readiness, reload};
 use beamtray_catalog::ClientLimits;
-use beamtray_clock::{BootClock, SleepWatch, SystemClocks};
+use beamtray_clock::{BootClock, SuspendDetector, SystemClocks};
 use beamtray_dialect::Dialect;
 use slog::{Logger, info};
 use stakker::{Fwd, Stakker, actor, ret_nop};
@@ -183,9 +183,9 @@
 /// Lets the actor work after each batch of events and when something is due.
 async fn turns(shared: Rc<Shared>, turn: Rc<Turn>, mut stakker: Stakker) {
     let mut ticked = None;
-    let mut sleep_watch = SleepWatch::new(shared.clock.source());
+    let mut sleep_watch = SuspendDetector::new(shared.clock.source());
     loop {
-        if let Some(asleep) = sleep_watch.asleep(shared.clock.source()) {
+        if let Some(asleep) = sleep_watch.suspended_for(shared.clock.source()) {
             wake(&shared, asleep);
         }
         turn.now.set(shared.now());
--- a/crates/router/tests/foreign_entries.rs
+++ b/crates/router/tests/foreign_entries.rs
@@ -40,7 +40,7 @@
         name: service.into(),
         health_path: "/health".to_owned(),
         max_connections: 9,
-        divided: false,
+        sharded: false,
         warm_up: Duration::ZERO,
         cold_start: None,
     };
@@ -83,8 +83,8 @@
     /// A node that has read an empty store.
     fn new() -> Self {
         let policy = DirectoryPolicy {
-            distrust: Duration::from_millis(500),
-            patience: Duration::from_millis(1_600),
+            outage_grace: Duration::from_millis(500),
+            reregistration_timeout: Duration::from_millis(1_600),
         };
         let mut views = Views::new(Rc::new(Platform), policy, Duration::from_secs(8));
         for view in ViewName::ALL {
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -214,8 +214,8 @@
 
 fn views() -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     let mut views = Views::new(Rc::new(Platform), policy, Duration::from_secs(8));
     for view in ViewName::ALL {
@@ -286,7 +286,7 @@
         node: "other".to_owned(),
         run: 1,
         epoch: Epoch(4),
-        peers: record.peers,
+        peer_address: record.peers,
     };
     let [key, other] = [OwnKeys::node("other"), OwnKeys::node("third")];
     let encoded = borsh::to_vec(&record).expect("in memory");
--- a/crates/router/tests/removals_by_reading.rs
+++ b/crates/router/tests/removals_by_reading.rs
@@ -37,8 +37,8 @@
 
 fn views(dialect: &SimDialect) -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     Views::new(Rc::new(dialect.clone()), policy, Duration::from_secs(8))
 }
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -1,6 +1,6 @@
 //! What a node does when an upstream starts again under its name.
 
-use beamtray_catalog::{Birth, UpstreamId, UpstreamRecord, UpstreamState};
+use beamtray_catalog::{StartTimestamp, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
 use beamtray_dispatch::{
     AttemptOutcome, Fingerprint, Fingerprints, QuarantineNotice, RequestHead, Ticket, UnknownCause,
@@ -25,7 +25,7 @@
 }
 
 fn born(birth: u64) -> UpstreamId {
-    UpstreamId::born_at("u-1", Birth(birth))
+    UpstreamId::with_start("u-1", StartTimestamp(birth))
 }
 
 struct Node {
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -51,7 +51,7 @@
     // Doubt about a missing registration ends before a node that was cut off
     // counts as connected.
     let noticed = Duration::from_millis(900);
-    let doubt = noticed + core.directory.distrust + core.directory.patience;
+    let doubt = noticed + core.directory.outage_grace + core.directory.reregistration_timeout;
     assert!(doubt <= Duration::from_millis(3_000));
 }
 
--- a/crates/router/tests/short_lived_entries.rs
+++ b/crates/router/tests/short_lived_entries.rs
@@ -23,8 +23,8 @@
 /// Has read a view that is empty at revision 10, and watches it.
 fn watching(dialect: &SimDialect, view: ViewName) -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     let dialect = Rc::new(dialect.clone());
     let mut views = Views::new(dialect, policy, Duration::from_secs(8));
--- a/crates/router/tests/views.rs
+++ b/crates/router/tests/views.rs
@@ -19,8 +19,8 @@
 
 fn views() -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     let dialect = Rc::new(SimDialect::default());
     Views::new(dialect, policy, Duration::from_secs(8))
@@ -102,7 +102,7 @@
     };
     views.handle(at(200), ViewName::Upstreams, 0, outcome);
     assert_eq!(
-        views.replica(ViewName::Upstreams).mirror().at(),
+        views.replica(ViewName::Upstreams).mirror().revision(),
         Some(Revision::new(10))
     );
 }
@@ -141,7 +141,7 @@
     let snapshots = ahead.answer(&behind.request(&ViewName::ALL));
     assert_eq!(snapshots.len(), 1);
     behind.adopt(at(200), snapshots);
-    let members = |views: &Views| views.replica(ViewName::Members).mirror().at();
+    let members = |views: &Views| views.replica(ViewName::Members).mirror().revision();
     assert_eq!(members(&behind), Some(Revision::new(15)));
     assert!(ahead.answer(&behind.request(&ViewName::ALL)).is_empty());
     assert!(behind.answer(&ahead.request(&ViewName::ALL)).is_empty());
@@ -266,7 +266,7 @@
     };
     views.handle(at(500), ViewName::Members, 0, late);
     let mirror = views.replica(ViewName::Members).mirror();
-    assert_eq!(mirror.at(), Some(Revision::new(12)));
+    assert_eq!(mirror.revision(), Some(Revision::new(12)));
     // The watch that was sent instead is still under way.
     assert!(views.poll(at(500), ViewName::Members).is_some());
     assert!(views.poll(at(510), ViewName::Members).is_none());
--- a/crates/routersim/src/check/rate_limit.rs
+++ b/crates/routersim/src/check/rate_limit.rs
@@ -96,7 +96,7 @@
         };
         let counted = arrivals.iter().filter(|(_, sender)| counts(sender));
         let count = counted.count();
-        let allowed = limited.rate.a_second() * WINDOW.as_secs_f64() * OVERAGE + SLACK;
+        let allowed = limited.rate.per_second() * WINDOW.as_secs_f64() * OVERAGE + SLACK;
         if count as f64 > allowed {
             let rate = limited.rate;
             let text = format!("{upstream} takes {rate} a second and got {count} in 4 s");
--- a/crates/routersim/src/dialect.rs
+++ b/crates/routersim/src/dialect.rs
@@ -1,9 +1,9 @@
 //! Values of the emulated store: numbers of entries in a shared list, so that
 //! the world needs no format of its own.
 
-use beamtray_catalog::{Configuration, LeaveWord, RateWord, RestWord, UpstreamRecord};
+use beamtray_catalog::{AdvertisedRate, Configuration, LeavingStatus, RetryAfter, UpstreamRecord};
 use beamtray_dialect::{
-    CallMethod, Dialect, DialectError, HeaderNames, HttpAnswer, HttpCall, StoreKeys,
+    CallMethod, Dialect, DialectError, HeaderNames, HttpCall, HttpResponse, StoreKeys,
 };
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
@@ -22,7 +22,7 @@
     store_era: "era",
     rate_limit: "rate-limit",
     leaving: "leaving",
-    rest: "rest",
+    retry_after: "rest",
 };
 
 const KEYS: StoreKeys = StoreKeys {
@@ -102,11 +102,11 @@
         unused()
     }
 
-    fn decode_store(&self, _: &StoreCall, _: &HttpAnswer) -> StoreOutcome {
+    fn decode_store(&self, _: &StoreCall, _: &HttpResponse) -> StoreOutcome {
         StoreOutcome::Unknown
     }
 
-    fn decode_era(&self, _: &HttpAnswer) -> Option<StoreEra> {
+    fn decode_era(&self, _: &HttpResponse) -> Option<StoreEra> {
         None
     }
 
@@ -126,19 +126,19 @@
         unused()
     }
 
-    fn decode_order(&self, _: &OrderKind, _: &HttpAnswer) -> GrantReply {
+    fn decode_order(&self, _: &OrderKind, _: &HttpResponse) -> GrantReply {
         GrantReply::Unanswered
     }
 
-    fn decode_rate(&self, _: &[&[u8]]) -> RateWord {
-        RateWord::Unlimited
+    fn decode_rate(&self, _: &[&[u8]]) -> AdvertisedRate {
+        AdvertisedRate::Unlimited
     }
 
-    fn decode_leaving(&self, _: &[&[u8]]) -> LeaveWord {
-        LeaveWord::Stays
+    fn decode_leaving(&self, _: &[&[u8]]) -> LeavingStatus {
+        LeavingStatus::NotLeaving
     }
 
-    fn decode_rest(&self, _: &[&[u8]]) -> RestWord {
-        RestWord::Unsaid
+    fn decode_retry_after(&self, _: &[&[u8]]) -> RetryAfter {
+        RetryAfter::Unspecified
     }
 }
--- a/crates/routersim/src/world.rs
+++ b/crates/routersim/src/world.rs
@@ -433,14 +433,14 @@
             weight: 1,
         }],
     };
-    let service = |name: &str, divided| ServiceConfig {
+    let service = |name: &str, sharded| ServiceConfig {
         name: ServiceName::from(name),
         health_path: "/health".to_owned(),
         max_connections: 100,
-        divided,
+        sharded,
         warm_up: Duration::from_secs(2),
         cold_start: Some(ColdStart {
-            lasts: COLD_START,
+            duration: COLD_START,
             rate: COLD_RATE,
         }),
     };
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -130,7 +130,7 @@
         waits_for_doubt: off != Some(Guard::DoubtWait),
     };
     if off == Some(Guard::ShortDoubt) {
-        config.directory.patience = CONTACT * 3;
+        config.directory.reregistration_timeout = CONTACT * 3;
     }
     config
 }
--- a/crates/routersim/src/world/stores.rs
+++ b/crates/routersim/src/world/stores.rs
@@ -227,7 +227,7 @@
         if !matches!(outcome, StoreOutcome::Unknown) {
             self.input(node, run, Input::StoreEra(era));
         }
-        let outcome = outcome.of_era(era);
+        let outcome = outcome.with_era(era);
         self.input(node, run, Input::Store { task, outcome });
     }
 
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -6,7 +6,9 @@
 use crate::check::COLD_START;
 use crate::check::Sender;
 use crate::fault::CutFrom;
-use beamtray_catalog::{Birth, RateWord, RequestRate, UpstreamId, UpstreamState as Announced};
+use beamtray_catalog::{
+    AdvertisedRate, RequestRate, StartTimestamp, UpstreamId, UpstreamState as Announced,
+};
 use beamtray_dispatch::{AttemptOutcome, Forward, Ticket, UnknownCause, Untouched};
 use beamtray_emulator::{
     Arrival, FullPolicy, Run as WorkRun, RunId, UpstreamConfig, UpstreamEmulator, WorkRequest,
@@ -50,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub upstream: UpstreamId,
-    pub rate: RateWord,
+    pub rate: AdvertisedRate,
     /// Whether the upstream leaves.
     pub leaves: bool,
     /// The rest that it asks for.
@@ -147,7 +149,7 @@
             self.upstream_state[index].cold_until = self.now + COLD_START;
         }
         let mut id = UpstreamId::from(format!("u{index}-{named}"));
-        id.born = tells_birth(index).then_some(Birth(self.now.0 / 1_000));
+        id.started_at = tells_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
         let divided = index < self.config.keyed;
         let slowness_percent = [70, 100, 160][self.random.random_range(0..3)];
         self.upstreams[index] = Some(UpstreamEmulator::new(UpstreamConfig {
@@ -310,7 +312,7 @@
             return;
         }
         let sender = Sender { node, run };
-        if matches!(answer.rate, RateWord::Limited(_)) {
+        if matches!(answer.rate, AdvertisedRate::Limited(_)) {
             self.checkers.told_rate(self.now, &answer.upstream, sender);
         }
         if answer.leaves {
@@ -557,7 +559,7 @@
         let rest = state.rest.filter(|_| outcome == TURNED_AWAY);
         let answer = present.map(|upstream| Answer {
             upstream: upstream.config.id.clone(),
-            rate: rate.map_or(RateWord::Unlimited, RateWord::Limited),
+            rate: rate.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited),
             leaves,
             rest,
         });
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use beamtray_catalog::{Birth, UpstreamId};
+use beamtray_catalog::{StartTimestamp, UpstreamId};
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
     AssignmentRecord, Candidate, GrantOrder, GrantReply, Granter, KeyRange, OrderKind, SliceState,
@@ -162,7 +162,7 @@
 
 fn born(birth: u64) -> Candidate {
     Candidate {
-        id: UpstreamId::born_at("a", Birth(birth)),
+        id: UpstreamId::with_start("a", StartTimestamp(birth)),
         ..ready("", None)
     }
 }
--- a/crates/sharding/tests/restarts.rs
+++ b/crates/sharding/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use beamtray_catalog::{Birth, UpstreamId};
+use beamtray_catalog::{StartTimestamp, UpstreamId};
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
     AssignmentRecord, Candidate, FencingToken, GrantOrder, GrantReply, Granter, KeyRange,
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 fn born(birth: u64) -> UpstreamId {
-    UpstreamId::born_at("restarts", Birth(birth))
+    UpstreamId::with_start("restarts", StartTimestamp(birth))
 }
 
 fn candidate(id: UpstreamId) -> Candidate {
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -64,11 +64,11 @@
             weight: 1,
         }],
     };
-    let service = |name: &str, divided| ServiceConfig {
+    let service = |name: &str, sharded| ServiceConfig {
         name: name.into(),
         health_path: "/health".to_owned(),
         max_connections: 200,
-        divided,
+        sharded,
         warm_up: Duration::ZERO,
         cold_start: None,
     };
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -274,7 +274,11 @@
     fn ask_for_rest(&self, id: &str, rest_ms: u32) -> Answer {
         let mut response = self.not_executed(503);
         let seconds = f64::from(rest_ms) / 1e3;
-        self.sign(&mut response, Platform.headers().rest, &seconds.to_string());
+        self.sign(
+            &mut response,
+            Platform.headers().retry_after,
+            &seconds.to_string(),
+        );
         self.reporter.tell(Observation::AskedForRest {
             id: id.to_owned(),
             rest_ms,
