--- a/crates/catalog/src/directory.rs
+++ b/crates/catalog/src/directory.rs
@@ -11,7 +11,7 @@
 //! must not send to upstreams that left meanwhile once it counts as connected.
 
 use crate::evacuation::Evacuations;
-use crate::incarnations::{Appearance, Incarnations};
+use crate::incarnations::{Incarnations, Observation};
 use crate::upstream::{UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
 use beamtray_types::{ServiceName, Time, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,12 +21,12 @@
 
 /// Part of all registrations, in percent, that do not vanish together unless
 /// something is wrong with the store.
-const MANY_PERCENT: usize = 40;
+const MASS_LOSS_PERCENT: usize = 40;
 
 /// How long late writes of an upstream that was found gone are expected.
-const REMEMBER_GONE: Duration = Duration::from_secs(120);
+const GONE_RETENTION: Duration = Duration::from_secs(120);
 /// Between looks for upstreams that need not be remembered any more.
-const FORGET_PAUSE: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Timing of a directory.
 #[derive(Clone, Copy, Debug)]
@@ -84,14 +84,14 @@
     policy: DirectoryPolicy,
     upstreams: BTreeMap<UpstreamId, Registration>,
     /// Counts the changes: who keeps an index of its own follows it by this.
-    changes: u64,
+    change_count: u64,
     /// Upstreams that are unconfirmed.
     unconfirmed: BTreeSet<UpstreamId>,
-    forget_at: Time,
-    store_trouble: Option<Time>,
+    next_cleanup: Time,
+    last_store_failure: Option<Time>,
     /// When some node was last known to have the store's answers to all of its calls. It is
     /// judged anew at each time at which registrations vanish.
-    store_sound: Option<Time>,
+    last_store_healthy: Option<Time>,
     /// Upstreams that were found gone, and when.
     gone: BTreeMap<UpstreamId, Time>,
     /// Upstreams that said in answers or in their entries that they leave, and when that was
@@ -110,11 +110,11 @@
         Self {
             policy,
             upstreams: BTreeMap::new(),
-            changes: 0,
+            change_count: 0,
             unconfirmed: BTreeSet::new(),
-            forget_at: Time::ZERO,
-            store_trouble: None,
-            store_sound: None,
+            next_cleanup: Time::ZERO,
+            last_store_failure: None,
+            last_store_healthy: None,
             gone: BTreeMap::new(),
             leaving: BTreeMap::new(),
             evacuations: Evacuations::default(),
@@ -125,7 +125,7 @@
     /// Number of changes so far; an index that was made at this number is still
     /// right.
     pub fn change_count(&self) -> u64 {
-        self.changes
+        self.change_count
     }
 
     /// Puts another timing in force.
@@ -136,13 +136,13 @@
     /// Notes that the store failed to answer at that time, or said that it lost
     /// history.
     pub fn note_store_failure(&mut self, at: Time) {
-        self.store_trouble = self.store_trouble.max(Some(at));
+        self.last_store_failure = self.last_store_failure.max(Some(at));
     }
 
     /// Notes that some node has the answers to all of its calls. Trouble that others have
     /// with the store is then their path's: leases did not run out for lack of a store.
     pub fn note_store_healthy(&mut self, at: Time) {
-        self.store_sound = self.store_sound.max(Some(at));
+        self.last_store_healthy = self.last_store_healthy.max(Some(at));
     }
 
     /// Takes a registration. One of an upstream that was found gone, or that has started
@@ -155,15 +155,15 @@
         if self.gone.contains_key(&record.id) {
             return Vec::new();
         }
-        match self.incarnations.appears(now, &record) {
-            Appearance::Current => self.admit(now, record).into_iter().collect(),
-            Appearance::RestartOf(earlier) => self.restarted(now, earlier, record),
-            Appearance::Replaced => Vec::new(),
+        match self.incarnations.observe_entry(now, &record) {
+            Observation::Current => self.insert(now, record).into_iter().collect(),
+            Observation::RestartOf(earlier) => self.replace_incarnation(now, earlier, record),
+            Observation::Replaced => Vec::new(),
         }
     }
 
     /// Lets an incarnation take the place of the one before.
-    fn restarted(
+    fn replace_incarnation(
         &mut self,
         now: Time,
         earlier: UpstreamId,
@@ -178,12 +178,12 @@
             later,
             address,
         };
-        let admitted = self.admit(now, record);
-        let changes = [removed, Some(restarted), admitted].into_iter();
+        let inserted = self.insert(now, record);
+        let changes = [removed, Some(restarted), inserted].into_iter();
         changes.flatten().collect()
     }
 
-    fn admit(&mut self, now: Time, mut record: UpstreamRecord) -> Option<DirectoryChange> {
+    fn insert(&mut self, now: Time, mut record: UpstreamRecord) -> Option<DirectoryChange> {
         if record.state == UpstreamState::Draining {
             self.leaving.entry(record.id.clone()).or_insert(now);
         } else if self.leaving.contains_key(&record.id) {
@@ -194,7 +194,7 @@
         let warm_at = cold_until.max(now + record.warm_up_left);
         let changed = known.is_none_or(|known| known.record.state != record.state);
         let change = DirectoryChange::Registered(record.id.clone(), record.state);
-        self.changes += 1;
+        self.change_count += 1;
         self.unconfirmed.remove(&record.id);
         self.upstreams.insert(
             record.id.clone(),
@@ -213,7 +213,7 @@
         if !self.evacuations.begin(now, zone.clone()) {
             return None;
         }
-        self.changes += 1;
+        self.change_count += 1;
         Some(DirectoryChange::Evacuated(zone))
     }
 
@@ -233,7 +233,7 @@
             registration.cold_until = now + warm_up(&registration.record.service);
             registration.warm_at = registration.warm_at.max(registration.cold_until);
         }
-        self.changes += 1;
+        self.change_count += 1;
         Some(DirectoryChange::Readmitted(zone))
     }
 
@@ -245,37 +245,37 @@
     /// Takes the absence of registrations that vanished together.
     pub fn handle_missing(&mut self, now: Time, names: &[UpstreamName]) -> Vec<DirectoryChange> {
         for name in names {
-            self.incarnations.vanishes(now, name);
+            self.incarnations.observe_absence(now, name);
         }
         let registered = names.iter().filter_map(|name| self.registered(name));
         let ids: Vec<UpstreamId> = registered.map(|one| one.record.id.clone()).collect();
-        let distrusted = self
-            .store_trouble
-            .is_some_and(|trouble| now.since(trouble) < self.policy.outage_grace)
-            && self.store_sound != Some(now);
-        let many = ids.len() * 100 > self.upstreams.len() * MANY_PERCENT;
-        let many = many && names.len() > 1;
+        let after_failure = self
+            .last_store_failure
+            .is_some_and(|failure| now.since(failure) < self.policy.outage_grace)
+            && self.last_store_healthy != Some(now);
+        let mass_loss = ids.len() * 100 > self.upstreams.len() * MASS_LOSS_PERCENT;
+        let mass_loss = mass_loss && names.len() > 1;
         ids.iter()
-            .filter_map(|id| self.vanish_one(now, id, distrusted || many))
+            .filter_map(|id| self.handle_missing_one(now, id, after_failure || mass_loss))
             .collect()
     }
 
-    fn vanish_one(
+    fn handle_missing_one(
         &mut self,
         now: Time,
         id: &UpstreamId,
-        doubtful: bool,
+        inconclusive: bool,
     ) -> Option<DirectoryChange> {
         let registration = self.upstreams.get_mut(id)?;
         let draining = registration.record.state == UpstreamState::Draining;
-        if draining || !doubtful {
+        if draining || !inconclusive {
             return self.remove(id);
         }
         if registration.unconfirmed_since.is_some() {
             return None;
         }
         registration.unconfirmed_since = Some(now);
-        self.changes += 1;
+        self.change_count += 1;
         self.unconfirmed.insert(id.clone());
         Some(DirectoryChange::Unconfirmed(id.clone()))
     }
@@ -296,7 +296,7 @@
         self.leaving.insert(id.clone(), now);
         if let Some(registration) = self.upstreams.get_mut(id) {
             Rc::make_mut(&mut registration.record).state = UpstreamState::Draining;
-            self.changes += 1;
+            self.change_count += 1;
         }
         Some(DirectoryChange::Leaves(id.clone()))
     }
@@ -310,14 +310,14 @@
     /// Removes an upstream whose entry names it no more: that is no lapse of a lease, so
     /// there is nothing to wait for, and no proof that it ended, so it may come back.
     pub fn withdraw(&mut self, now: Time, name: &UpstreamName) -> Option<DirectoryChange> {
-        self.incarnations.vanishes(now, name);
+        self.incarnations.observe_absence(now, name);
         let id = self.registered(name)?.record.id.clone();
         self.remove(&id)
     }
 
     fn remove(&mut self, id: &UpstreamId) -> Option<DirectoryChange> {
         self.upstreams.remove(id)?;
-        self.changes += 1;
+        self.change_count += 1;
         self.unconfirmed.remove(id);
         Some(DirectoryChange::Removed(id.clone()))
     }
@@ -325,30 +325,35 @@
     /// Removes unconfirmed upstreams that had enough time.
     pub fn expire(&mut self, now: Time) -> Vec<DirectoryChange> {
         let mut changes = Vec::new();
-        if now >= self.forget_at {
-            self.forget_at = now + FORGET_PAUSE;
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
             self.gone
-                .retain(|_, since| now.since(*since) < REMEMBER_GONE);
+                .retain(|_, since| now.since(*since) < GONE_RETENTION);
             let upstreams = &self.upstreams;
             self.leaving.retain(|id, since| {
-                upstreams.contains_key(id) || now.since(*since) < REMEMBER_GONE
+                upstreams.contains_key(id) || now.since(*since) < GONE_RETENTION
             });
-            for (earlier, record) in self.take_believed(now) {
-                changes.extend(self.restarted(now, earlier, record));
+            for (earlier, record) in self.take_reinstated(now) {
+                changes.extend(self.replace_incarnation(now, earlier, record));
             }
         }
-        let reregistration_timeout = self.policy.reregistration_timeout;
-        let is_over = |id: &&UpstreamId| {
+        let timeout = self.policy.reregistration_timeout;
+        let has_timed_out = |id: &&UpstreamId| {
             let registration = self.upstreams.get(*id);
             let since = registration.and_then(|registration| registration.unconfirmed_since);
-            since.is_some_and(|since| now.since(since) >= reregistration_timeout)
+            since.is_some_and(|since| now.since(since) >= timeout)
         };
-        let expired: Vec<UpstreamId> = self.unconfirmed.iter().filter(is_over).cloned().collect();
+        let expired: Vec<UpstreamId> = self
+            .unconfirmed
+            .iter()
+            .filter(has_timed_out)
+            .cloned()
+            .collect();
         changes.extend(expired.into_iter().filter_map(|id| self.remove(&id)));
         changes
     }
 
-    fn take_believed(&mut self, now: Time) -> Vec<(UpstreamId, UpstreamRecord)> {
+    fn take_reinstated(&mut self, now: Time) -> Vec<(UpstreamId, UpstreamRecord)> {
         let upstreams = &self.upstreams;
         let is_registered = |name: &UpstreamName| registered(upstreams, name).is_some();
         self.incarnations.expire(now, is_registered)
--- a/crates/catalog/src/incarnations.rs
+++ b/crates/catalog/src/incarnations.rs
@@ -21,11 +21,11 @@
 /// 3 s are known; a late write is written over within one.
 pub const REINSTATEMENT_DELAY: Duration = Duration::from_secs(10);
 /// How long a replaced incarnation is remembered: its last write may be that late.
-const REMEMBER_REPLACED: Duration = Duration::from_secs(120);
+const REPLACED_RETENTION: Duration = Duration::from_secs(120);
 
 /// What an entry says of its writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Appearance {
+pub(crate) enum Observation {
     /// It is the incarnation that counts, as before, or the first one of its name.
     Current,
     /// It counts from now on in place of that one, which has ended.
@@ -38,11 +38,11 @@
 struct Replaced {
     since: Time,
     /// Its entry, if that is what stands in the store, and since when.
-    claim: Option<(Time, UpstreamRecord)>,
+    reinstatement: Option<(Time, UpstreamRecord)>,
 }
 
 #[derive(Clone, Debug)]
-struct Succession {
+struct NameHistory {
     current: Option<StartTimestamp>,
     seen_at: Time,
     replaced: BTreeMap<Option<StartTimestamp>, Replaced>,
@@ -51,43 +51,46 @@
 /// The incarnations of each name that were seen of late.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Incarnations {
-    by_name: BTreeMap<UpstreamName, Succession>,
+    by_name: BTreeMap<UpstreamName, NameHistory>,
 }
 
 impl Incarnations {
     /// Notes that an entry stands in the store.
-    pub fn appears(&mut self, now: Time, record: &UpstreamRecord) -> Appearance {
+    pub fn observe_entry(&mut self, now: Time, record: &UpstreamRecord) -> Observation {
         let id = &record.id;
-        let Some(succession) = self.by_name.get_mut(&id.name) else {
-            let succession = Succession {
+        let Some(history) = self.by_name.get_mut(&id.name) else {
+            let history = NameHistory {
                 current: id.started_at,
                 seen_at: now,
                 replaced: BTreeMap::new(),
             };
-            self.by_name.insert(id.name.clone(), succession);
-            return Appearance::Current;
+            self.by_name.insert(id.name.clone(), history);
+            return Observation::Current;
         };
-        if succession.current == id.started_at {
-            succession.seen_at = now;
-            succession.drop_claims();
-            return Appearance::Current;
+        if history.current == id.started_at {
+            history.seen_at = now;
+            history.cancel_reinstatements();
+            return Observation::Current;
         }
-        if let Some(replaced) = succession.replaced.get_mut(&id.started_at) {
-            let since = replaced.claim.as_ref().map_or(now, |(since, _)| *since);
-            replaced.claim = Some((since, record.clone()));
-            return Appearance::Replaced;
+        if let Some(replaced) = history.replaced.get_mut(&id.started_at) {
+            let since = replaced
+                .reinstatement
+                .as_ref()
+                .map_or(now, |(since, _)| *since);
+            replaced.reinstatement = Some((since, record.clone()));
+            return Observation::Replaced;
         }
-        Appearance::RestartOf(UpstreamId {
+        Observation::RestartOf(UpstreamId {
             name: id.name.clone(),
-            started_at: succession.replace(now, id.started_at),
+            started_at: history.replace(now, id.started_at),
         })
     }
 
     /// Notes that no entry of a name stands in the store.
-    pub fn vanishes(&mut self, now: Time, name: &UpstreamName) {
-        if let Some(succession) = self.by_name.get_mut(name) {
-            succession.seen_at = now;
-            succession.drop_claims();
+    pub fn observe_absence(&mut self, now: Time, name: &UpstreamName) {
+        if let Some(history) = self.by_name.get_mut(name) {
+            history.seen_at = now;
+            history.cancel_reinstatements();
         }
     }
 
@@ -98,50 +101,54 @@
         now: Time,
         is_registered: impl Fn(&UpstreamName) -> bool,
     ) -> Vec<(UpstreamId, UpstreamRecord)> {
-        let mut believed = Vec::new();
-        for (name, succession) in &mut self.by_name {
-            if let Some(record) = succession.take_standing(now) {
-                let started_at = succession.replace(now, record.id.started_at);
+        let mut reinstated = Vec::new();
+        for (name, history) in &mut self.by_name {
+            if let Some(record) = history.take_due_reinstatement(now) {
+                let started_at = history.replace(now, record.id.started_at);
                 let name = name.clone();
-                believed.push((UpstreamId { name, started_at }, record));
+                reinstated.push((UpstreamId { name, started_at }, record));
             }
-            succession.replaced.retain(|_, replaced| {
-                replaced.claim.is_some() || now.since(replaced.since) < REMEMBER_REPLACED
+            history.replaced.retain(|_, replaced| {
+                replaced.reinstatement.is_some() || now.since(replaced.since) < REPLACED_RETENTION
             });
         }
-        self.by_name.retain(|name, succession| {
-            now.since(succession.seen_at) < REMEMBER_REPLACED || is_registered(name)
+        self.by_name.retain(|name, history| {
+            now.since(history.seen_at) < REPLACED_RETENTION || is_registered(name)
         });
-        believed
+        reinstated
     }
 }
 
-impl Succession {
+impl NameHistory {
     /// Lets another incarnation count; the one that did.
     fn replace(&mut self, now: Time, started_at: Option<StartTimestamp>) -> Option<StartTimestamp> {
         let before = std::mem::replace(&mut self.current, started_at);
         self.seen_at = now;
         self.replaced.remove(&started_at);
-        self.drop_claims();
+        self.cancel_reinstatements();
         let replaced = Replaced {
             since: now,
-            claim: None,
+            reinstatement: None,
         };
         self.replaced.insert(before, replaced);
         before
     }
 
-    fn drop_claims(&mut self) {
+    fn cancel_reinstatements(&mut self) {
         for replaced in self.replaced.values_mut() {
-            replaced.claim = None;
+            replaced.reinstatement = None;
         }
     }
 
     /// The entry of a replaced incarnation that has stood for long enough.
-    fn take_standing(&mut self, now: Time) -> Option<UpstreamRecord> {
-        let stands = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= REINSTATEMENT_DELAY;
+    fn take_due_reinstatement(&mut self, now: Time) -> Option<UpstreamRecord> {
+        let is_due = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= REINSTATEMENT_DELAY;
         let mut replaced = self.replaced.values_mut();
-        let claim = replaced.find_map(|replaced| replaced.claim.take_if(|claim| stands(claim)))?;
-        Some(claim.1)
+        let reinstatement = replaced.find_map(|replaced| {
+            replaced
+                .reinstatement
+                .take_if(|reinstatement| is_due(reinstatement))
+        })?;
+        Some(reinstatement.1)
     }
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -10,7 +10,7 @@
 mod incarnations;
 mod leaving;
 mod rate;
-mod rest;
+mod retry_after;
 mod route_table;
 mod upstream;
 
@@ -22,6 +22,6 @@
 pub use incarnations::REINSTATEMENT_DELAY;
 pub use leaving::LeavingStatus;
 pub use rate::{AdvertisedRate, RequestRate};
-pub use rest::RetryAfter;
+pub use retry_after::RetryAfter;
 pub use route_table::RouteTable;
 pub use upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
--- a/crates/catalog/src/rate.rs
+++ b/crates/catalog/src/rate.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Rates beyond this are as good as none: no upstream gets so many requests.
-const HIGHEST: f64 = 1_000_000.0;
+const MAX_RATE: f64 = 1_000_000.0;
 
 /// Requests a second. Finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, BorshSerialize, BorshDeserialize)]
@@ -13,7 +13,7 @@
 impl RequestRate {
     /// That many requests a second; `None` if it is no rate.
     pub fn new(per_second: f64) -> Option<Self> {
-        (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second.min(HIGHEST)))
+        (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second.min(MAX_RATE)))
     }
 
     /// Requests a second.
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -38,10 +38,10 @@
 
 impl UpstreamId {
     /// The incarnation of that name with that birth.
-    pub fn with_start(name: impl Into<String>, birth: StartTimestamp) -> Self {
+    pub fn with_start(name: impl Into<String>, start: StartTimestamp) -> Self {
         Self {
             name: UpstreamName(name.into()),
-            started_at: Some(birth),
+            started_at: Some(start),
         }
     }
 
@@ -69,7 +69,7 @@
 impl fmt::Display for UpstreamId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_at {
-            Some(birth) => write!(formatter, "{}@{}", self.name, birth.0),
+            Some(start) => write!(formatter, "{}@{}", self.name, start.0),
             None => self.name.fmt(formatter),
         }
     }
--- a/crates/catalog/tests/directory.rs
+++ b/crates/catalog/tests/directory.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn one_that_vanishes_from_a_sound_store_is_gone() {
+fn missing_registration_is_removed_when_the_store_is_healthy() {
     let mut directory = directory(10);
     let changes = directory.handle_missing(at(10_000), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn many_that_vanish_together_are_kept_for_a_while() {
+fn registrations_lost_together_stay_unconfirmed() {
     let mut directory = directory(10);
     let names: Vec<UpstreamName> = (0..8).map(|number| id(number).name).collect();
     directory.handle_missing(at(10_000), &names);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn right_after_trouble_one_that_vanishes_is_kept_for_a_while() {
+fn registration_missing_after_a_store_failure_stays_unconfirmed() {
     let mut directory = directory(10);
     directory.note_store_failure(at(10_000));
     let changes = directory.handle_missing(at(10_400), &[id(3).name]);
@@ -74,20 +74,21 @@
 /// Found by a hunt: an upstream that left got requests 2.4 s later from a node
 /// whose store call had failed some seconds before.
 #[test]
-fn doubt_ends_before_a_node_counts_as_connected_again() {
+fn unconfirmed_period_ends_before_the_node_counts_as_connected() {
     let contact = Duration::from_millis(3_000);
-    let noticed_late = Duration::from_millis(900);
+    let detection_delay = Duration::from_millis(900);
     let mut directory = directory(10);
     let outage_end = at(10_000);
-    directory.note_store_failure(outage_end + noticed_late);
-    let last_doubt = outage_end + noticed_late + POLICY.outage_grace - Duration::from_millis(1);
-    directory.handle_missing(last_doubt, &[id(3).name]);
+    directory.note_store_failure(outage_end + detection_delay);
+    let last_inconclusive =
+        outage_end + detection_delay + POLICY.outage_grace - Duration::from_millis(1);
+    directory.handle_missing(last_inconclusive, &[id(3).name]);
     directory.expire(outage_end + contact);
     assert!(directory.get(&id(3)).is_none());
 }
 
 #[test]
-fn one_that_drains_is_gone_even_in_doubt() {
+fn draining_upstream_is_removed_even_after_a_store_failure() {
     let mut directory = directory(10);
     let mut draining = record(3, 8_003);
     draining.state = UpstreamState::Draining;
@@ -101,7 +102,7 @@
 /// the one that had its address since look replaced, and its keys were given
 /// away while it worked on them.
 #[test]
-fn a_newcomer_at_an_address_proves_nothing_by_itself() {
+fn registration_at_the_same_address_does_not_replace_another() {
     let mut directory = directory(3);
     directory.register(at(5_000), record(77, 8_001));
     assert!(directory.get(&id(1)).is_some());
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn who_was_found_gone_does_not_come_back_by_a_late_write() {
+fn late_write_does_not_restore_an_upstream_found_gone() {
     let mut directory = directory(3);
     let change = directory.confirm_gone(at(5_000), &id(1));
     assert_eq!(change, Some(DirectoryChange::Removed(id(1))));
@@ -119,7 +120,7 @@
 
 /// An entry that was written before they went cold may be heard after that.
 #[test]
-fn upstreams_of_a_readmitted_zone_count_as_cold_whatever_their_entries_say() {
+fn upstreams_of_a_readmitted_zone_are_cold_whatever_their_entries_say() {
     let mut directory = directory(2);
     let warm_up = |_: &_| Duration::from_millis(3_000);
     assert_eq!(directory.readmit(at(900), "zone".into(), warm_up), None);
@@ -140,7 +141,7 @@
 /// Guards against an upstream that leaves and is ready again by an older entry, to which the
 /// store has gone back, or which was written before an answer told of its leaving.
 #[test]
-fn one_that_said_it_leaves_is_not_ready_again_by_an_older_entry() {
+fn older_entry_does_not_make_a_leaving_upstream_ready() {
     let mut directory = directory(3);
     let mut leaving = record(0, 8_000);
     leaving.state = UpstreamState::Draining;
@@ -157,7 +158,7 @@
 
 /// The same after its entry was gone for a while.
 #[test]
-fn nor_after_its_entry_was_gone() {
+fn leaving_upstream_stays_draining_after_its_entry_was_missing() {
     let mut directory = directory(3);
     directory.mark_leaving(at(1_000), &id(1));
     directory.handle_missing(at(2_000), &[id(1).name]);
--- a/crates/catalog/tests/incarnations.rs
+++ b/crates/catalog/tests/incarnations.rs
@@ -14,7 +14,7 @@
     reregistration_timeout: Duration::from_millis(1_600),
 };
 /// How late a dead writer's entry may still come.
-const LATE: u64 = 6_000;
+const MAX_WRITE_DELAY_MILLIS: u64 = 6_000;
 
 fn at(millis: u64) -> Time {
     Time(millis * 1_000)
@@ -24,7 +24,7 @@
     ([127, 0, 0, 1], 8_000).into()
 }
 
-fn born(millis: u64) -> UpstreamId {
+fn incarnation(millis: u64) -> UpstreamId {
     UpstreamId::with_start("u", StartTimestamp(millis))
 }
 
@@ -45,136 +45,139 @@
 }
 
 /// Whom the directory holds.
-fn held(directory: &Directory) -> Vec<UpstreamId> {
-    let held = directory.iter();
-    held.map(|one| one.record.id.clone()).collect()
+fn registered_ids(directory: &Directory) -> Vec<UpstreamId> {
+    let registered_ids = directory.iter();
+    registered_ids.map(|one| one.record.id.clone()).collect()
 }
 
 #[test]
-fn a_restart_takes_the_place_of_the_one_before() {
+fn restart_replaces_the_previous_incarnation() {
     let mut directory = directory();
-    directory.register(at(0), record(born(100)));
-    let changes = directory.register(at(1_000), record(born(200)));
+    directory.register(at(0), record(incarnation(100)));
+    let changes = directory.register(at(1_000), record(incarnation(200)));
     let restarted = DirectoryChange::Restarted {
-        earlier: born(100),
-        later: born(200),
+        earlier: incarnation(100),
+        later: incarnation(200),
         address: address(),
     };
     assert_eq!(
         changes,
         [
-            DirectoryChange::Removed(born(100)),
+            DirectoryChange::Removed(incarnation(100)),
             restarted,
-            DirectoryChange::Registered(born(200), UpstreamState::Ready),
+            DirectoryChange::Registered(incarnation(200), UpstreamState::Ready),
         ]
     );
-    assert_eq!(held(&directory), [born(200)]);
+    assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
 #[test]
-fn a_clock_that_stepped_back_keeps_no_restart_out() {
+fn restart_is_accepted_after_the_clock_stepped_back() {
     let mut directory = directory();
-    directory.register(at(0), record(born(900)));
-    directory.register(at(1_000), record(born(200)));
-    assert_eq!(held(&directory), [born(200)]);
+    directory.register(at(0), record(incarnation(900)));
+    directory.register(at(1_000), record(incarnation(200)));
+    assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
 #[test]
-fn a_late_write_changes_nothing_also_after_the_registration_vanished() {
+fn late_write_is_ignored_after_the_registration_was_missing() {
     let mut directory = directory();
-    directory.register(at(0), record(born(100)));
-    directory.handle_missing(at(3_000), &[born(100).name]);
-    assert_eq!(held(&directory), []);
-    let restarted = directory.register(at(3_500), record(born(200)));
+    directory.register(at(0), record(incarnation(100)));
+    directory.handle_missing(at(3_000), &[incarnation(100).name]);
+    assert_eq!(registered_ids(&directory), []);
+    let restarted = directory.register(at(3_500), record(incarnation(200)));
     assert!(restarted.iter().any(|change| matches!(
         change,
-        DirectoryChange::Restarted { earlier, .. } if *earlier == born(100)
+        DirectoryChange::Restarted { earlier, .. } if *earlier == incarnation(100)
     )));
-    assert_eq!(directory.register(at(5_000), record(born(100))), []);
+    assert_eq!(directory.register(at(5_000), record(incarnation(100))), []);
     assert_eq!(directory.expire(at(6_000)), []);
-    directory.register(at(6_100), record(born(200)));
+    directory.register(at(6_100), record(incarnation(200)));
     directory.expire(at(20_000));
-    assert_eq!(held(&directory), [born(200)]);
+    assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
 /// A node that knew neither of them sees a late write after the living one's entry.
 #[test]
-fn an_entry_that_stands_is_of_the_one_that_lives() {
+fn persistent_entry_reinstates_its_incarnation() {
     let mut directory = directory();
-    let (living, dead) = (born(200), born(100));
-    directory.register(at(0), record(living.clone()));
+    let (live, dead) = (incarnation(200), incarnation(100));
+    directory.register(at(0), record(live.clone()));
     directory.register(at(100), record(dead.clone()));
-    assert_eq!(held(&directory), [dead]);
-    directory.register(at(1_100), record(living.clone()));
-    let stands = at(1_100) + REINSTATEMENT_DELAY;
-    assert_eq!(directory.expire(stands - Duration::from_millis(1)), []);
-    let changes = directory.expire(stands + Duration::from_secs(1));
+    assert_eq!(registered_ids(&directory), [dead]);
+    directory.register(at(1_100), record(live.clone()));
+    let reinstated_at = at(1_100) + REINSTATEMENT_DELAY;
+    assert_eq!(
+        directory.expire(reinstated_at - Duration::from_millis(1)),
+        []
+    );
+    let changes = directory.expire(reinstated_at + Duration::from_secs(1));
     assert!(!changes.is_empty());
-    assert_eq!(held(&directory), [living]);
+    assert_eq!(registered_ids(&directory), [live]);
 }
 
 #[test]
-fn a_late_entry_that_vanishes_again_is_not_believed() {
+fn late_entry_that_disappears_is_not_reinstated() {
     let mut directory = directory();
-    directory.register(at(0), record(born(100)));
-    directory.register(at(1_000), record(born(200)));
-    directory.register(at(2_000), record(born(100)));
-    directory.handle_missing(at(5_000), &[born(100).name]);
+    directory.register(at(0), record(incarnation(100)));
+    directory.register(at(1_000), record(incarnation(200)));
+    directory.register(at(2_000), record(incarnation(100)));
+    directory.handle_missing(at(5_000), &[incarnation(100).name]);
     directory.expire(at(30_000));
-    assert_eq!(held(&directory), []);
+    assert_eq!(registered_ids(&directory), []);
 }
 
 #[test]
-fn who_was_found_gone_is_one_incarnation() {
+fn removal_applies_to_one_incarnation() {
     let mut directory = directory();
-    directory.register(at(0), record(born(100)));
-    directory.confirm_gone(at(1_000), &born(100));
-    directory.register(at(1_500), record(born(100)));
-    assert_eq!(held(&directory), []);
-    directory.register(at(2_000), record(born(200)));
-    assert_eq!(held(&directory), [born(200)]);
+    directory.register(at(0), record(incarnation(100)));
+    directory.confirm_gone(at(1_000), &incarnation(100));
+    directory.register(at(1_500), record(incarnation(100)));
+    assert_eq!(registered_ids(&directory), []);
+    directory.register(at(2_000), record(incarnation(200)));
+    assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
 #[test]
-fn without_a_birth_a_name_is_one_incarnation() {
+fn name_without_start_timestamp_is_one_incarnation() {
     let mut directory = directory();
-    let unborn = UpstreamId::from("u");
-    directory.register(at(0), record(unborn.clone()));
+    let without_start = UpstreamId::from("u");
+    directory.register(at(0), record(without_start.clone()));
     directory.handle_missing(at(1_000), &[UpstreamName("u".to_owned())]);
-    let changes = directory.register(at(2_000), record(unborn.clone()));
-    let registered = DirectoryChange::Registered(unborn.clone(), UpstreamState::Ready);
+    let changes = directory.register(at(2_000), record(without_start.clone()));
+    let registered = DirectoryChange::Registered(without_start.clone(), UpstreamState::Ready);
     assert_eq!(changes, [registered]);
-    directory.confirm_gone(at(3_000), &unborn);
-    directory.register(at(4_000), record(unborn));
-    assert_eq!(held(&directory), []);
+    directory.confirm_gone(at(3_000), &without_start);
+    directory.register(at(4_000), record(without_start));
+    assert_eq!(registered_ids(&directory), []);
 }
 
 quickcheck! {
     /// Incarnations follow one another, each writes each second while it lives, and each
     /// may leave one write that comes late: whoever lives is held within a second of its
     /// first entry, and from then on.
-    fn the_living_one_is_held(births: Vec<u8>, late: Vec<Option<u16>>) -> bool {
-        const LIFE: u64 = 8_000;
-        let mut births = births;
-        births.sort_unstable_by_key(|birth| birth.reverse_bits());
-        births.dedup();
+    fn live_incarnation_is_registered(starts: Vec<u8>, late: Vec<Option<u16>>) -> bool {
+        const LIFETIME_MILLIS: u64 = 8_000;
+        let mut starts = starts;
+        starts.sort_unstable_by_key(|start| start.reverse_bits());
+        starts.dedup();
         let mut writes = Vec::new();
-        for (number, birth) in births.iter().enumerate() {
-            let from = number as u64 * LIFE;
-            writes.extend((from..from + LIFE).step_by(1_000).map(|time| (time, number, *birth)));
+        for (number, start) in starts.iter().enumerate() {
+            let from = number as u64 * LIFETIME_MILLIS;
+            writes.extend((from..from + LIFETIME_MILLIS).step_by(1_000).map(|time| (time, number, *start)));
             if let Some(Some(after)) = late.get(number) {
-                let time = from + LIFE + u64::from(*after) % LATE + 1;
-                writes.push((time, number, *birth));
+                let time = from + LIFETIME_MILLIS + u64::from(*after) % MAX_WRITE_DELAY_MILLIS + 1;
+                writes.push((time, number, *start));
             }
         }
         writes.sort_unstable();
         let mut directory = directory();
-        for (time, _, birth) in writes {
+        for (time, _, start) in writes {
             directory.expire(at(time));
-            directory.register(at(time), record(born(birth.into())));
-            let living = births[(time / LIFE) as usize % births.len()];
-            let is_over = time >= births.len() as u64 * LIFE;
-            if !is_over && held(&directory) != [born(living.into())] {
+            directory.register(at(time), record(incarnation(start.into())));
+            let live = starts[(time / LIFETIME_MILLIS) as usize % starts.len()];
+            let is_over = time >= starts.len() as u64 * LIFETIME_MILLIS;
+            if !is_over && registered_ids(&directory) != [incarnation(live.into())] {
                 return false;
             }
         }
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -36,11 +36,11 @@
 
 impl ClockSource for SystemClocks {
     fn boot(&self) -> Duration {
-        read_again(&self.boot, ClockId::CLOCK_BOOTTIME)
+        read_or_last(&self.boot, ClockId::CLOCK_BOOTTIME)
     }
 
     fn monotonic(&self) -> Duration {
-        read_again(&self.monotonic, ClockId::CLOCK_MONOTONIC)
+        read_or_last(&self.monotonic, ClockId::CLOCK_MONOTONIC)
     }
 }
 
@@ -50,7 +50,7 @@
 
 /// Reads a clock that could be read before. The system's only error is that it does not know
 /// the clock, so the last reading stands in for what can't happen.
-fn read_again(last: &Cell<Duration>, clock: ClockId) -> Duration {
+fn read_or_last(last: &Cell<Duration>, clock: ClockId) -> Duration {
     if let Ok(now) = read(clock) {
         last.set(now);
     }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -11,7 +11,7 @@
 //! after each. [`SuspendDetector`] tells when that is needed.
 
 mod boot;
-mod sleep;
+mod suspend;
 
 pub use boot::{BootClock, ClockSource, SystemClocks};
-pub use sleep::SuspendDetector;
+pub use suspend::SuspendDetector;
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 struct Machine {
     monotonic: Cell<Duration>,
-    asleep: Cell<Duration>,
+    suspended: Cell<Duration>,
 }
 
 impl Machine {
@@ -19,14 +19,14 @@
     }
 
     fn suspend(&self, millis: u64) {
-        let asleep = self.asleep.get() + Duration::from_millis(millis);
-        self.asleep.set(asleep);
+        let suspended = self.suspended.get() + Duration::from_millis(millis);
+        self.suspended.set(suspended);
     }
 }
 
 impl ClockSource for &Machine {
     fn boot(&self) -> Duration {
-        self.monotonic.get() + self.asleep.get()
+        self.monotonic.get() + self.suspended.get()
     }
 
     fn monotonic(&self) -> Duration {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn time_asleep_counts() {
+fn suspended_time_is_counted() {
     let machine = Machine::default();
     machine.run(5_000);
     let clock = BootClock::start(&machine);
@@ -48,35 +48,38 @@
 }
 
 #[test]
-fn a_suspension_is_noticed_once() {
+fn suspension_is_reported_once() {
     let machine = Machine::default();
-    let mut watch = SuspendDetector::new(&&machine);
+    let mut detector = SuspendDetector::new(&&machine);
     machine.run(10_000);
-    assert_eq!(watch.suspended_for(&&machine), None);
+    assert_eq!(detector.suspended_for(&&machine), None);
     machine.suspend(6_000);
     machine.run(10);
-    assert_eq!(watch.suspended_for(&&machine), Some(Duration::from_secs(6)));
-    assert_eq!(watch.suspended_for(&&machine), None);
+    assert_eq!(
+        detector.suspended_for(&&machine),
+        Some(Duration::from_secs(6))
+    );
+    assert_eq!(detector.suspended_for(&&machine), None);
 }
 
 /// A machine that gives its process no processor after some readings.
 #[derive(Default)]
-struct Interrupted {
+struct Preempted {
     machine: Machine,
-    pauses: Cell<bool>,
+    preempts: Cell<bool>,
 }
 
-impl Interrupted {
+impl Preempted {
     fn read(&self, clock: impl Fn(&Machine) -> Duration) -> Duration {
         let reading = clock(&self.machine);
-        if self.pauses.get() {
+        if self.preempts.get() {
             self.machine.run(80);
         }
         reading
     }
 }
 
-impl ClockSource for Interrupted {
+impl ClockSource for Preempted {
     fn boot(&self) -> Duration {
         self.read(|machine| machine.boot())
     }
@@ -87,23 +90,23 @@
 }
 
 #[test]
-fn a_pause_between_two_readings_is_no_suspension() {
-    let source = Interrupted::default();
+fn preemption_between_readings_is_not_a_suspension() {
+    let source = Preempted::default();
     source.machine.run(1_000);
-    let mut watch = SuspendDetector::new(&source);
-    for pauses in [false, true, false, true, true, false] {
-        source.pauses.set(pauses);
-        assert_eq!(watch.suspended_for(&source), None);
+    let mut detector = SuspendDetector::new(&source);
+    for preempts in [false, true, false, true, true, false] {
+        source.preempts.set(preempts);
+        assert_eq!(detector.suspended_for(&source), None);
     }
 }
 
 #[test]
-fn the_system_has_both_clocks() {
+fn system_clocks_are_readable() {
     let clocks = SystemClocks::new().expect("both clocks can be read");
-    let watch = &mut SuspendDetector::new(&clocks);
+    let detector = &mut SuspendDetector::new(&clocks);
     let clock = BootClock::start(clocks);
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(clock.now().since(before) >= Duration::from_millis(20));
-    assert_eq!(watch.suspended_for(clock.source()), None);
+    assert_eq!(detector.suspended_for(clock.source()), None);
 }
--- a/crates/metastore/src/call.rs
+++ b/crates/metastore/src/call.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    fn put_in(&mut self, era: StoreEra) {
+    fn set_era(&mut self, era: StoreEra) {
         self.era = era;
     }
 }
@@ -199,19 +199,19 @@
     /// The same, as an answer of the store in that era.
     pub fn with_era(mut self, era: StoreEra) -> Self {
         match &mut self {
-            Self::Found(item) => item.revision.put_in(era),
+            Self::Found(item) => item.revision.set_era(era),
             Self::Page { items, at, .. } => {
-                put_items_in(era, items);
-                at.put_in(era);
+                set_items_era(era, items);
+                at.set_era(era);
             }
             Self::Events { events, at } => {
                 for event in events {
-                    event.revision_mut().put_in(era);
+                    event.revision_mut().set_era(era);
                 }
-                at.put_in(era);
+                at.set_era(era);
             }
-            Self::Committed { revision } => revision.put_in(era),
-            Self::Conflict { items } => put_items_in(era, items),
+            Self::Committed { revision } => revision.set_era(era),
+            Self::Conflict { items } => set_items_era(era, items),
             Self::Absent
             | Self::Compacted
             | Self::Leased { .. }
@@ -223,9 +223,9 @@
     }
 }
 
-fn put_items_in(era: StoreEra, items: &mut [Item]) {
+fn set_items_era(era: StoreEra, items: &mut [Item]) {
     for item in items {
-        item.revision.put_in(era);
+        item.revision.set_era(era);
     }
 }
 
--- a/crates/metastore/src/election.rs
+++ b/crates/metastore/src/election.rs
@@ -25,18 +25,18 @@
 
 /// Highest number of a term that is believed: tokens carry it in 32 bits, and terms
 /// that are counted from here on must fit, too.
-const HIGHEST_EPOCH: Epoch = Epoch((1 << 31) - 1);
+const MAX_EPOCH: Epoch = Epoch((1 << 31) - 1);
 
 impl Epoch {
     /// The first one of an era of the store. Above all of the eras before: those that the
     /// store has forgotten are not known to it, and an era has fewer terms than lie between.
     pub fn first_of(era: StoreEra) -> Self {
-        Self((u64::from(era.0) * EPOCHS_OF_AN_ERA).min(HIGHEST_EPOCH.0 / 2))
+        Self((u64::from(era.0) * EPOCHS_PER_ERA).min(MAX_EPOCH.0 / 2))
     }
 }
 
 /// Terms that an era has at most: one a second for most of a day.
-const EPOCHS_OF_AN_ERA: u64 = 1 << 16;
+const EPOCHS_PER_ERA: u64 = 1 << 16;
 
 /// What the granter's key holds.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -90,11 +90,11 @@
     /// An answer about the lease.
     Lease,
     /// An answer to the taking of the place.
-    Take,
+    Acquire,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Leadership {
     epoch: Epoch,
     revision: Revision,
     lease: LeaseId,
@@ -124,16 +124,16 @@
     /// The store's era, if it is known.
     era: StoreEra,
     /// Whether the place is taken again though the store names this process as its holder.
-    reclaims: bool,
-    place: Option<Place>,
+    reclaiming: bool,
+    leadership: Option<Leadership>,
     vacant_since: Option<Time>,
     /// Revision that the granter's key must have when this node takes the place: none
     /// is there, or that of an earlier run of this node.
-    replaces: Revision,
+    expected_revision: Revision,
     /// The granter's key as it was seen last, which need not be read again.
-    observed: Option<Revision>,
+    last_observed: Option<Revision>,
     /// Added to the patience.
-    handicap: Duration,
+    extra_delay: Duration,
     retry_at: Time,
     stopped: bool,
 }
@@ -148,32 +148,32 @@
             pending: None,
             attempted: None,
             era: StoreEra::default(),
-            reclaims: false,
-            place: None,
+            reclaiming: false,
+            leadership: None,
             vacant_since: None,
-            replaces: Revision::ABSENT,
-            observed: None,
-            handicap: Duration::ZERO,
+            expected_revision: Revision::ABSENT,
+            last_observed: None,
+            extra_delay: Duration::ZERO,
             retry_at: Time::ZERO,
             stopped: false,
         }
     }
 
     /// Lets other nodes try to take a vacant place that much earlier.
-    pub fn set_extra_delay(&mut self, handicap: Duration) {
-        self.handicap = handicap;
+    pub fn set_extra_delay(&mut self, extra_delay: Duration) {
+        self.extra_delay = extra_delay;
     }
 
     /// The right to grant at `now`, if this node has it.
     pub fn authority(&self, now: Time) -> Option<Authority> {
-        let place = self.place?;
+        let leadership = self.leadership?;
         let until = self.keeper.valid_until()?;
-        let same_lease = self.keeper.lease(now)? == place.lease;
+        let same_lease = self.keeper.lease(now)? == leadership.lease;
         same_lease.then_some(Authority {
-            epoch: place.epoch,
+            epoch: leadership.epoch,
             until,
-            revision: place.revision,
-            predecessor: place.predecessor,
+            revision: leadership.revision,
+            predecessor: leadership.predecessor,
         })
     }
 
@@ -189,22 +189,22 @@
         if self.pending.is_some() || self.stopped || now < self.retry_at {
             return None;
         }
-        if self.place.is_some() {
+        if self.leadership.is_some() {
             let call = self.keeper.poll(now)?;
             return Some(self.send(now, ElectionStep::Lease, call));
         }
         let vacant_since = self.vacant_since?;
-        let waits_for_others = self.replaces == Revision::ABSENT;
-        let candidacy_delay = self.config.candidacy_delay + self.handicap;
-        if waits_for_others && now.since(vacant_since) < candidacy_delay {
+        let is_vacant = self.expected_revision == Revision::ABSENT;
+        let candidacy_delay = self.config.candidacy_delay + self.extra_delay;
+        if is_vacant && now.since(vacant_since) < candidacy_delay {
             return None;
         }
         let Some(lease) = self.keeper.lease(now) else {
             let call = self.keeper.poll(now)?;
             return Some(self.send(now, ElectionStep::Lease, call));
         };
-        let call = self.take(lease, epoch);
-        Some(self.send(now, ElectionStep::Take, call))
+        let call = self.acquire_call(lease, epoch);
+        Some(self.send(now, ElectionStep::Acquire, call))
     }
 
     /// The store has begun an era. What it acknowledged before may be gone, the place among
@@ -212,64 +212,64 @@
     /// grant has to be won again, in a term above all that were.
     pub fn begin_era(&mut self, era: StoreEra) {
         self.era = era;
-        self.reclaims |= self.place.take().is_some();
+        self.reclaiming |= self.leadership.take().is_some();
         self.attempted = None;
-        self.observed = None;
-        self.replaces = Revision::ABSENT;
+        self.last_observed = None;
+        self.expected_revision = Revision::ABSENT;
     }
 
     /// Follows the granter's key as this node sees it.
     fn observe(&mut self, now: Time, granter: Option<&Item>) {
         let Some(item) = granter else {
             self.vacant_since.get_or_insert(now);
-            self.replaces = Revision::ABSENT;
-            self.observed = None;
+            self.expected_revision = Revision::ABSENT;
+            self.last_observed = None;
             // The key may be unseen as yet right after this node wrote it;
             // the lease alone decides whether the place is still held.
             return;
         };
-        let is_settled = self.attempted.is_none() || self.place.is_some();
-        if self.observed == Some(item.revision) && is_settled {
+        let is_settled = self.attempted.is_none() || self.leadership.is_some();
+        if self.last_observed == Some(item.revision) && is_settled {
             return;
         }
-        self.observed = Some(item.revision);
+        self.last_observed = Some(item.revision);
         self.vacant_since = None;
         let Ok(record) = GranterRecord::try_from_slice(&item.value) else {
             return;
         };
-        let ours = record.node == self.config.node && record.run == self.config.run;
-        if !ours {
-            let lost = self
-                .place
-                .is_some_and(|place| item.revision > place.revision);
-            if lost {
-                self.place = None;
+        let is_own = record.node == self.config.node && record.run == self.config.run;
+        if !is_own {
+            let is_lost = self
+                .leadership
+                .is_some_and(|leadership| item.revision > leadership.revision);
+            if is_lost {
+                self.leadership = None;
             }
-            let is_predecessor =
+            let is_previous_run =
                 record.node == self.config.node && record.peer_address == self.config.peer_address;
-            if is_predecessor && self.place.is_none() {
+            if is_previous_run && self.leadership.is_none() {
                 self.vacant_since = Some(now);
-                self.replaces = item.revision;
+                self.expected_revision = item.revision;
             }
             return;
         }
         // A taking of the place whose answer was lost shows here.
-        if self.place.is_none()
+        if self.leadership.is_none()
             && let Some(attempt) = self.attempted
             && attempt.epoch == record.epoch
             && let Some(lease) = self.keeper.lease(now)
         {
-            self.hold(attempt, item.revision, lease);
+            self.set_leadership(attempt, item.revision, lease);
         }
-        if self.place.is_none() && self.reclaims {
+        if self.leadership.is_none() && self.reclaiming {
             self.vacant_since = Some(now);
-            self.replaces = item.revision;
+            self.expected_revision = item.revision;
         }
     }
 
-    fn hold(&mut self, attempt: Attempt, revision: Revision, lease: LeaseId) {
-        self.reclaims = false;
-        self.place = Some(Place {
+    fn set_leadership(&mut self, attempt: Attempt, revision: Revision, lease: LeaseId) {
+        self.reclaiming = false;
+        self.leadership = Some(Leadership {
             epoch: attempt.epoch,
             revision,
             lease,
@@ -282,7 +282,7 @@
         call
     }
 
-    fn take(&mut self, lease: LeaseId, epoch: Option<&Item>) -> StoreCall {
+    fn acquire_call(&mut self, lease: LeaseId, epoch: Option<&Item>) -> StoreCall {
         let predecessor = last_epoch(epoch);
         let next = Epoch(predecessor.0 + 1).max(Epoch::first_of(self.era));
         self.attempted = Some(Attempt {
@@ -307,7 +307,7 @@
         let epoch_revision = epoch.map_or(Revision::ABSENT, |item| item.revision);
         StoreCall::Commit(Transaction {
             conditions: vec![
-                condition(&self.config.granter_key, self.replaces),
+                condition(&self.config.granter_key, self.expected_revision),
                 condition(&self.config.epoch_key, epoch_revision),
             ],
             writes: vec![
@@ -327,18 +327,18 @@
             ElectionStep::Lease => {
                 self.keeper.handle(now, pending.sent, outcome);
                 if matches!(outcome, StoreOutcome::Absent) {
-                    self.place = None;
+                    self.leadership = None;
                 }
             }
-            ElectionStep::Take => self.taken(now, outcome),
+            ElectionStep::Acquire => self.handle_acquire(now, outcome),
         }
     }
 
-    fn taken(&mut self, now: Time, outcome: &StoreOutcome) {
+    fn handle_acquire(&mut self, now: Time, outcome: &StoreOutcome) {
         match outcome {
             StoreOutcome::Committed { revision } => {
                 if let (Some(lease), Some(attempt)) = (self.keeper.lease(now), self.attempted) {
-                    self.hold(attempt, *revision, lease);
+                    self.set_leadership(attempt, *revision, lease);
                 }
             }
             StoreOutcome::Absent => {
@@ -352,7 +352,7 @@
     /// Gives the place up for good; the call that tells the store.
     pub fn resign(&mut self) -> Option<StoreCall> {
         self.stopped = true;
-        self.place = None;
+        self.leadership = None;
         self.keeper.resign()
     }
 }
@@ -365,7 +365,7 @@
         return Epoch::default();
     };
     let read = Epoch::try_from_slice(&item.value).ok();
-    let read = read.filter(|epoch| *epoch <= HIGHEST_EPOCH);
+    let read = read.filter(|epoch| *epoch <= MAX_EPOCH);
     read.unwrap_or(Epoch(item.revision.number))
 }
 
--- a/crates/metastore/src/lease.rs
+++ b/crates/metastore/src/lease.rs
@@ -11,11 +11,11 @@
 /// Wait after a call that failed. It doubles with each further one, up to half of the
 /// time between renewals: a store that turns away a third of 300 nodes would be asked
 /// by them 700 times a second.
-const RETRY: Duration = Duration::from_millis(150);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Failures after which the wait does not double any more.
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Share of a lease's life that is trusted, in percent: clocks may differ.
-const TRUSTED_PERCENT: u32 = 97;
+const USABLE_TTL_PERCENT: u32 = 97;
 
 /// Timing of a lease.
 #[derive(Clone, Copy, Debug)]
@@ -86,7 +86,7 @@
                 let Some(lease) = lease.or(held.map(|held| held.lease)) else {
                     return;
                 };
-                let valid_until = sent + *ttl * TRUSTED_PERCENT / 100;
+                let valid_until = sent + *ttl * USABLE_TTL_PERCENT / 100;
                 self.failures = 0;
                 self.held = Some(Held { lease, valid_until });
                 self.due = sent + self.timing.renewal;
@@ -96,9 +96,12 @@
                 self.due = now;
             }
             _ => {
-                let doubled = RETRY * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
+                let backoff = INITIAL_RETRY_DELAY * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
                 self.failures += 1;
-                self.due = now + doubled.min(self.timing.renewal / 2).max(RETRY);
+                self.due = now
+                    + backoff
+                        .min(self.timing.renewal / 2)
+                        .max(INITIAL_RETRY_DELAY);
             }
         }
     }
--- a/crates/metastore/src/mirror.rs
+++ b/crates/metastore/src/mirror.rs
@@ -19,7 +19,7 @@
 }
 
 /// Most removals that a copy remembers.
-const MOST_REMOVALS: usize = 1_024;
+const MAX_REMOVALS: usize = 1_024;
 
 /// What a copy has beyond an older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,18 +42,18 @@
 /// A node's copy of the keys below one prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
-    at: Option<Revision>,
+    revision: Option<Revision>,
     items: BTreeMap<String, Item>,
-    /// Keys that were removed after `removals_from`.
+    /// Keys that were removed after `removals_since`.
     removals: BTreeMap<String, Revision>,
-    removals_from: Revision,
+    removals_since: Revision,
 }
 
 impl Mirror {
     /// Revision up to which the copy is known to be whole; none before the
     /// first reading.
     pub fn revision(&self) -> Option<Revision> {
-        self.at
+        self.revision
     }
 
     /// The key, if it is there.
@@ -69,15 +69,15 @@
     /// Takes a whole reading, current at `at`. An older one than the copy is
     /// ignored.
     pub fn replace(&mut self, at: Revision, items: Vec<Item>) -> Vec<MirrorChange> {
-        if self.at.is_some_and(|known| at < known) {
+        if self.revision.is_some_and(|known| at < known) {
             return Vec::new();
         }
-        if self.at.is_none_or(|known| known.era != at.era) {
+        if self.revision.is_none_or(|known| known.era != at.era) {
             // What was removed in an era before tells nothing of this one.
             self.removals.clear();
-            self.removals_from = at;
+            self.removals_since = at;
         }
-        self.at = Some(at);
+        self.revision = Some(at);
         let mut changes = Vec::new();
         let mut next: BTreeMap<String, Item> = BTreeMap::new();
         for item in items {
@@ -94,7 +94,7 @@
                 self.removals.insert(key.clone(), at);
             }
         }
-        self.bound_removals();
+        self.trim_removals();
         for (key, item) in &next {
             if self
                 .items
@@ -111,15 +111,15 @@
     /// Takes the changes up to `at`.
     pub fn apply(&mut self, at: Revision, events: Vec<StoreEvent>) -> Vec<MirrorChange> {
         if self
-            .at
+            .revision
             .is_some_and(|known| at < known || at.era != known.era)
         {
             return Vec::new();
         }
-        if self.at.is_none() {
-            self.removals_from = at;
+        if self.revision.is_none() {
+            self.removals_since = at;
         }
-        self.at = Some(at);
+        self.revision = Some(at);
         events
             .into_iter()
             .filter_map(|event| self.apply_event(event))
@@ -143,7 +143,7 @@
                 }
                 self.items.remove(&key);
                 self.removals.insert(key.clone(), revision);
-                self.bound_removals();
+                self.trim_removals();
                 Some(MirrorChange::Absent(key))
             }
         }
@@ -152,7 +152,7 @@
     /// What this copy has beyond one that is whole up to `since`; `None` when
     /// it does not remember all removals since then.
     pub fn delta(&self, since: Revision) -> Option<MirrorDelta> {
-        if since < self.removals_from {
+        if since < self.removals_since {
             return None;
         }
         let newer = self.items.values().filter(|item| item.revision > since);
@@ -172,14 +172,14 @@
     }
 
     /// Forgets the older half of the removals when there are too many.
-    fn bound_removals(&mut self) {
-        if self.removals.len() <= MOST_REMOVALS {
+    fn trim_removals(&mut self) {
+        if self.removals.len() <= MAX_REMOVALS {
             return;
         }
         let mut revisions: Vec<Revision> = self.removals.values().copied().collect();
         revisions.sort_unstable();
-        self.removals_from = revisions[revisions.len() / 2];
-        let from = self.removals_from;
+        self.removals_since = revisions[revisions.len() / 2];
+        let from = self.removals_since;
         self.removals.retain(|_, revision| *revision > from);
     }
 }
--- a/crates/metastore/tests/election.rs
+++ b/crates/metastore/tests/election.rs
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn nothing_is_tried_before_the_keys_were_seen() {
+fn no_call_is_made_before_the_keys_are_known() {
     let mut election = Election::new(config());
     assert_eq!(election.poll(at(1_000), None), None);
 }
 
 #[test]
-fn the_right_ends_before_the_lease_can_end_at_the_store() {
+fn authority_ends_before_the_lease_can_expire_in_the_store() {
     let election = elected();
     // The lease was asked for at 60 ms, so the store ends it at 2,060 at the
     // earliest.
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn a_frozen_granter_has_no_right_when_it_wakes() {
+fn paused_granter_has_no_authority_when_it_resumes() {
     let election = elected();
     assert!(election.authority(at(9_000)).is_none());
 }
 
 #[test]
-fn a_renewal_that_succeeds_late_proves_that_the_lease_lasted() {
+fn late_successful_renewal_restores_authority() {
     let mut election = elected();
     let call = election.poll(at(5_000), Some((None, None)));
     assert!(matches!(call, Some(StoreCall::KeepLease { .. })));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_lease_lost_unseen_ends_the_term() {
+fn expired_lease_ends_the_term() {
     let mut election = elected();
     election.poll(at(5_000), Some((None, None)));
     election.handle(at(5_010), &StoreOutcome::Absent);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_epoch_rises_above_the_one_in_the_store() {
+fn new_epoch_is_above_the_stored_one() {
     let mut election = Election::new(config());
     let epoch = item("epoch", borsh::to_vec(&Epoch(41)).expect("encodes"), 3);
     election.poll(at(0), Some((None, Some(&epoch))));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_taking_whose_answer_was_lost_is_seen_in_the_store() {
+fn acquisition_with_a_lost_answer_is_recognized_in_the_store() {
     let mut election = Election::new(config());
     election.poll(at(0), Some((None, None)));
     election.poll(at(60), Some((None, None)));
@@ -151,7 +151,7 @@
 /// An earlier run of the node has ended, and its right with it; its lease would keep
 /// the place for two seconds. The place must still be as it was seen.
 #[test]
-fn another_run_of_the_same_node_is_another_holder() {
+fn key_of_a_previous_run_is_replaced_at_once() {
     let mut election = Election::new(config());
     let seen = held_by("node", 7_000);
     let call = election.poll(at(500), Some((Some(&seen), None)));
@@ -174,7 +174,7 @@
 
 /// A process of that name elsewhere may be alive.
 #[test]
-fn the_place_of_a_node_at_another_address_is_left_alone() {
+fn key_of_a_node_at_another_address_is_not_replaced() {
     for seen in [held_by("node", 7_001), held_by("other", 7_000)] {
         let mut election = Election::new(config());
         assert_eq!(election.poll(at(500), Some((Some(&seen), None))), None);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn resigning_ends_the_right_at_once() {
+fn resigning_ends_authority_at_once() {
     let mut election = elected();
     let call = election.resign();
     assert!(matches!(call, Some(StoreCall::RevokeLease { .. })));
@@ -192,7 +192,7 @@
     assert_eq!(election.poll(at(10_000), Some((None, None))), None);
 }
 
-fn of_run(run: u64, epoch: u64, revision: u64) -> Item {
+fn granter_item(run: u64, epoch: u64, revision: u64) -> Item {
     let record = GranterRecord {
         node: "node".to_owned(),
         run,
@@ -209,14 +209,14 @@
 /// Guards against a granter that goes on with its term in a store that went back: another
 /// one may have had the place since the state that the store is in again.
 #[test]
-fn a_new_era_ends_the_right_and_it_is_won_again_at_once_in_a_higher_term() {
+fn new_era_ends_authority_and_the_key_is_reacquired_in_a_higher_term() {
     let mut election = elected();
     let era = StoreEra(3);
     election.begin_era(era);
     assert!(election.authority(at(130)).is_none());
-    let place = of_run(7, 1, 2);
+    let granter = granter_item(7, 1, 2);
     let epoch = item("epoch", borsh::to_vec(&Epoch(1)).expect("encodes"), 2);
-    let call = election.poll(at(200), Some((Some(&place), Some(&epoch))));
+    let call = election.poll(at(200), Some((Some(&granter), Some(&epoch))));
     let Some(StoreCall::Commit(transaction)) = call else {
         panic!("not a taking of the place: {call:?}");
     };
@@ -230,7 +230,7 @@
 
 /// Guards against a term that begins twice, since the store forgot the first one.
 #[test]
-fn terms_of_an_era_are_above_all_that_the_eras_before_can_have_had() {
+fn epochs_of_an_era_are_above_those_of_earlier_eras() {
     let many = 60_000;
     for era in [0, 1, 2, 40, 9_000] {
         let last = Epoch::first_of(StoreEra(era)).0 + many;
@@ -242,7 +242,7 @@
 /// Guards against a node that takes the place of another one by force, since it had the place
 /// itself before the store went back.
 #[test]
-fn the_place_of_another_node_is_left_to_it_in_a_new_era() {
+fn key_of_another_node_is_not_replaced_in_a_new_era() {
     let mut election = elected();
     election.begin_era(StoreEra(1));
     let record = GranterRecord {
@@ -251,9 +251,9 @@
         epoch: Epoch(1),
         peer_address: ([127, 0, 0, 2], 7_000).into(),
     };
-    let place = item("granter", borsh::to_vec(&record).expect("encodes"), 2);
+    let granter = item("granter", borsh::to_vec(&record).expect("encodes"), 2);
     for millis in [200, 400, 1_000] {
-        let call = election.poll(at(millis), Some((Some(&place), None)));
+        let call = election.poll(at(millis), Some((Some(&granter), None)));
         assert!(
             !matches!(call, Some(StoreCall::Commit(_))),
             "at {millis} ms"
@@ -264,12 +264,12 @@
 /// Guards against a granter that waits for its own old lease where the store goes back again
 /// before it has won its place.
 #[test]
-fn the_place_is_won_again_at_once_after_two_eras_in_a_row() {
+fn key_is_reacquired_at_once_after_two_new_eras() {
     let mut election = elected();
     election.begin_era(StoreEra(1));
     election.begin_era(StoreEra(2));
-    let place = of_run(7, 1, 2);
+    let granter = granter_item(7, 1, 2);
     let epoch = item("epoch", borsh::to_vec(&Epoch(1)).expect("encodes"), 2);
-    let call = election.poll(at(200), Some((Some(&place), Some(&epoch))));
+    let call = election.poll(at(200), Some((Some(&granter), Some(&epoch))));
     assert!(matches!(call, Some(StoreCall::Commit(_))), "{call:?}");
 }
--- a/crates/metastore/tests/mirror.rs
+++ b/crates/metastore/tests/mirror.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_older_reading_is_ignored() {
+fn older_snapshot_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 9)]);
     assert!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_page_read_early_does_not_undo_what_a_watch_told() {
+fn stale_page_does_not_undo_a_watch_event() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 9)]);
     mirror.apply(Revision::new(12), vec![StoreEvent::Put(item("a", 12))]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_removal_that_is_older_than_the_item_is_ignored() {
+fn removal_older_than_the_item_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 10)]);
     let removed = StoreEvent::Removed {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_reading_tells_what_is_absent() {
+fn snapshot_reports_absent_keys() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(1), vec![item("a", 1), item("b", 1)]);
     let changes = mirror.replace(Revision::new(2), vec![item("b", 1)]);
@@ -61,27 +61,27 @@
 }
 
 quickcheck! {
-    fn the_revision_never_falls(steps: Vec<(u8, bool)>) -> bool {
+    fn revision_never_decreases(steps: Vec<(u8, bool)>) -> bool {
         let mut mirror = Mirror::default();
         let mut last = None;
-        steps.into_iter().all(|(revision, whole)| {
+        steps.into_iter().all(|(revision, is_snapshot)| {
             let at = Revision::new(revision.into());
-            if whole {
+            if is_snapshot {
                 mirror.replace(at, vec![item("a", revision.into())]);
             } else {
                 mirror.apply(at, vec![StoreEvent::Put(item("a", revision.into()))]);
             }
-            let rose = mirror.revision() >= last;
+            let did_not_decrease = mirror.revision() >= last;
             last = mirror.revision();
-            rose
+            did_not_decrease
         })
     }
 }
 
 /// What one copy has beyond another makes the other equal to it.
 #[test]
-fn a_difference_brings_an_older_copy_level() {
-    fn levels(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>) -> bool {
+fn delta_brings_an_older_mirror_up_to_date() {
+    fn catches_up(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>) -> bool {
         let mut ahead = Mirror::default();
         ahead.replace(Revision::new(1), Vec::new());
         let mut revision = 1;
@@ -112,11 +112,11 @@
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(50, SEED))
-        .quickcheck(levels as fn(Vec<(u8, bool)>, Vec<(u8, bool)>) -> bool);
+        .quickcheck(catches_up as fn(Vec<(u8, bool)>, Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
-fn a_copy_that_forgot_removals_gives_no_difference() {
+fn mirror_without_the_removals_returns_no_delta() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), Vec::new());
     assert!(mirror.delta(Revision::new(9)).is_none());
@@ -153,7 +153,7 @@
 /// Guards against a copy that refuses the store's readings after it came back from an older
 /// copy, whose numbers are lower.
 #[test]
-fn a_reading_of_a_later_era_counts_whatever_its_number() {
+fn snapshot_of_a_later_era_replaces_higher_revision_numbers() {
     let mut mirror = Mirror::default();
     let old = vec![
         item_at("a", Revision::new(80)),
@@ -170,7 +170,7 @@
 
 /// Guards against changes that are applied to a state of the store that the copy never had.
 #[test]
-fn changes_of_another_era_are_not_taken_before_it_was_read() {
+fn events_of_another_era_are_ignored_before_a_snapshot() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(100), vec![item_at("a", Revision::new(80))]);
     let put = StoreEvent::Put(item_at("c", later(101)));
@@ -180,7 +180,7 @@
 
 /// Guards against another node's copy of an era before that is taken for a part of this one.
 #[test]
-fn what_a_copy_of_an_earlier_era_lacks_is_everything() {
+fn no_delta_is_returned_across_eras() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(100), vec![item_at("a", Revision::new(80))]);
     mirror.replace(later(60), vec![item_at("a", later(55))]);
