--- a/crates/catalog/src/configuration.rs
+++ b/crates/catalog/src/configuration.rs
@@ -1,11 +1,11 @@
-//! One version of what operators declared.
+//! The operators' configuration of routes and services.
 
 use beamtray_types::ServiceName;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::time::Duration;
 
-/// Version of a configuration; later ones are higher, with gaps.
+/// Version of a configuration. Versions increase, not necessarily by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigurationVersion(pub u64);
 
@@ -18,71 +18,71 @@
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedBackend {
-    /// The service.
+    /// Service that receives the requests.
     pub service: ServiceName,
     /// Share of the route's requests, relative to the other backends.
     pub weight: u32,
 }
 
-/// What becomes of the requests of one host below one path prefix.
+/// How requests for one host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that the requests name.
+    /// Host that requests are addressed to.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     pub path_prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub repeatable: bool,
-    /// Longest time that a request is held.
+    /// Maximum time that the router holds a request.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Target latency; a response has its full value within this time.
     pub target_latency: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Most upstreams that one request is sent to.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
-    /// Services that share the requests; one at least.
+    /// Services that share the requests; at least one.
     pub backends: Vec<WeightedBackend>,
 }
 
-/// What holds for every upstream of a service.
+/// Settings that apply to every upstream of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: String,
-    /// Most connections that one upstream takes from all callers together.
+    /// Maximum number of connections that one upstream accepts from all callers together.
     pub max_connections: u32,
-    /// Whether each key is held by one upstream alone.
+    /// Whether the service is sharded: each key is held by exactly one upstream.
     pub sharded: bool,
-    /// How long keys are slow at an upstream that took them without handover.
+    /// How long requests for a key are slow at an upstream that acquired it without a handover.
     pub warm_up: Duration,
-    /// What an upstream takes while it is cold; none where that is not bounded.
+    /// Limit on requests to an upstream while it is cold; none if not limited.
     pub cold_start: Option<ColdStart>,
 }
 
-/// What an upstream takes right after its start, while it is cold.
+/// Request limit of an upstream right after its start, while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// How long it stays cold.
+    /// How long the upstream stays cold.
     pub duration: Duration,
-    /// Requests a second that it handles meanwhile.
+    /// Requests per second that it handles during that time.
     pub rate: f64,
 }
 
-/// Bounds on what a client may send.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a request head to arrive.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
@@ -97,40 +97,40 @@
     }
 }
 
-/// One version of what operators declared.
+/// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// Version of this configuration.
     pub version: ConfigurationVersion,
-    /// The routes.
+    /// Configured routes.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Configured services.
     pub services: Vec<ServiceConfig>,
-    /// Bounds on clients.
+    /// Limits on clients.
     pub limits: ClientLimits,
 }
 
-/// Why a configuration can't be put in force.
+/// Why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// A route names a service that is not there.
+    /// A route names a service that the configuration does not define.
     UnknownService {
         /// The route.
         route: String,
         /// The service.
         service: ServiceName,
     },
-    /// A route has no backend with a weight above zero.
+    /// A route has no backend with a positive weight.
     NoBackend {
         /// The route.
         route: String,
     },
-    /// A route allows no attempt.
+    /// The maximum number of attempts of a route is zero.
     NoAttempts {
         /// The route.
         route: String,
     },
-    /// A path prefix lacks a slash at its begin or end.
+    /// A path prefix lacks its leading or trailing slash.
     Prefix {
         /// The route.
         route: String,
@@ -141,12 +141,20 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownService { route, service } => {
-                write!(formatter, "route {route}: service {service} is not there")
+                write!(formatter, "route {route}: unknown service {service}")
             }
-            Self::NoBackend { route } => write!(formatter, "route {route}: no backend has weight"),
-            Self::NoAttempts { route } => write!(formatter, "route {route}: no attempt is allowed"),
+            Self::NoBackend { route } => {
+                write!(formatter, "route {route}: no backend has a positive weight")
+            }
+            Self::NoAttempts { route } => write!(
+                formatter,
+                "route {route}: the maximum number of attempts is zero"
+            ),
             Self::Prefix { route } => {
-                write!(formatter, "route {route}: prefix lacks a slash at an end")
+                write!(
+                    formatter,
+                    "route {route}: path prefix must begin and end with a slash"
+                )
             }
         }
     }
@@ -155,10 +163,10 @@
 impl std::error::Error for ConfigurationError {}
 
 impl Configuration {
-    /// Checks what a request would otherwise trip over.
+    /// Validates the routes, so that errors surface before requests are routed.
     ///
     /// # Errors
-    /// [`ConfigurationError`] names the first route that can't be served.
+    /// Returns a [`ConfigurationError`] for the first invalid route.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         let services: BTreeSet<&ServiceName> = self.services.iter().map(|s| &s.name).collect();
         self.routes
@@ -166,7 +174,7 @@
             .try_for_each(|route| check_route(route, &services))
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceConfig> {
         self.services.iter().find(|service| service.name == *name)
     }
--- a/crates/catalog/src/directory.rs
+++ b/crates/catalog/src/directory.rs
@@ -1,14 +1,14 @@
 //! A node's view of the registered upstreams.
 //!
-//! A registration that vanishes while the metadata store is sound means that
-//! the upstream left. One that vanishes right after an outage of the store, or
-//! together with many others, proves nothing: leases ran out while upstreams
-//! could not renew them. Such an upstream is kept as *unconfirmed* until it
-//! registers again, another one answers at its address, or it has had enough
-//! time to register again.
+//! A registration that disappears while the metadata store is healthy means that the
+//! upstream left. One that disappears right after a store outage, or together with many
+//! others, is inconclusive: its lease may have expired because the upstream could not renew
+//! it. Such an upstream is kept as *unconfirmed* until it registers again, another upstream
+//! answers at its address, or it has had enough time to register again.
 //!
-//! The doubt must be short. A node that was cut off alone sees the same, and
-//! must not send to upstreams that left meanwhile once it counts as connected.
+//! The unconfirmed period must be short. A node that alone was cut off from the store sees
+//! the same, and once it counts as connected again it must not send requests to upstreams
+//! that left in the meantime.
 
 use crate::evacuation::Evacuations;
 use crate::incarnations::{Incarnations, Observation};
@@ -19,61 +19,59 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Part of all registrations, in percent, that do not vanish together unless
-/// something is wrong with the store.
+/// Share of all registrations, in percent, above which a simultaneous loss is attributed to
+/// a store failure.
 const MASS_LOSS_PERCENT: usize = 40;
 
-/// How long late writes of an upstream that was found gone are expected.
+/// How long late writes of an upstream that is gone are expected.
 const GONE_RETENTION: Duration = Duration::from_secs(120);
-/// Between looks for upstreams that need not be remembered any more.
+/// Interval between cleanups of outdated records.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Timing of a directory.
+/// Timing parameters of a [`Directory`].
 #[derive(Clone, Copy, Debug)]
 pub struct DirectoryPolicy {
-    /// How long after the store's last trouble a vanished registration proves
-    /// nothing.
+    /// How long after the last store failure a missing registration is inconclusive.
     pub outage_grace: Duration,
-    /// How long an upstream has to register again after its registration
-    /// vanished.
+    /// How long an unconfirmed upstream is kept while waiting for it to register again.
     pub reregistration_timeout: Duration,
 }
 
-/// An upstream as the directory holds it.
+/// A registered upstream.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    /// What it said last.
+    /// Its latest registration record.
     pub record: Rc<UpstreamRecord>,
-    /// When its warm-up ends.
+    /// Time at which its warm-up ends.
     pub warm_at: Time,
-    /// Until when it counts as cold whatever its entry says.
+    /// Time until which it counts as cold regardless of its entry.
     cold_until: Time,
-    /// Since when its registration is missing without proof that it left.
+    /// When its registration went missing, if it is not known to have left.
     pub unconfirmed_since: Option<Time>,
 }
 
-/// What a new view changed, for the log.
+/// A change of the directory, for logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// An upstream appeared or changed what it says.
+    /// An upstream registered or changed its state.
     Registered(UpstreamId, UpstreamState),
-    /// An upstream is gone.
+    /// An upstream was removed.
     Removed(UpstreamId),
-    /// A registration is missing, which proves nothing now.
+    /// A registration is missing, which is inconclusive.
     Unconfirmed(UpstreamId),
-    /// An upstream says in its answers that it leaves.
+    /// An upstream reported that it is leaving.
     Leaves(UpstreamId),
-    /// The upstreams of a zone are to get nothing.
+    /// A zone was evacuated: its upstreams receive no requests.
     Evacuated(Zone),
-    /// They may get work again.
+    /// The evacuation of a zone ended.
     Readmitted(Zone),
-    /// An upstream started again under its name: the incarnation before has ended.
+    /// An upstream restarted under the same name: the previous incarnation has ended.
     Restarted {
-        /// The incarnation before.
+        /// The previous incarnation.
         earlier: UpstreamId,
-        /// The one that counts now.
+        /// The current incarnation.
         later: UpstreamId,
-        /// Where the earlier one listened, or the later one if that is not known.
+        /// Address of the earlier incarnation, or of the later one if that is unknown.
         address: SocketAddr,
     },
 }
@@ -83,29 +81,29 @@
 pub struct Directory {
     policy: DirectoryPolicy,
     upstreams: BTreeMap<UpstreamId, Registration>,
-    /// Counts the changes: who keeps an index of its own follows it by this.
+    /// Number of changes, by which derived indexes detect that they are out of date.
     change_count: u64,
-    /// Upstreams that are unconfirmed.
+    /// The unconfirmed upstreams.
     unconfirmed: BTreeSet<UpstreamId>,
     next_cleanup: Time,
     last_store_failure: Option<Time>,
-    /// When some node was last known to have the store's answers to all of its calls. It is
-    /// judged anew at each time at which registrations vanish.
+    /// Last time at which some node was known to have responses to all of its store calls.
+    /// Only a report for the very time at which registrations go missing is used.
     last_store_healthy: Option<Time>,
-    /// Upstreams that were found gone, and when.
+    /// Upstreams known to be gone, and when that was established.
     gone: BTreeMap<UpstreamId, Time>,
-    /// Upstreams that said in answers or in their entries that they leave, and when that was
-    /// first heard. None comes back from that as the same incarnation; an entry that says
-    /// otherwise is older, and the store may have gone back to it.
+    /// Upstreams that reported in responses or entries that they are leaving, and when that
+    /// was first learned. An incarnation never returns from that state; an entry that says
+    /// otherwise is older, and the store may have reverted to it.
     leaving: BTreeMap<UpstreamId, Time>,
-    /// Zones whose upstreams are to get nothing.
+    /// The evacuated zones.
     evacuations: Evacuations,
-    /// Which incarnation counts where an upstream started again under its name.
+    /// The incarnations of each upstream name.
     incarnations: Incarnations,
 }
 
 impl Directory {
-    /// An empty view.
+    /// Creates an empty directory.
     pub fn new(policy: DirectoryPolicy) -> Self {
         Self {
             policy,
@@ -122,35 +120,34 @@
         }
     }
 
-    /// Number of changes so far; an index that was made at this number is still
-    /// right.
+    /// Returns the number of changes so far; an index built at the same number is up to date.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// Puts another timing in force.
+    /// Replaces the timing parameters.
     pub fn set_policy(&mut self, policy: DirectoryPolicy) {
         self.policy = policy;
     }
 
-    /// Notes that the store failed to answer at that time, or said that it lost
-    /// history.
+    /// Records that the store failed to respond at that time, or reported lost history.
     pub fn note_store_failure(&mut self, at: Time) {
         self.last_store_failure = self.last_store_failure.max(Some(at));
     }
 
-    /// Notes that some node has the answers to all of its calls. Trouble that others have
-    /// with the store is then their path's: leases did not run out for lack of a store.
+    /// Records that some node has responses to all of its store calls. Failures seen by other
+    /// nodes are then due to their connection to the store: no lease expired for lack of it.
     pub fn note_store_healthy(&mut self, at: Time) {
         self.last_store_healthy = self.last_store_healthy.max(Some(at));
     }
 
-    /// Takes a registration. One of an upstream that was found gone, or that has started
-    /// again since, is a late write of that upstream and changes nothing.
+    /// Applies a registration. A registration of an upstream that is known to be gone, or
+    /// that has restarted since, is a late write and is ignored.
     ///
-    /// Two upstreams may claim one address for a while, the one that ended and
-    /// the one that has the address now, and either may be the newer entry: a
-    /// dead upstream's write can come late. Only the address itself tells.
+    /// Two upstreams may have the same address for a while, the one that ended and the one
+    /// that uses the address now, and either entry may be the newer one, since a dead
+    /// upstream's write can arrive late. Only a response from the address shows which one
+    /// is live.
     pub fn register(&mut self, now: Time, record: UpstreamRecord) -> Vec<DirectoryChange> {
         if self.gone.contains_key(&record.id) {
             return Vec::new();
@@ -162,7 +159,7 @@
         }
     }
 
-    /// Lets an incarnation take the place of the one before.
+    /// Replaces an incarnation by a later one of the same name.
     fn replace_incarnation(
         &mut self,
         now: Time,
@@ -208,7 +205,7 @@
         changed.then_some(change)
     }
 
-    /// Lets the upstreams of a zone get nothing from now on.
+    /// Begins the evacuation of a zone: its upstreams receive no requests.
     pub fn evacuate(&mut self, now: Time, zone: Zone) -> Option<DirectoryChange> {
         if !self.evacuations.begin(now, zone.clone()) {
             return None;
@@ -217,8 +214,8 @@
         Some(DirectoryChange::Evacuated(zone))
     }
 
-    /// Ends the evacuation of a zone; `warm_up` tells for how long upstreams of a service may
-    /// be cold after it.
+    /// Ends the evacuation of a zone; `warm_up` returns how long the upstreams of a service
+    /// may be cold afterwards.
     pub fn readmit(
         &mut self,
         now: Time,
@@ -237,12 +234,12 @@
         Some(DirectoryChange::Readmitted(zone))
     }
 
-    /// Since when an upstream is to get nothing, its zone being evacuated.
+    /// Returns when the evacuation of the upstream's zone began, if one is in force.
     pub fn evacuated_since(&self, registration: &Registration) -> Option<Time> {
         self.evacuations.since(&registration.record.zone)
     }
 
-    /// Takes the absence of registrations that vanished together.
+    /// Handles registrations that went missing together.
     pub fn handle_missing(&mut self, now: Time, names: &[UpstreamName]) -> Vec<DirectoryChange> {
         for name in names {
             self.incarnations.observe_absence(now, name);
@@ -280,15 +277,15 @@
         Some(DirectoryChange::Unconfirmed(id.clone()))
     }
 
-    /// Removes an upstream at whose address another one answers.
+    /// Removes an upstream that is known to be gone: another one answers at its address.
     pub fn confirm_gone(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
         self.gone.insert(id.clone(), now);
         self.remove(id)
     }
 
-    /// Takes an upstream's word that it leaves, from an answer. It holds for as long as this
-    /// incarnation is there, whatever its entry says: the store may not have been told yet, or
-    /// an entry may have been written before the answer.
+    /// Marks an upstream as leaving, as reported in a response. This applies to the
+    /// incarnation for as long as it exists, whatever its entry says: the store may not have
+    /// the change yet, or the entry may have been written before the response.
     pub fn mark_leaving(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
         if self.leaving.contains_key(id) || self.gone.contains_key(id) {
             return None;
@@ -301,14 +298,15 @@
         Some(DirectoryChange::Leaves(id.clone()))
     }
 
-    /// Upstreams that said that they leave and are still there, as far as known.
+    /// Returns the upstreams that reported that they are leaving and are still registered.
     pub fn leaving(&self) -> impl Iterator<Item = &UpstreamId> {
         let ids = self.leaving.keys();
         ids.filter(|id| self.upstreams.contains_key(id))
     }
 
-    /// Removes an upstream whose entry names it no more: that is no lapse of a lease, so
-    /// there is nothing to wait for, and no proof that it ended, so it may come back.
+    /// Removes an upstream whose entry no longer describes it. This is not an expired lease,
+    /// so there is nothing to wait for, and not evidence that the upstream ended, so it may
+    /// register again.
     pub fn withdraw(&mut self, now: Time, name: &UpstreamName) -> Option<DirectoryChange> {
         self.incarnations.observe_absence(now, name);
         let id = self.registered(name)?.record.id.clone();
@@ -322,7 +320,8 @@
         Some(DirectoryChange::Removed(id.clone()))
     }
 
-    /// Removes unconfirmed upstreams that had enough time.
+    /// Drops outdated records, applies due reinstatements and removes unconfirmed upstreams
+    /// that did not register again in time.
     pub fn expire(&mut self, now: Time) -> Vec<DirectoryChange> {
         let mut changes = Vec::new();
         if now >= self.next_cleanup {
@@ -359,22 +358,22 @@
         self.incarnations.expire(now, is_registered)
     }
 
-    /// The incarnation of that name that counts.
+    /// Returns the registration of the current incarnation of a name.
     pub fn registered(&self, name: &UpstreamName) -> Option<&Registration> {
         registered(&self.upstreams, name)
     }
 
-    /// The upstream of that id.
+    /// Returns the registration of an incarnation.
     pub fn get(&self, id: &UpstreamId) -> Option<&Registration> {
         self.upstreams.get(id)
     }
 
-    /// All upstreams.
+    /// Returns all registered upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &Registration> {
         self.upstreams.values()
     }
 
-    /// Upstreams of a service that take new work.
+    /// Returns the upstreams of a service that accept new work.
     pub fn ready<'a, 'b>(
         &'a self,
         service: &'b ServiceName,
@@ -386,7 +385,7 @@
     }
 }
 
-/// The registration of a name: there is one at most.
+/// Returns the registration of a name, of which there is at most one.
 fn registered<'a>(
     upstreams: &'a BTreeMap<UpstreamId, Registration>,
     name: &UpstreamName,
--- a/crates/catalog/src/evacuation.rs
+++ b/crates/catalog/src/evacuation.rs
@@ -1,32 +1,32 @@
-//! Zones whose upstreams are to get nothing, by the operators' word.
+//! Zones that operators have evacuated, whose upstreams receive no requests.
 //!
-//! An evacuation holds from when a node hears of it until the node hears that it was taken
-//! back. The upstreams may have gone cold meanwhile, and an entry that says otherwise may be
-//! older than that, so all of them count as cold for a while after it.
+//! An evacuation is in force from when a node learns of it until the node learns of its end.
+//! Upstreams may have gone cold during it, and an entry that claims otherwise may predate
+//! it, so all upstreams of the zone are treated as cold for some time afterwards.
 
 use beamtray_types::{Time, Zone};
 use std::collections::BTreeMap;
 
-/// The evacuations that are in force.
+/// The evacuations in force, by zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evacuations {
     since: BTreeMap<Zone, Time>,
 }
 
 impl Evacuations {
-    /// Begins one; whether it was not in force before.
+    /// Begins the evacuation of a zone. Returns whether it was not yet in force.
     pub fn begin(&mut self, now: Time, zone: Zone) -> bool {
         let is_new = !self.since.contains_key(&zone);
         self.since.entry(zone).or_insert(now);
         is_new
     }
 
-    /// Ends one; whether it was in force.
+    /// Ends the evacuation of a zone. Returns whether it was in force.
     pub fn end(&mut self, zone: &Zone) -> bool {
         self.since.remove(zone).is_some()
     }
 
-    /// Since when a zone is evacuated.
+    /// Returns when the evacuation of a zone began, if one is in force.
     pub fn since(&self, zone: &Zone) -> Option<Time> {
         self.since.get(zone).copied()
     }
--- a/crates/catalog/src/incarnations.rs
+++ b/crates/catalog/src/incarnations.rs
@@ -1,43 +1,44 @@
-//! Which incarnation of each upstream counts.
+//! Determines the current incarnation of each upstream.
 //!
-//! Births tell incarnations apart and don't order them, so the order in which their
-//! entries appeared does: one that was not seen before has replaced the one that was. The
-//! replaced one does not come back by a late write, which the store may carry out seconds
-//! after its writer ended. The living one writes over it with its next heartbeat.
+//! Start timestamps distinguish incarnations but do not order them, so incarnations are
+//! ordered by when their entries first appear: a new incarnation replaces the current one.
+//! A replaced incarnation does not return because of a late write, which the store may
+//! apply seconds after the writer has ended; the live incarnation overwrites it with its
+//! next heartbeat.
 //!
-//! A node that knows neither of two incarnations may see a late write of the dead one
-//! after the living one's entry, and take it for a restart. Then the living one's entry
-//! stands again soon and stays, which only a writer that lives can bring about: after
-//! [`REINSTATEMENT_DELAY`] it counts again. Meanwhile requests and orders reach it all the same
-//! where its address is the same, since they carry the name only.
+//! A node that knows neither of two incarnations may see a late write of the dead one after
+//! the entry of the live one, and mistake it for a restart. The live incarnation then soon
+//! overwrites the entry and keeps it, which only a live writer can do, so after
+//! [`REINSTATEMENT_DELAY`] it is current again. Until then requests and orders still reach
+//! it if its address is unchanged, since they carry only the name.
 
 use crate::upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long the entry of a replaced incarnation must stand in the store before it is
-/// believed. An entry goes after three heartbeats without a write, and heartbeats of up to
-/// 3 s are known; a late write is written over within one.
+/// How long the entry of a replaced incarnation must stay in the store before the
+/// incarnation is reinstated. An entry expires after three heartbeats without a write, with
+/// heartbeats of up to 3 s in use; a late write is overwritten within one heartbeat.
 pub const REINSTATEMENT_DELAY: Duration = Duration::from_secs(10);
-/// How long a replaced incarnation is remembered: its last write may be that late.
+/// How long a replaced incarnation is remembered, since its last write may arrive that late.
 const REPLACED_RETENTION: Duration = Duration::from_secs(120);
 
-/// What an entry says of its writer.
+/// How an observed entry relates to the known incarnations of its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Observation {
-    /// It is the incarnation that counts, as before, or the first one of its name.
+    /// The entry is of the current incarnation, or of the first one of its name.
     Current,
-    /// It counts from now on in place of that one, which has ended.
+    /// The entry is of a new incarnation that replaces the given one, which has ended.
     RestartOf(UpstreamId),
-    /// It was replaced by another; the entry came late.
+    /// The entry is a late write of a replaced incarnation.
     Replaced,
 }
 
 #[derive(Clone, Debug)]
 struct Replaced {
     since: Time,
-    /// Its entry, if that is what stands in the store, and since when.
+    /// Its entry and when that appeared, if it is the one in the store.
     reinstatement: Option<(Time, UpstreamRecord)>,
 }
 
@@ -48,14 +49,14 @@
     replaced: BTreeMap<Option<StartTimestamp>, Replaced>,
 }
 
-/// The incarnations of each name that were seen of late.
+/// The recently seen incarnations of each name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Incarnations {
     by_name: BTreeMap<UpstreamName, NameHistory>,
 }
 
 impl Incarnations {
-    /// Notes that an entry stands in the store.
+    /// Records that an entry is present in the store.
     pub fn observe_entry(&mut self, now: Time, record: &UpstreamRecord) -> Observation {
         let id = &record.id;
         let Some(history) = self.by_name.get_mut(&id.name) else {
@@ -86,7 +87,7 @@
         })
     }
 
-    /// Notes that no entry of a name stands in the store.
+    /// Records that the store has no entry for a name.
     pub fn observe_absence(&mut self, now: Time, name: &UpstreamName) {
         if let Some(history) = self.by_name.get_mut(name) {
             history.seen_at = now;
@@ -94,8 +95,9 @@
         }
     }
 
-    /// Forgets what is no longer of use; the entries of replaced incarnations that have
-    /// stood for long enough, each with the one that counted in its place.
+    /// Drops outdated records and reinstates replaced incarnations whose entries have stayed
+    /// in the store for [`REINSTATEMENT_DELAY`]. Returns the entry of each reinstated
+    /// incarnation, with the incarnation that it replaces.
     pub fn expire(
         &mut self,
         now: Time,
@@ -120,7 +122,7 @@
 }
 
 impl NameHistory {
-    /// Lets another incarnation count; the one that did.
+    /// Makes another incarnation the current one and returns the previous one.
     fn replace(&mut self, now: Time, started_at: Option<StartTimestamp>) -> Option<StartTimestamp> {
         let before = std::mem::replace(&mut self.current, started_at);
         self.seen_at = now;
@@ -140,7 +142,7 @@
         }
     }
 
-    /// The entry of a replaced incarnation that has stood for long enough.
+    /// Takes the entry of a replaced incarnation that is due for reinstatement.
     fn take_due_reinstatement(&mut self, now: Time) -> Option<UpstreamRecord> {
         let is_due = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= REINSTATEMENT_DELAY;
         let mut replaced = self.replaced.values_mut();
--- a/crates/catalog/src/leaving.rs
+++ b/crates/catalog/src/leaving.rs
@@ -1,12 +1,12 @@
-//! What upstreams say in their answers of leaving.
+//! Leaving status that upstreams report in responses.
 
-/// What an answer of an upstream says of whether the upstream leaves.
+/// Whether an upstream's response reports that it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeavingStatus {
-    /// It says nothing of it, or that it does not.
+    /// The response does not mention it, or denies it.
     NotLeaving,
-    /// It leaves: it wants no more requests.
+    /// The upstream is leaving and accepts no more requests.
     Leaving,
-    /// It says something that can't be read; nothing is learned of that.
+    /// The value is invalid and is ignored.
     Unreadable,
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators and upstreams declare: routes, services and live upstreams.
+//! Routes, services and upstreams, as declared by operators and upstreams.
 //!
-//! [`Configuration`] is one accepted version of what operators want,
-//! [`RouteTable`] finds the route of a request in it, [`Directory`] is a
-//! node's view of the upstreams that registered themselves. All pure.
+//! [`Configuration`] is one accepted version of the operators' configuration,
+//! [`RouteTable`] looks up the route of a request in it, and [`Directory`] is a node's view
+//! of the registered upstreams. Nothing in this crate performs I/O or reads a clock.
 
 mod configuration;
 mod directory;
--- a/crates/catalog/src/rate.rs
+++ b/crates/catalog/src/rate.rs
@@ -1,22 +1,22 @@
-//! Rates that upstreams name.
+//! Request rates advertised by upstreams.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::fmt;
 
-/// Rates beyond this are as good as none: no upstream gets so many requests.
+/// Rates above this have the effect of no limit, since no upstream receives that many requests.
 const MAX_RATE: f64 = 1_000_000.0;
 
-/// Requests a second. Finite and not negative.
+/// Requests per second, finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, BorshSerialize, BorshDeserialize)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// That many requests a second; `None` if it is no rate.
+    /// Returns `None` if the value is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second.min(MAX_RATE)))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -28,13 +28,13 @@
     }
 }
 
-/// What an answer of an upstream says of the rate that it takes from all nodes together.
+/// The rate that an upstream accepts from all nodes together, as stated in its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdvertisedRate {
-    /// It names none, so it takes whatever comes.
+    /// The response names no limit.
     Unlimited,
-    /// It takes no more than this.
+    /// The upstream accepts at most this rate.
     Limited(RequestRate),
-    /// It names something that is no rate; nothing is learned of that.
+    /// The value is not a valid rate and is ignored.
     Unreadable,
 }
--- a/crates/catalog/src/retry_after.rs
+++ b/crates/catalog/src/retry_after.rs
@@ -1,15 +1,14 @@
-//! Upstreams that ask for rest.
+//! Retry delays requested by upstreams.
 
 use std::time::Duration;
 
-/// What an upstream that turned a request away says of when it wants another one from the
-/// node that sent it.
+/// When an upstream that rejected a request accepts the next one from the same node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// It says nothing of it.
+    /// The response names no delay.
     Unspecified,
-    /// It wants none for so long.
+    /// Send no requests for this long.
     Delay(Duration),
-    /// It says something that is no time; nothing is learned of that.
+    /// The value is not a valid delay and is ignored.
     Unreadable,
 }
--- a/crates/catalog/src/route_table.rs
+++ b/crates/catalog/src/route_table.rs
@@ -1,10 +1,10 @@
-//! Finds the route of a request.
+//! Route lookup for requests.
 
 use crate::configuration::{Configuration, Route};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The routes of one configuration, ready for look-up.
+/// The routes of one configuration, indexed for lookup.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// Routes of each host, longest prefix first.
@@ -12,7 +12,7 @@
 }
 
 impl RouteTable {
-    /// Prepares the routes of a configuration.
+    /// Indexes the routes of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -28,8 +28,8 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix that begins `path` on that host.
-    /// `host` may carry a port, `path` a query.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
+    /// `host` may include a port, `path` a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(host) {
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! Identity and registration of upstreams.
 
 use beamtray_types::{ServiceName, Zone};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Name of an upstream, which requests and orders to it carry. A restart may keep it.
+/// Name of an upstream, carried by requests and orders to it. It may stay the same across
+/// restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct UpstreamName(pub String);
 
@@ -16,28 +17,28 @@
     }
 }
 
-/// When an upstream says that it started, in Unix milliseconds by its own time of day.
+/// Start time that an upstream reports, in Unix milliseconds by its own wall clock.
 ///
-/// That clock may step, so births tell incarnations apart; which of two is the later one
-/// they don't tell.
+/// The wall clock may step, so start timestamps distinguish incarnations but do not order
+/// them.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct StartTimestamp(pub u64);
 
-/// One incarnation of an upstream. A restart has another name, or another birth under the
-/// same one. What is remembered of an upstream is remembered of its incarnation, so that a
-/// restart begins with nothing.
+/// One incarnation of an upstream. A restart has a different name, or a different start
+/// timestamp under the same name. State about an upstream is kept by incarnation, so that a
+/// restarted upstream inherits none.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct UpstreamId {
-    /// Its name.
+    /// Name of the upstream.
     pub name: UpstreamName,
-    /// Its birth. Upstreams that don't tell it have one incarnation for each name.
+    /// Start timestamp. Upstreams that do not report one have a single incarnation per name.
     pub started_at: Option<StartTimestamp>,
 }
 
 impl UpstreamId {
-    /// The incarnation of that name with that birth.
+    /// Returns the incarnation with the given name and start timestamp.
     pub fn with_start(name: impl Into<String>, start: StartTimestamp) -> Self {
         Self {
             name: UpstreamName(name.into()),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether `other` is another incarnation of the same name.
+    /// Returns whether `other` is a different incarnation with the same name.
     pub fn is_restart_of(&self, other: &UpstreamId) -> bool {
         self.name == other.name && self.started_at != other.started_at
     }
@@ -75,30 +76,30 @@
     }
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It is about to end.
+    /// Is shutting down and accepts no new work.
     Draining,
 }
 
 /// An upstream's registration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamRecord {
-    /// Its incarnation.
+    /// Incarnation of the upstream.
     pub id: UpstreamId,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: UpstreamState,
-    /// How long it stays slow after its start, as of the registration.
+    /// Remaining warm-up time, as of the registration.
     pub warm_up_left: Duration,
 }
--- a/crates/catalog/tests/directory.rs
+++ b/crates/catalog/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a missing registration proves.
+//! Handling of missing and late registrations.
 
 use beamtray_catalog::{
     Directory, DirectoryChange, DirectoryPolicy, UpstreamId, UpstreamName, UpstreamRecord,
@@ -71,8 +71,8 @@
     assert!(directory.get(&id(3)).is_none());
 }
 
-/// Found by a hunt: an upstream that left got requests 2.4 s later from a node
-/// whose store call had failed some seconds before.
+/// Guards against a node that still sends requests to an upstream 2.4 s after that left,
+/// because a store call of the node failed some seconds before.
 #[test]
 fn unconfirmed_period_ends_before_the_node_counts_as_connected() {
     let contact = Duration::from_millis(3_000);
@@ -98,9 +98,8 @@
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
 }
 
-/// Found by a day of our own: a late write of an upstream that had ended made
-/// the one that had its address since look replaced, and its keys were given
-/// away while it worked on them.
+/// Guards against a late write of an ended upstream that makes the current user of its
+/// address look replaced: its keys were reassigned while it was still working on them.
 #[test]
 fn registration_at_the_same_address_does_not_replace_another() {
     let mut directory = directory(3);
@@ -118,7 +117,7 @@
     assert!(directory.get(&id(1)).is_none());
 }
 
-/// An entry that was written before they went cold may be heard after that.
+/// An entry written before the upstreams went cold may be received afterwards.
 #[test]
 fn upstreams_of_a_readmitted_zone_are_cold_whatever_their_entries_say() {
     let mut directory = directory(2);
@@ -138,8 +137,8 @@
     }
 }
 
-/// Guards against an upstream that leaves and is ready again by an older entry, to which the
-/// store has gone back, or which was written before an answer told of its leaving.
+/// Guards against a leaving upstream that becomes ready again because of an older entry: one
+/// that the store has reverted to, or one written before the response that reported leaving.
 #[test]
 fn older_entry_does_not_make_a_leaving_upstream_ready() {
     let mut directory = directory(3);
@@ -156,7 +155,7 @@
     assert_eq!(state(2), Some(UpstreamState::Ready));
 }
 
-/// The same after its entry was gone for a while.
+/// As above, after the upstream's entry was missing for a while.
 #[test]
 fn leaving_upstream_stays_draining_after_its_entry_was_missing() {
     let mut directory = directory(3);
--- a/crates/catalog/tests/incarnations.rs
+++ b/crates/catalog/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which of two incarnations of one name counts.
+//! Which of several incarnations of a name is the current one.
 
 use beamtray_catalog::{
     Directory, DirectoryChange, DirectoryPolicy, REINSTATEMENT_DELAY, StartTimestamp, UpstreamId,
@@ -13,7 +13,7 @@
     outage_grace: Duration::from_millis(500),
     reregistration_timeout: Duration::from_millis(1_600),
 };
-/// How late a dead writer's entry may still come.
+/// Maximum delay of a write by an upstream that has ended.
 const MAX_WRITE_DELAY_MILLIS: u64 = 6_000;
 
 fn at(millis: u64) -> Time {
@@ -44,7 +44,7 @@
     Directory::new(POLICY)
 }
 
-/// Whom the directory holds.
+/// Ids of the registered upstreams.
 fn registered_ids(directory: &Directory) -> Vec<UpstreamId> {
     let registered_ids = directory.iter();
     registered_ids.map(|one| one.record.id.clone()).collect()
@@ -97,7 +97,8 @@
     assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
-/// A node that knew neither of them sees a late write after the living one's entry.
+/// A node that knows neither incarnation sees a late write of the dead one after the entry of
+/// the live one.
 #[test]
 fn persistent_entry_reinstates_its_incarnation() {
     let mut directory = directory();
@@ -153,9 +154,9 @@
 }
 
 quickcheck! {
-    /// Incarnations follow one another, each writes each second while it lives, and each
-    /// may leave one write that comes late: whoever lives is held within a second of its
-    /// first entry, and from then on.
+    /// Incarnations follow one another, each writes every second while it is live, and each
+    /// may leave one late write: the live incarnation is registered as of its first entry
+    /// and remains so.
     fn live_incarnation_is_registered(starts: Vec<u8>, late: Vec<Option<u16>>) -> bool {
         const LIFETIME_MILLIS: u64 = 8_000;
         let mut starts = starts;
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -1,4 +1,4 @@
-//! Reading the clocks of the system.
+//! Access to the system clocks.
 
 use beamtray_types::Time;
 use nix::time::{ClockId, clock_gettime};
@@ -6,15 +6,15 @@
 use std::io;
 use std::time::Duration;
 
-/// Two clocks that both only go forward.
+/// A pair of clocks, neither of which goes backwards.
 pub trait ClockSource {
-    /// Time since the machine's start, the time in which it was suspended included.
+    /// Time since the machine booted, including time suspended.
     fn boot(&self) -> Duration;
-    /// The same without that time.
+    /// Time since the machine booted, excluding time suspended.
     fn monotonic(&self) -> Duration;
 }
 
-/// The system's clocks.
+/// The system's boot and monotonic clocks.
 #[derive(Debug)]
 pub struct SystemClocks {
     boot: Cell<Duration>,
@@ -22,10 +22,10 @@
 }
 
 impl SystemClocks {
-    /// Reads both clocks once.
+    /// Takes an initial reading of both clocks.
     ///
     /// # Errors
-    /// What the system says if it does not have one of them.
+    /// Returns the system's error if either clock is unavailable.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             boot: Cell::new(read(ClockId::CLOCK_BOOTTIME)?),
@@ -48,8 +48,8 @@
     Ok(Duration::from(clock_gettime(clock)?))
 }
 
-/// Reads a clock that could be read before. The system's only error is that it does not know
-/// the clock, so the last reading stands in for what can't happen.
+/// Reads a clock that was read successfully before. The only possible error is an unknown
+/// clock id, so the fallback to the last reading is unreachable in practice.
 fn read_or_last(last: &Cell<Duration>, clock: ClockId) -> Duration {
     if let Ok(now) = read(clock) {
         last.set(now);
@@ -57,7 +57,7 @@
     last.get()
 }
 
-/// Time of the process by the boot clock.
+/// The process's time, measured on the boot clock from a start point.
 #[derive(Debug)]
 pub struct BootClock<Source = SystemClocks> {
     source: Source,
@@ -65,24 +65,24 @@
 }
 
 impl<Source: ClockSource> BootClock<Source> {
-    /// A clock that begins now.
+    /// Creates a clock whose zero is the current time.
     pub fn start(source: Source) -> Self {
         let start = source.boot();
         Self { source, start }
     }
 
-    /// Time since the clock's start.
+    /// Returns the time elapsed since the clock was started.
     pub fn now(&self) -> Time {
         let elapsed = self.source.boot().saturating_sub(self.start);
         Time::ZERO + elapsed
     }
 
-    /// How long it is until then; zero when it is past.
+    /// Returns the time remaining until `time`, or zero if it has passed.
     pub fn until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
 
-    /// The clocks that it reads.
+    /// Returns the underlying clock source.
     pub fn source(&self) -> &Source {
         &self.source
     }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,14 +1,14 @@
-//! The clock that a process decides by.
+//! The process clock, which includes time spent suspended.
 //!
-//! A machine may be suspended for seconds. The steady clock, by which timers fire, does
-//! not count that time; the boot clock does. Leases, holds, deadlines and the age of what
-//! was heard are all counted from moments that other machines count from too, so they are
-//! read off the boot clock. Counter-case: a granter that counts its lease on the steady
-//! clock believes after 6 s asleep that it has it still, while another one has taken its
-//! place and given its keys away.
+//! A machine may be suspended for seconds. The monotonic clock, which drives timers, does
+//! not advance during that time; the boot clock does. Leases, holds, deadlines and the age
+//! of received data are shared with other machines, so they are measured on the boot clock.
+//! On the monotonic clock, a granter suspended for 6 s would still consider its lease valid
+//! while another granter has replaced it and reassigned its keys.
 //!
-//! Timers may stay steady: they end late, never early, and what is due is looked at again
-//! after each. [`SuspendDetector`] tells when that is needed.
+//! Timers may use the monotonic clock: they fire late, never early, and deadlines are
+//! checked again whenever one fires. [`SuspendDetector`] reports when a suspension makes an
+//! additional check necessary.
 
 mod boot;
 mod suspend;
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -1,11 +1,11 @@
-//! The process's clock where the steady one stands still.
+//! The process clock and the suspend detector across suspensions of the machine.
 
 use beamtray_clock::{BootClock, ClockSource, SuspendDetector, SystemClocks};
 use beamtray_types::Time;
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A machine that runs and is suspended as told.
+/// A simulated machine with explicit running and suspended time.
 #[derive(Default)]
 struct Machine {
     monotonic: Cell<Duration>,
@@ -62,7 +62,7 @@
     assert_eq!(detector.suspended_for(&&machine), None);
 }
 
-/// A machine that gives its process no processor after some readings.
+/// A machine that preempts the process after each clock reading while `preempts` is set.
 #[derive(Default)]
 struct Preempted {
     machine: Machine,
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -1,160 +1,160 @@
-//! What differs from one environment to another in how the router speaks:
-//! header names, keys of the metadata store, formats of bodies.
+//! The environment-specific parts of the router's protocols: header names, metadata store
+//! keys and body formats.
 //!
-//! A [`Dialect`] translates. It decides nothing, waits for nothing and keeps
-//! nothing.
+//! A [`Dialect`] only translates: it makes no decisions, does no I/O and keeps no state.
 
 use beamtray_catalog::{AdvertisedRate, Configuration, LeavingStatus, RetryAfter, UpstreamRecord};
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use thiserror::Error;
 
-/// Why a value could not be read.
+/// A value that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{subject}: {cause}")]
 pub struct DialectError {
-    /// What was read.
+    /// The value that was decoded, such as a key or a field.
     pub subject: String,
-    /// What is wrong with it.
+    /// Why decoding failed.
     pub cause: String,
 }
 
-/// Methods of calls that the router makes.
+/// HTTP method of an outgoing call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallMethod {
-    /// Reads.
+    /// GET.
     Get,
-    /// Changes.
+    /// POST.
     Post,
-    /// Removes.
+    /// DELETE.
     Delete,
 }
 
-/// A call that the router makes, ready to be sent.
+/// An encoded outgoing HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpCall {
-    /// Method.
+    /// HTTP method.
     pub method: CallMethod,
-    /// Path with query.
+    /// Path and query.
     pub target: String,
-    /// Headers beside those of the transport.
+    /// Headers other than those set by the HTTP transport.
     pub headers: Vec<CallHeader>,
-    /// JSON body; empty for none.
+    /// JSON body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// One header of a call.
+/// A header of an outgoing call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHeader {
-    /// Name.
+    /// Header name.
     pub name: &'static str,
-    /// Value.
+    /// Header value.
     pub value: String,
 }
 
-/// An answer to such a call.
+/// The response to an [`HttpCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Value of the header that hands keys over, if there is one.
+    /// Value of the key handover header, if present.
     pub handover: Option<String>,
-    /// Id of the client's request that it says it answers, if it says so.
+    /// Value of the request id header, if present: the client request that this responds to.
     pub request_id: Option<String>,
-    /// Value of the header that tells the store's era, if there is one.
+    /// Value of the store era header, if present.
     pub store_era: Option<String>,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// Names of the headers of requests and answers, in lower case.
+/// Names of request and response headers, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Id of a request, repeated in its answer.
+    /// Request id, echoed in the response.
     pub request_id: &'static str,
-    /// How long the client waits, in milliseconds.
+    /// Time the client is willing to wait, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Incarnation of the upstream that is meant.
+    /// Incarnation of the upstream that a request is addressed to.
     pub target_upstream: &'static str,
-    /// Incarnation of the upstream that answers.
+    /// Incarnation of the upstream that sent a response.
     pub answering_upstream: &'static str,
-    /// Proof that a request has not run.
+    /// Upstream's statement that a request was not executed.
     pub not_executed: &'static str,
-    /// Signature of an upstream's answer.
+    /// Signature of an upstream's response.
     pub signature: &'static str,
-    /// Key of a request to a divided service.
+    /// Key of a request to a sharded service.
     pub shard_key: &'static str,
-    /// What a holder hands over with its keys.
+    /// State that a holder hands over together with its keys.
     pub handover: &'static str,
-    /// The metadata store's era.
+    /// Era of the metadata store.
     pub store_era: &'static str,
-    /// Requests a second that an upstream takes from all nodes together.
+    /// Requests per second that an upstream accepts from all nodes together.
     pub rate_limit: &'static str,
-    /// Tells that the upstream leaves.
+    /// Whether the upstream is leaving.
     pub leaving: &'static str,
-    /// How long an upstream that turned a request away wants none from the node.
+    /// How long the node should send no requests to an upstream that rejected one.
     pub retry_after: &'static str,
 }
 
-/// Keys of the metadata store.
+/// Keys and key prefixes in the metadata store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKeys {
-    /// Prefix of what operators write.
+    /// Prefix of the keys written by operators.
     pub operator_prefix: &'static str,
-    /// Key of the newest configuration.
+    /// Key of the current configuration.
     pub configuration: &'static str,
-    /// Prefix of the evacuations of zones: the zone's name follows, and the entry is there
-    /// for as long as the evacuation lasts, whatever its value.
+    /// Prefix of zone evacuations, followed by the zone name. The zone is evacuated while the
+    /// key exists, whatever its value.
     pub evacuation_prefix: &'static str,
-    /// Prefix of the upstreams' registrations.
+    /// Prefix of upstream registrations.
     pub upstream_prefix: &'static str,
 }
 
-/// One environment's way of speaking.
+/// Header names, store keys and encodings of one environment.
 pub trait Dialect {
-    /// Names of headers.
+    /// Returns the header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// Keys of the metadata store.
+    /// Returns the metadata store keys.
     fn keys(&self) -> &StoreKeys;
 
-    /// Puts a call to the metadata store into its format.
+    /// Encodes a call to the metadata store.
     fn encode_store(&self, call: &StoreCall) -> HttpCall;
 
-    /// Reads the store's answer to a call.
+    /// Decodes the metadata store's response to `call`.
     fn decode_store(&self, call: &StoreCall, answer: &HttpResponse) -> StoreOutcome;
 
-    /// Reads the store's era from an answer; `None` where it tells none, or none that can be
-    /// read.
+    /// Decodes the store's era from a response; `None` if it is missing or unreadable.
     fn decode_era(&self, answer: &HttpResponse) -> Option<StoreEra>;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     ///
     /// # Errors
-    /// [`DialectError`] when the value is not one.
+    /// [`DialectError`] if the value is not a valid configuration.
     fn decode_configuration(&self, value: &[u8]) -> Result<Configuration, DialectError>;
 
-    /// Reads the registration of the upstream that has `key`.
+    /// Decodes the upstream registration stored under `key`.
     ///
     /// # Errors
-    /// [`DialectError`] when the value is not one.
+    /// [`DialectError`] if the value is not a valid registration.
     fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<UpstreamRecord, DialectError>;
 
-    /// Puts an order to an upstream into its format.
+    /// Encodes an order to an upstream.
     fn encode_order(&self, order: &GrantOrder) -> HttpCall;
 
-    /// Reads an upstream's answer to an order of that kind. One that answers a
-    /// client's request came late in the place of the order's answer, which is
-    /// then not known.
+    /// Decodes an upstream's response to an order of the given kind. A response that carries a
+    /// client's request id is a late response to that request, received in place of the order's
+    /// response; the outcome of the order is then unknown.
     fn decode_order(&self, kind: &OrderKind, answer: &HttpResponse) -> GrantReply;
 
-    /// Reads what an upstream's answer says of the rate that it takes, from the values of
-    /// the header for it, in their order.
+    /// Decodes the rate that an upstream advertises, from the values of the rate limit header
+    /// in order of appearance.
     fn decode_rate(&self, values: &[&[u8]]) -> AdvertisedRate;
 
-    /// Reads what an upstream's answer says of its leaving, in the same way.
+    /// Decodes whether an upstream is leaving, from the values of the leaving header in order
+    /// of appearance.
     fn decode_leaving(&self, values: &[&[u8]]) -> LeavingStatus;
 
-    /// Reads how long an upstream that turned a request away asks for rest, in the same way.
+    /// Decodes how long to wait before the next request to an upstream that rejected one, from
+    /// the values of the retry-after header in order of appearance.
     fn decode_retry_after(&self, values: &[&[u8]]) -> RetryAfter;
 }
--- a/crates/metastore/src/call.rs
+++ b/crates/metastore/src/call.rs
@@ -1,35 +1,35 @@
-//! Calls to the metadata store and how they end.
+//! Calls to the metadata store and their outcomes.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::time::Duration;
 
-/// Number of the store's life: it rises whenever the store comes back from an older copy of
-/// itself, which takes back what it had acknowledged since.
+/// Era of the store. It increases whenever the store is restored from an older copy, which
+/// loses the writes acknowledged since that copy.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct StoreEra(pub u32);
 
-/// A state of the store: its era, and its counter of changes in that era.
+/// A state of the store: its era, and the number of changes within the era.
 ///
-/// Invariant: a later state is the greater one, whatever its counter says. A store that comes
-/// back from an older copy gives numbers out again; by numbers alone a reading of it would
-/// seem older than what it is to replace.
+/// Invariant: a later state compares greater, whatever its number. A store restored from an
+/// older copy reuses numbers; by number alone, its state would seem older than the state
+/// that it replaces.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct Revision {
-    /// The era.
+    /// Era of the store.
     pub era: StoreEra,
-    /// The store's counter of changes. 0 stands for an absent key.
+    /// The store's change counter. 0 denotes an absent key.
     pub number: u64,
 }
 
 impl Revision {
-    /// The revision of a key that is absent.
+    /// Revision of an absent key.
     pub const ABSENT: Self = Self::new(0);
 
-    /// A revision of the first era.
+    /// Creates a revision of the first era.
     pub const fn new(number: u64) -> Self {
         Self {
             era: StoreEra(0),
@@ -42,45 +42,45 @@
     }
 }
 
-/// A lease of the store.
+/// Id of a lease in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
-/// One key as the store holds it.
+/// A key with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Item {
     /// The key.
     pub key: String,
     /// Its value.
     pub value: Vec<u8>,
-    /// Its latest change.
+    /// Revision of its latest change.
     pub revision: Revision,
 }
 
-/// A key must have this revision for a transaction to take effect.
+/// A precondition of a transaction: the revision that a key must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Its revision; 0 for an absent key.
+    /// Required revision; [`Revision::ABSENT`] (number 0) for an absent key.
     pub revision: Revision,
 }
 
-/// One key to write.
+/// A write of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// The key.
     pub key: String,
     /// Its new value.
     pub value: Vec<u8>,
-    /// Lease with whose end the key vanishes.
+    /// Lease that the key is attached to: the key is removed when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// Writes that happen together, or not at all.
+/// Writes and removals that are applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// What must hold.
+    /// Preconditions, all of which must hold.
     pub conditions: Vec<Condition>,
     /// Keys to write.
     pub writes: Vec<Write>,
@@ -88,35 +88,35 @@
     pub removals: Vec<String>,
 }
 
-/// One call.
+/// A call to the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Reads one key.
+    /// Reads a key.
     Get {
         /// The key.
         key: String,
     },
-    /// Reads a page of the keys below a prefix.
+    /// Reads a page of the keys with a prefix.
     Range {
         /// The prefix.
         prefix: String,
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<String>,
     },
-    /// Waits for changes below a prefix.
+    /// Waits for changes of keys with a prefix.
     Watch {
         /// The prefix.
         prefix: String,
-        /// Changes after this revision.
+        /// Report changes after this revision.
         after: Revision,
-        /// Longest wait.
+        /// Maximum time to wait.
         wait: Duration,
     },
-    /// Writes under conditions.
+    /// Commits a transaction.
     Commit(Transaction),
-    /// Makes a lease.
+    /// Creates a lease.
     GrantLease {
-        /// Its life without renewal.
+        /// Time to live without renewal.
         ttl: Duration,
     },
     /// Renews a lease.
@@ -124,14 +124,14 @@
         /// The lease.
         lease: LeaseId,
     },
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which removes its keys.
     RevokeLease {
         /// The lease.
         lease: LeaseId,
     },
 }
 
-/// One change that a watch reports.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreEvent {
     /// A key was written.
@@ -145,58 +145,58 @@
     },
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// The key.
+    /// The key exists.
     Found(Item),
-    /// There is no such key, or no such lease.
+    /// The key or lease does not exist.
     Absent,
     /// A page of keys.
     Page {
-        /// The keys.
+        /// Keys of the page.
         items: Vec<Item>,
-        /// Whether another page follows.
+        /// Whether more pages follow.
         more: bool,
-        /// The store's revision at the reading.
+        /// Revision of the store when the page was read.
         at: Revision,
     },
-    /// Changes below a prefix, maybe none.
+    /// Changes of keys with a prefix, possibly none.
     Events {
         /// The changes, oldest first.
         events: Vec<StoreEvent>,
-        /// Revision to continue from.
+        /// Revision to continue watching from.
         at: Revision,
     },
-    /// The store has forgotten the changes asked for.
+    /// The requested changes are no longer available, since the store has compacted them.
     Compacted,
-    /// The transaction took effect.
+    /// The transaction was committed.
     Committed {
-        /// Revision of the change.
+        /// Revision of the transaction.
         revision: Revision,
     },
-    /// A condition did not hold; nothing was done.
+    /// A precondition did not hold; nothing was changed.
     Conflict {
-        /// Keys of the conditions that exist, as they stand.
+        /// Current state of the existing keys among the preconditions.
         items: Vec<Item>,
     },
     /// The lease is in force.
     Leased {
-        /// The lease; none in the answer to a renewal.
+        /// The lease; none in the response to a renewal.
         lease: Option<LeaseId>,
-        /// Its life, counted from the arrival of the call.
+        /// Time to live, counted from the arrival of the call.
         ttl: Duration,
     },
-    /// The lease ended.
+    /// The lease was revoked.
     Revoked,
-    /// Refused, for its rate or for now; nothing was done.
+    /// Refused because of rate limiting or temporary unavailability; nothing was done.
     Refused,
-    /// No answer. A write may have taken effect, or take effect later.
+    /// No response. A write may have taken effect, or may take effect later.
     Unknown,
 }
 
 impl StoreOutcome {
-    /// The same, as an answer of the store in that era.
+    /// Assigns the era of the response to all revisions of the outcome.
     pub fn with_era(mut self, era: StoreEra) -> Self {
         match &mut self {
             Self::Found(item) => item.revision.set_era(era),
@@ -230,7 +230,7 @@
 }
 
 impl StoreEvent {
-    /// The revision of the change.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> Revision {
         match self {
             Self::Put(item) => item.revision,
--- a/crates/metastore/src/election.rs
+++ b/crates/metastore/src/election.rs
@@ -1,12 +1,12 @@
-//! Which node may grant keys.
+//! Election of the granter, the node that may grant keys.
 //!
-//! The granter's key hangs on a lease, the epoch's key on none. Taking the
-//! place raises the epoch in the same transaction. The place's authority ends
-//! on the holder's own clock before the store can give it to another.
+//! The granter key is attached to a lease, the epoch key is not. The transaction that
+//! acquires the granter key also increments the epoch. The holder's authority ends on its
+//! own clock before the store can assign the granter key to another node.
 //!
-//! A process that finds the place held by an earlier run of its own node, at its own
-//! address, takes it over at once: that process has ended, and its authority with it.
-//! Its lease would go on for up to its whole life.
+//! A process that finds the granter key held by a previous run of its own node, at its own
+//! address, replaces it immediately: that process has ended, and its authority with it,
+//! while its lease could remain for up to its full time to live.
 
 use crate::call::{
     Condition, Item, LeaseId, Revision, StoreCall, StoreEra, StoreOutcome, Transaction, Write,
@@ -17,79 +17,80 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of a granter's term; each term has a higher one.
+/// Number of a granter's term; each term has a higher epoch than the previous ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct Epoch(pub u64);
 
-/// Highest number of a term that is believed: tokens carry it in 32 bits, and terms
-/// that are counted from here on must fit, too.
+/// Highest epoch that is accepted from the store: tokens carry the epoch in 32 bits, and the
+/// epochs that follow must fit as well.
 const MAX_EPOCH: Epoch = Epoch((1 << 31) - 1);
 
 impl Epoch {
-    /// The first one of an era of the store. Above all of the eras before: those that the
-    /// store has forgotten are not known to it, and an era has fewer terms than lie between.
+    /// Returns the first epoch of a store era, which is above all epochs of earlier eras. The
+    /// restored store does not know the epochs that it lost, so the distance between the
+    /// first epochs of two eras is more than the number of terms that an era can have.
     pub fn first_of(era: StoreEra) -> Self {
         Self((u64::from(era.0) * EPOCHS_PER_ERA).min(MAX_EPOCH.0 / 2))
     }
 }
 
-/// Terms that an era has at most: one a second for most of a day.
+/// Maximum number of terms in an era: one per second for most of a day.
 const EPOCHS_PER_ERA: u64 = 1 << 16;
 
-/// What the granter's key holds.
+/// Value of the granter key.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct GranterRecord {
     /// Name of the node.
     pub node: String,
-    /// Tells one run of the node from the others.
+    /// Identifies the run of the node's process.
     pub run: u64,
-    /// Its term.
+    /// Epoch of the granter's term.
     pub epoch: Epoch,
-    /// Where it hears other nodes.
+    /// Address on which the node receives messages from its peers.
     pub peer_address: SocketAddr,
 }
 
-/// Keys and timing of an election.
+/// Configuration of an [`Election`].
 #[derive(Clone, Debug)]
 pub struct ElectionConfig {
-    /// Key that the granter holds under its lease.
+    /// Granter key, attached to the granter's lease.
     pub granter_key: String,
-    /// Key of the highest epoch.
+    /// Key that stores the highest epoch.
     pub epoch_key: String,
     /// Name of this node.
     pub node: String,
-    /// Number of this run.
+    /// Identifies this run of the node's process.
     pub run: u64,
-    /// Where this node hears others.
+    /// Address on which this node receives messages from its peers.
     pub peer_address: SocketAddr,
-    /// The lease.
+    /// Timing of the granter's lease.
     pub lease: LeaseTiming,
-    /// How long the place is left vacant before this node tries to take it;
-    /// differs from node to node, so that not all try at once.
+    /// How long the granter key must be absent before this node tries to acquire it; differs
+    /// between nodes, so that they do not all try at once.
     pub candidacy_delay: Duration,
 }
 
-/// The right to grant, to be checked right before every use.
+/// The authority to grant keys, to be checked immediately before each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Authority {
-    /// The term.
+    /// Epoch of the term.
     pub epoch: Epoch,
-    /// When the right ends on this node's clock.
+    /// When the authority ends, on this node's clock.
     pub until: Time,
-    /// Revision of the granter's key: writes are made on this condition.
+    /// Revision of the granter key, the precondition of the granter's writes.
     pub revision: Revision,
-    /// The last term before, as far as the store knew.
+    /// Epoch of the previous term, as far as known to the store.
     pub predecessor: Epoch,
 }
 
-/// What an election waits for.
+/// The call whose response an election waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
-    /// An answer about the lease.
+    /// A call for the lease.
     Lease,
-    /// An answer to the taking of the place.
+    /// The transaction that acquires the granter key.
     Acquire,
 }
 
@@ -101,7 +102,7 @@
     predecessor: Epoch,
 }
 
-/// The term that the pending taking of the place would begin, and the one before.
+/// The term that a pending acquisition would begin, and the previous one.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     epoch: Epoch,
@@ -114,32 +115,33 @@
     sent: Time,
 }
 
-/// One node's part in the election.
+/// One node's participation in the election.
 #[derive(Clone, Debug)]
 pub struct Election {
     config: ElectionConfig,
     keeper: LeaseKeeper,
     pending: Option<Pending>,
     attempted: Option<Attempt>,
-    /// The store's era, if it is known.
+    /// Era of the store, zero if unknown.
     era: StoreEra,
-    /// Whether the place is taken again though the store names this process as its holder.
+    /// Whether to acquire the granter key again although the store names this process as its
+    /// holder.
     reclaiming: bool,
     leadership: Option<Leadership>,
     vacant_since: Option<Time>,
-    /// Revision that the granter's key must have when this node takes the place: none
-    /// is there, or that of an earlier run of this node.
+    /// Revision that the granter key must have for this node to acquire it: absent, or the
+    /// revision written by a previous run of this node, or by this run in an earlier era.
     expected_revision: Revision,
-    /// The granter's key as it was seen last, which need not be read again.
+    /// Revision at which the granter key was last evaluated.
     last_observed: Option<Revision>,
-    /// Added to the patience.
+    /// Added to the candidacy delay.
     extra_delay: Duration,
     retry_at: Time,
     stopped: bool,
 }
 
 impl Election {
-    /// A node that holds no place.
+    /// Creates the election state of a node that is not the granter.
     pub fn new(config: ElectionConfig) -> Self {
         let keeper = LeaseKeeper::new(config.lease);
         Self {
@@ -159,12 +161,13 @@
         }
     }
 
-    /// Lets other nodes try to take a vacant place that much earlier.
+    /// Sets a delay on top of [`ElectionConfig::candidacy_delay`], which gives other nodes
+    /// precedence.
     pub fn set_extra_delay(&mut self, extra_delay: Duration) {
         self.extra_delay = extra_delay;
     }
 
-    /// The right to grant at `now`, if this node has it.
+    /// Returns the authority to grant keys, if this node has it at `now`.
     pub fn authority(&self, now: Time) -> Option<Authority> {
         let leadership = self.leadership?;
         let until = self.keeper.valid_until()?;
@@ -177,8 +180,8 @@
         })
     }
 
-    /// The call that is due. `granter` and `epoch` are the two keys as this
-    /// node sees them; `None` for the whole argument while it sees nothing.
+    /// Returns the call that is due, if any. `view` holds the granter key and the epoch key as
+    /// seen by this node, and is `None` while it has no view of the store.
     pub fn poll(
         &mut self,
         now: Time,
@@ -207,9 +210,10 @@
         Some(self.send(now, ElectionStep::Acquire, call))
     }
 
-    /// The store has begun an era. What it acknowledged before may be gone, the place among
-    /// it, and others may have had it since the state that it went back to: the right to
-    /// grant has to be won again, in a term above all that were.
+    /// Handles the beginning of a store era. Acknowledged writes may be lost, including the
+    /// acquisition of the granter key, and other nodes may have held the key since the state
+    /// that the store reverted to. The authority must therefore be acquired again, in a term
+    /// above all previous ones.
     pub fn begin_era(&mut self, era: StoreEra) {
         self.era = era;
         self.reclaiming |= self.leadership.take().is_some();
@@ -218,14 +222,14 @@
         self.expected_revision = Revision::ABSENT;
     }
 
-    /// Follows the granter's key as this node sees it.
+    /// Updates the state from the granter key as seen by this node.
     fn observe(&mut self, now: Time, granter: Option<&Item>) {
         let Some(item) = granter else {
             self.vacant_since.get_or_insert(now);
             self.expected_revision = Revision::ABSENT;
             self.last_observed = None;
-            // The key may be unseen as yet right after this node wrote it;
-            // the lease alone decides whether the place is still held.
+            // The key may not be visible yet right after this node wrote it, so only the
+            // lease decides whether this node is still the granter.
             return;
         };
         let is_settled = self.attempted.is_none() || self.leadership.is_some();
@@ -253,7 +257,7 @@
             }
             return;
         }
-        // A taking of the place whose answer was lost shows here.
+        // An acquisition whose response was lost is recognized here.
         if self.leadership.is_none()
             && let Some(attempt) = self.attempted
             && attempt.epoch == record.epoch
@@ -318,7 +322,7 @@
         })
     }
 
-    /// Takes the outcome of the call that is under way.
+    /// Handles the outcome of the pending call.
     pub fn handle(&mut self, now: Time, outcome: &StoreOutcome) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -342,14 +346,14 @@
                 }
             }
             StoreOutcome::Absent => {
-                // The lease ended before it was used.
+                // The lease expired before it was used.
                 self.keeper = LeaseKeeper::new(self.config.lease);
             }
             _ => self.retry_at = now + self.config.candidacy_delay,
         }
     }
 
-    /// Gives the place up for good; the call that tells the store.
+    /// Resigns permanently and returns the call that revokes the lease.
     pub fn resign(&mut self) -> Option<StoreCall> {
         self.stopped = true;
         self.leadership = None;
@@ -357,9 +361,9 @@
     }
 }
 
-/// The highest epoch so far. Each epoch rises by one in a write of its own, so none is above
-/// the revision of the write in which it began: where the number can't be read, or is out
-/// of range, the revision of that value is above all before it.
+/// Returns the highest epoch so far. Each term increments the epoch in a write of its own, so
+/// no epoch exceeds the revision of the write that began it. If the value is unreadable or out
+/// of range, the revision of the key is therefore an upper bound of all previous epochs.
 fn last_epoch(item: Option<&Item>) -> Epoch {
     let Some(item) = item else {
         return Epoch::default();
@@ -370,6 +374,6 @@
 }
 
 fn encode(value: &impl BorshSerialize) -> Vec<u8> {
-    // Writing borsh to memory can't fail.
+    // Borsh serialization to memory cannot fail.
     borsh::to_vec(value).unwrap_or_default()
 }
--- a/crates/metastore/src/lease.rs
+++ b/crates/metastore/src/lease.rs
@@ -1,28 +1,28 @@
-//! Keeps one lease of the store alive.
+//! Keeps a lease in the store alive.
 //!
-//! Invariant: `valid_until` never lies after the end of the lease in the
-//! store. The store counts from the arrival of a call, the keeper from before
-//! its sending, so a lease lost unseen has ended here first.
+//! Invariant: `valid_until` is never later than the expiry of the lease in the store. The
+//! store counts from the arrival of a call, the keeper from before the call is sent, so a
+//! lease that expires unnoticed has already ended locally.
 
 use crate::call::{LeaseId, StoreCall, StoreOutcome};
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Wait after a call that failed. It doubles with each further one, up to half of the
-/// time between renewals: a store that turns away a third of 300 nodes would be asked
-/// by them 700 times a second.
+/// Delay after the first failed call. It doubles with each further failure, up to half of the
+/// renewal interval: at a constant delay, a store that rejects the calls of a third of 300
+/// nodes would receive 700 calls per second from them.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Failures after which the wait does not double any more.
+/// Number of failures after which the delay no longer doubles.
 const MAX_DOUBLINGS: u32 = 5;
-/// Share of a lease's life that is trusted, in percent: clocks may differ.
+/// Share of a lease's time to live that is used, in percent, as a margin for clock drift.
 const USABLE_TTL_PERCENT: u32 = 97;
 
-/// Timing of a lease.
+/// Timing parameters of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTiming {
-    /// Life of the lease without renewal.
+    /// Time to live of the lease without renewal.
     pub ttl: Duration,
-    /// Between renewals.
+    /// Interval between renewals.
     pub renewal: Duration,
 }
 
@@ -32,7 +32,7 @@
     valid_until: Time,
 }
 
-/// Keeps one lease alive.
+/// Acquires a lease and keeps it alive.
 #[derive(Clone, Debug)]
 pub struct LeaseKeeper {
     timing: LeaseTiming,
@@ -42,7 +42,7 @@
 }
 
 impl LeaseKeeper {
-    /// A keeper without a lease.
+    /// Creates a keeper that has no lease yet.
     pub fn new(timing: LeaseTiming) -> Self {
         Self {
             timing,
@@ -52,26 +52,26 @@
         }
     }
 
-    /// The lease, while it is valid.
+    /// Returns the lease if it is valid at `now`.
     pub fn lease(&self, now: Time) -> Option<LeaseId> {
         self.held
             .filter(|held| now < held.valid_until)
             .map(|held| held.lease)
     }
 
-    /// When the lease ends unless it is renewed.
+    /// Returns when the lease ends unless it is renewed.
     pub fn valid_until(&self) -> Option<Time> {
         self.held.map(|held| held.valid_until)
     }
 
-    /// The call that is due.
+    /// Returns the call that is due, if any.
     pub fn poll(&mut self, now: Time) -> Option<StoreCall> {
         if now < self.due {
             return None;
         }
         self.due = now + self.timing.renewal;
         Some(match self.held {
-            // A renewal that succeeds late proves that the lease never ended.
+            // A lease past `valid_until` is renewed too: success means that it never expired.
             Some(held) => StoreCall::KeepLease { lease: held.lease },
             None => StoreCall::GrantLease {
                 ttl: self.timing.ttl,
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Takes the outcome of a call that was sent at `sent`.
+    /// Handles the outcome of a call that was sent at `sent`.
     pub fn handle(&mut self, now: Time, sent: Time, outcome: &StoreOutcome) {
         match (outcome, self.held) {
             (StoreOutcome::Leased { lease, ttl }, held) => {
@@ -106,8 +106,7 @@
         }
     }
 
-    /// Renews that often from the next renewal on, which comes no later than
-    /// that after the last one.
+    /// Changes the renewal interval. A shorter interval also applies to the pending renewal.
     pub fn set_renewal(&mut self, renewal: Duration) {
         if renewal < self.timing.renewal {
             let shorter_by = self.timing.renewal - renewal;
@@ -116,13 +115,13 @@
         self.timing.renewal = renewal;
     }
 
-    /// Gives the lease up; the call that ends it at the store.
+    /// Gives up the lease and returns the call that revokes it.
     pub fn resign(&mut self) -> Option<StoreCall> {
         let held = self.held.take()?;
         Some(StoreCall::RevokeLease { lease: held.lease })
     }
 
-    /// Time of the next call.
+    /// Returns the time of the next call.
     pub fn due(&self) -> Time {
         self.due
     }
--- a/crates/metastore/src/lib.rs
+++ b/crates/metastore/src/lib.rs
@@ -1,9 +1,8 @@
-//! The metadata store as the product sees it: calls and outcomes, a mirror of
-//! a prefix, and the lease that makes one node the granter.
+//! Client-side model of the metadata store: calls and outcomes, a mirror of a key prefix, and
+//! the election of the granter by means of a lease.
 //!
-//! Who carries a call, and in which format, is another crate's concern. A call
-//! without an answer is [`StoreOutcome::Unknown`] and may have taken effect,
-//! or may take effect later.
+//! Transport and encoding of calls are left to other crates. A call without a response ends
+//! as [`StoreOutcome::Unknown`]: it may have taken effect, or may take effect later.
 
 mod call;
 mod election;
--- a/crates/metastore/src/mirror.rs
+++ b/crates/metastore/src/mirror.rs
@@ -1,32 +1,32 @@
-//! A node's copy of the keys below one prefix.
+//! A node's local mirror of the keys with a given prefix.
 //!
-//! Invariant: the revision of a copy never falls, whichever way it was filled:
-//! by the store itself or by another node. Changes are taken in the copy's own era only:
-//! those of a later one begin at a state of the store that the copy never had, so it is
-//! filled from a whole reading first.
+//! Invariant: the revision of a mirror never decreases, whether it is updated from the store
+//! or from another node. Events are applied only within the mirror's own era: events of a
+//! later era start from a state of the store that the mirror never had, so a complete
+//! snapshot is needed first.
 
 use crate::call::{Item, Revision, StoreEvent};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::BTreeMap;
 
-/// One difference between two states of a copy.
+/// A difference between two states of a mirror.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MirrorChange {
-    /// A key is there with this value.
+    /// A key is present with this value.
     Present(Item),
-    /// A key is not there.
+    /// A key is absent.
     Absent(String),
 }
 
-/// Most removals that a copy remembers.
+/// Maximum number of removals that a mirror remembers.
 const MAX_REMOVALS: usize = 1_024;
 
-/// What a copy has beyond an older one.
+/// The changes of a mirror since an older revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MirrorDelta {
-    /// Keys that were written since.
+    /// Keys written since then.
     pub present: Vec<Item>,
-    /// Keys that were removed since, and when.
+    /// Keys removed since then, with the revisions of the removals.
     pub absent: Vec<Removal>,
 }
 
@@ -39,41 +39,40 @@
     pub revision: Revision,
 }
 
-/// A node's copy of the keys below one prefix.
+/// A node's local mirror of the keys with a given prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     revision: Option<Revision>,
     items: BTreeMap<String, Item>,
-    /// Keys that were removed after `removals_since`.
+    /// Keys removed after `removals_since`.
     removals: BTreeMap<String, Revision>,
     removals_since: Revision,
 }
 
 impl Mirror {
-    /// Revision up to which the copy is known to be whole; none before the
-    /// first reading.
+    /// Returns the revision up to which the mirror is complete; `None` before the first update.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// The key, if it is there.
+    /// Returns the item of a key, if present.
     pub fn get(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// All keys.
+    /// Returns all items.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// Takes a whole reading, current at `at`. An older one than the copy is
-    /// ignored.
+    /// Replaces the contents by a complete snapshot that is current at `at`. A snapshot older
+    /// than the mirror is ignored.
     pub fn replace(&mut self, at: Revision, items: Vec<Item>) -> Vec<MirrorChange> {
         if self.revision.is_some_and(|known| at < known) {
             return Vec::new();
         }
         if self.revision.is_none_or(|known| known.era != at.era) {
-            // What was removed in an era before tells nothing of this one.
+            // Removals of an earlier era say nothing about this one.
             self.removals.clear();
             self.removals_since = at;
         }
@@ -81,7 +80,7 @@
         let mut changes = Vec::new();
         let mut next: BTreeMap<String, Item> = BTreeMap::new();
         for item in items {
-            // A page read earlier may be older than what a watch told since.
+            // A page of the snapshot may be older than an event applied since.
             let newest = match self.items.get(&item.key) {
                 Some(known) if known.revision > item.revision => known.clone(),
                 _ => item,
@@ -108,7 +107,7 @@
         changes
     }
 
-    /// Takes the changes up to `at`.
+    /// Applies the events up to `at`.
     pub fn apply(&mut self, at: Revision, events: Vec<StoreEvent>) -> Vec<MirrorChange> {
         if self
             .revision
@@ -149,8 +148,8 @@
         }
     }
 
-    /// What this copy has beyond one that is whole up to `since`; `None` when
-    /// it does not remember all removals since then.
+    /// Returns the changes since a mirror that is complete up to `since`, or `None` if not all
+    /// removals since then are remembered.
     pub fn delta(&self, since: Revision) -> Option<MirrorDelta> {
         if since < self.removals_since {
             return None;
@@ -171,7 +170,7 @@
         })
     }
 
-    /// Forgets the older half of the removals when there are too many.
+    /// Drops the older half of the removals when there are too many.
     fn trim_removals(&mut self) {
         if self.removals.len() <= MAX_REMOVALS {
             return;
--- a/crates/metastore/tests/election.rs
+++ b/crates/metastore/tests/election.rs
@@ -1,4 +1,4 @@
-//! The lease that makes one node the granter.
+//! Election of the granter.
 
 use beamtray_metastore::{
     Election, ElectionConfig, Epoch, GranterRecord, Item, LeaseId, LeaseTiming, Revision,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes the vacant place at about 100 ms.
+/// A node that acquires the absent granter key at about 100 ms.
 fn elected() -> Election {
     let mut election = Election::new(config());
     assert_eq!(election.poll(at(0), Some((None, None))), None);
@@ -66,9 +66,10 @@
 #[test]
 fn authority_ends_before_the_lease_can_expire_in_the_store() {
     let election = elected();
-    // The lease was asked for at 60 ms, so the store ends it at 2,060 at the
-    // earliest.
-    let authority = election.authority(at(120)).expect("the place is held");
+    // The lease was requested at 60 ms, so it expires in the store at 2,060 ms at the earliest.
+    let authority = election
+        .authority(at(120))
+        .expect("the node is the granter");
     assert_eq!(authority.epoch, Epoch(1));
     assert!(authority.until < at(2_060));
     assert!(election.authority(authority.until).is_none());
@@ -109,7 +110,7 @@
     election.handle(at(70), &leased(Some(1)));
     let call = election.poll(at(100), Some((None, Some(&epoch))));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking of the place: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     assert_eq!(transaction.conditions[0].revision, Revision::new(0));
     assert_eq!(transaction.conditions[1].revision, Revision::new(3));
@@ -134,7 +135,9 @@
     };
     let seen = item("granter", borsh::to_vec(&record).expect("encodes"), 9);
     election.poll(at(1_010), Some((Some(&seen), None)));
-    let authority = election.authority(at(1_020)).expect("the place is held");
+    let authority = election
+        .authority(at(1_020))
+        .expect("the node is the granter");
     assert_eq!(authority.revision, Revision::new(9));
 }
 
@@ -148,8 +151,8 @@
     item("granter", borsh::to_vec(&record).expect("encodes"), 9)
 }
 
-/// An earlier run of the node has ended, and its right with it; its lease would keep
-/// the place for two seconds. The place must still be as it was seen.
+/// A previous run of the node has ended, and its authority with it, but its lease would keep
+/// the granter key for two seconds. The key is replaced only at the revision that was seen.
 #[test]
 fn key_of_a_previous_run_is_replaced_at_once() {
     let mut election = Election::new(config());
@@ -161,7 +164,7 @@
     assert!(election.authority(at(510)).is_none());
     let call = election.poll(at(510), Some((Some(&seen), None)));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     let condition = &transaction.conditions[0];
     assert_eq!(condition.key, "granter");
@@ -172,7 +175,7 @@
     assert!(election.authority(at(520)).is_some());
 }
 
-/// A process of that name elsewhere may be alive.
+/// A process with the same name at another address may still be running.
 #[test]
 fn key_of_a_node_at_another_address_is_not_replaced() {
     for seen in [held_by("node", 7_001), held_by("other", 7_000)] {
@@ -206,8 +209,8 @@
     )
 }
 
-/// Guards against a granter that goes on with its term in a store that went back: another
-/// one may have had the place since the state that the store is in again.
+/// Guards against a granter that continues its term after the store reverted to an older
+/// state: another node may have been the granter since that state.
 #[test]
 fn new_era_ends_authority_and_the_key_is_reacquired_in_a_higher_term() {
     let mut election = elected();
@@ -218,17 +221,19 @@
     let epoch = item("epoch", borsh::to_vec(&Epoch(1)).expect("encodes"), 2);
     let call = election.poll(at(200), Some((Some(&granter), Some(&epoch))));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking of the place: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     assert_eq!(transaction.conditions[0].revision, Revision::new(2));
     let revision = Revision::new(3);
     election.handle(at(210), &StoreOutcome::Committed { revision });
-    let authority = election.authority(at(220)).expect("the place is held");
+    let authority = election
+        .authority(at(220))
+        .expect("the node is the granter");
     assert_eq!(authority.epoch, Epoch::first_of(era));
     assert_eq!(authority.predecessor, Epoch(1));
 }
 
-/// Guards against a term that begins twice, since the store forgot the first one.
+/// Guards against an epoch that is used twice because the store lost its first use.
 #[test]
 fn epochs_of_an_era_are_above_those_of_earlier_eras() {
     let many = 60_000;
@@ -239,8 +244,8 @@
     assert_eq!(Epoch::first_of(StoreEra(0)), Epoch(0));
 }
 
-/// Guards against a node that takes the place of another one by force, since it had the place
-/// itself before the store went back.
+/// Guards against a node that replaces another granter's key because it was the granter itself
+/// before the store reverted.
 #[test]
 fn key_of_another_node_is_not_replaced_in_a_new_era() {
     let mut election = elected();
@@ -261,8 +266,8 @@
     }
 }
 
-/// Guards against a granter that waits for its own old lease where the store goes back again
-/// before it has won its place.
+/// Guards against a granter that waits for its own old lease to expire when the store reverts
+/// again before the granter has reacquired its key.
 #[test]
 fn key_is_reacquired_at_once_after_two_new_eras() {
     let mut election = elected();
--- a/crates/metastore/tests/mirror.rs
+++ b/crates/metastore/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! A copy of a prefix never goes back.
+//! The revision of a mirror never decreases.
 
 use beamtray_metastore::{Item, Mirror, MirrorChange, Revision, StoreEra, StoreEvent};
 use quickcheck::{Gen, QuickCheck, quickcheck};
@@ -78,7 +78,7 @@
     }
 }
 
-/// What one copy has beyond another makes the other equal to it.
+/// Applying the delta of a newer mirror to an older one makes them equal.
 #[test]
 fn delta_brings_an_older_mirror_up_to_date() {
     fn catches_up(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>) -> bool {
@@ -150,8 +150,8 @@
     }
 }
 
-/// Guards against a copy that refuses the store's readings after it came back from an older
-/// copy, whose numbers are lower.
+/// Guards against a mirror that rejects snapshots of a store restored from an older copy,
+/// because their revision numbers are lower.
 #[test]
 fn snapshot_of_a_later_era_replaces_higher_revision_numbers() {
     let mut mirror = Mirror::default();
@@ -165,10 +165,10 @@
     assert!(changes.contains(&MirrorChange::Absent("b".to_owned())));
     assert!(changes.contains(&MirrorChange::Present(item_at("a", later(55)))));
     let late = mirror.replace(Revision::new(120), vec![item_at("c", Revision::new(110))]);
-    assert!(late.is_empty(), "a reading of the era before came late");
+    assert!(late.is_empty(), "a late snapshot of the previous era");
 }
 
-/// Guards against changes that are applied to a state of the store that the copy never had.
+/// Guards against events that are applied to a state of the store that the mirror never had.
 #[test]
 fn events_of_another_era_are_ignored_before_a_snapshot() {
     let mut mirror = Mirror::default();
@@ -178,7 +178,7 @@
     assert_eq!(mirror.revision(), Some(Revision::new(100)));
 }
 
-/// Guards against another node's copy of an era before that is taken for a part of this one.
+/// Guards against a delta that is computed for another node's mirror of an earlier era.
 #[test]
 fn no_delta_is_returned_across_eras() {
     let mut mirror = Mirror::default();
