--- a/crates/catalog/src/directory.rs
+++ b/crates/catalog/src/directory.rs
@@ -60,7 +60,7 @@
     /// A registration is missing, which is inconclusive.
     Unconfirmed(UpstreamId),
     /// An upstream reported that it is leaving.
-    Leaves(UpstreamId),
+    Leaving(UpstreamId),
     /// A zone was evacuated: its upstreams receive no requests.
     Evacuated(Zone),
     /// The evacuation of a zone ended.
@@ -295,7 +295,7 @@
             Rc::make_mut(&mut registration.record).state = UpstreamState::Draining;
             self.change_count += 1;
         }
-        Some(DirectoryChange::Leaves(id.clone()))
+        Some(DirectoryChange::Leaving(id.clone()))
     }
 
     /// Returns the upstreams that reported that they are leaving and are still registered.
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the time remaining until `time`, or zero if it has passed.
-    pub fn until(&self, time: Time) -> Duration {
+    pub fn time_until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
 
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -41,10 +41,10 @@
     let clock = BootClock::start(&machine);
     let lease_ends = Time(2_000_000);
     machine.run(500);
-    assert_eq!(clock.until(lease_ends), Duration::from_millis(1_500));
+    assert_eq!(clock.time_until(lease_ends), Duration::from_millis(1_500));
     machine.suspend(6_000);
     assert_eq!(clock.now(), Time(6_500_000));
-    assert!(clock.until(lease_ends).is_zero());
+    assert!(clock.time_until(lease_ends).is_zero());
 }
 
 #[test]
--- a/crates/metastore/src/election.rs
+++ b/crates/metastore/src/election.rs
@@ -78,7 +78,7 @@
     /// Epoch of the term.
     pub epoch: Epoch,
     /// When the authority ends, on this node's clock.
-    pub until: Time,
+    pub valid_until: Time,
     /// Revision of the granter key, the precondition of the granter's writes.
     pub revision: Revision,
     /// Epoch of the previous term, as far as known to the store.
@@ -170,11 +170,11 @@
     /// Returns the authority to grant keys, if this node has it at `now`.
     pub fn authority(&self, now: Time) -> Option<Authority> {
         let leadership = self.leadership?;
-        let until = self.keeper.valid_until()?;
+        let valid_until = self.keeper.valid_until()?;
         let same_lease = self.keeper.lease(now)? == leadership.lease;
         same_lease.then_some(Authority {
             epoch: leadership.epoch,
-            until,
+            valid_until,
             revision: leadership.revision,
             predecessor: leadership.predecessor,
         })
--- a/crates/metastore/tests/election.rs
+++ b/crates/metastore/tests/election.rs
@@ -71,8 +71,8 @@
         .authority(at(120))
         .expect("the node is the granter");
     assert_eq!(authority.epoch, Epoch(1));
-    assert!(authority.until < at(2_060));
-    assert!(election.authority(authority.until).is_none());
+    assert!(authority.valid_until < at(2_060));
+    assert!(election.authority(authority.valid_until).is_none());
 }
 
 #[test]
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -290,7 +290,7 @@
                     address: self.addresses.get(&order.holder).copied(),
                     asks_about: granter.key_of_others(&order.holder),
                     order,
-                    until: authority.until,
+                    until: authority.valid_until,
                 });
             }
         }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -95,7 +95,7 @@
         let mut work = std::pin::pin!(work);
         loop {
             let woke = self.woke.notified();
-            let left = self.clock.until(time);
+            let left = self.clock.time_until(time);
             if left.is_zero() {
                 return None;
             }
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -157,7 +157,7 @@
             DirectoryChange::Unconfirmed(id) => {
                 info!(log, "upstream_unconfirmed"; "upstream" => %id);
             }
-            DirectoryChange::Leaves(id) => {
+            DirectoryChange::Leaving(id) => {
                 info!(log, "upstream_leaves"; "upstream" => %id);
             }
             DirectoryChange::Evacuated(zone) => {
--- a/crates/router/src/shell/process.rs
+++ b/crates/router/src/shell/process.rs
@@ -198,7 +198,10 @@
         stakker.run(now, false);
         shared.ready.set(turn.ready.get());
         let tick_at = ticked.unwrap_or(now) + turn.tick_pause.get();
-        let due = turn.due.get().map(|time| now + shared.clock.until(time));
+        let due = turn
+            .due
+            .get()
+            .map(|time| now + shared.clock.time_until(time));
         let wait = due.map_or(tick_at, |due| tick_at.min(due));
         tokio::select! {
             () = shared.wake.notified() => {}
