--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -123,16 +123,16 @@
     /// How much the process can do for others, in thousandths of a core. A relay sends
     /// its zone copies of a hundred kilobytes and more, so one with a narrow link counts
     /// as one with little processor time.
-    fn ability(&self) -> u32 {
+    fn relay_capacity(&self) -> u32 {
         let processor = self.processor_share * 1_000.0;
-        let link = self.link_mbps.map(|mbps| mbps * ABILITY_A_MBPS);
+        let link = self.link_mbps.map(|mbps| mbps * CAPACITY_PER_MBPS);
         link.map_or(processor, |link| processor.min(link)) as u32
     }
 }
 
 /// Settings that take effect without a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ChangeableSettings {
+pub(crate) struct ReloadableSettings {
     drain_ms: u64,
     cold_overage: f64,
     cold_slack: f64,
@@ -177,11 +177,11 @@
 
     fn error(self, file: &str, text: &str) -> NodeSettingsError {
         let name = self.field.rsplit('.').next().unwrap_or(self.field);
-        let names_it = |line: &str| {
+        let assigns_field = |line: &str| {
             let assigned = line.trim_start().split_once('=');
             assigned.is_some_and(|(field, _)| field.trim() == name)
         };
-        let line = text.lines().position(names_it);
+        let line = text.lines().position(assigns_field);
         NodeSettingsError::Range {
             file: file.to_owned(),
             line: line.map_or(0, |index| index + 1),
@@ -194,7 +194,7 @@
 
 /// Thousandths of a core that a megabit a second goes with: at 100 Mbit/s a link is no
 /// bound for half of a core.
-const ABILITY_A_MBPS: f64 = 5.0;
+const CAPACITY_PER_MBPS: f64 = 5.0;
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -330,9 +330,9 @@
     }
 
     /// What can change in a running process.
-    pub(crate) fn changeable(&self) -> ChangeableSettings {
+    pub(crate) fn reloadable(&self) -> ReloadableSettings {
         let bounds = &self.bounds;
-        ChangeableSettings {
+        ReloadableSettings {
             drain_ms: bounds.drain_ms,
             evacuate_ms: bounds.evacuate_ms,
             cold_overage: bounds.cold_overage,
@@ -345,7 +345,7 @@
     }
 
     /// Takes over what can change in a running process.
-    pub(crate) fn adopt(&mut self, next: &Self) {
+    pub(crate) fn apply_reloadable(&mut self, next: &Self) {
         let (own, next) = (&mut self.bounds, &next.bounds);
         own.drain_ms = next.drain_ms;
         own.evacuate_ms = next.evacuate_ms;
@@ -360,7 +360,7 @@
     /// Names of the settings that differ and that only a new process takes.
     /// Holds are among them: a granter must know the longest hold that any
     /// other process may have given.
-    pub(crate) fn fixed_changes(&self, next: &Self) -> Vec<&'static str> {
+    pub(crate) fn changes_needing_restart(&self, next: &Self) -> Vec<&'static str> {
         let differences = [
             ("node", self.node != next.node),
             ("zone", self.zone != next.zone),
@@ -383,7 +383,7 @@
     }
 
     /// How long a stopping node may take.
-    pub fn grace(&self) -> Duration {
+    pub fn shutdown_grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s.max(1.0))
     }
 }
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -18,14 +18,14 @@
 /// How long a grant holds at most. When a granter is lost the next one is there
 /// after [`GRANTER_TTL`]; what is left of a hold then is this less
 /// [`GRANT_RENEWAL`]. Outages of the store are bridged by standbys.
-const HOLD: Duration = Duration::from_millis(3_000);
+const GRANT_HOLD: Duration = Duration::from_millis(3_000);
 const GRANT_RENEWAL: Duration = Duration::from_millis(750);
 /// Time between orders that a granter with a whole core has the processor time for. An
 /// estimate: a fifth of it, if an order with its connection costs 0.2 ms.
-const ORDER_PAUSE: Duration = Duration::from_millis(1);
+const ORDER_INTERVAL: Duration = Duration::from_millis(1);
 /// Longest time between orders, for nodes with next to no processor time.
-const LONGEST_ORDER_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_RENEWAL: Duration = Duration::from_millis(2_000);
+const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_RENEWAL: Duration = Duration::from_millis(2_000);
 /// How much longer a holder may count a hold, in percent.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 /// How long an upstream may take to carry an order out that it did not answer, as the users'
@@ -33,16 +33,16 @@
 const ORDER_LIFETIME: Duration = Duration::from_secs(12);
 const TRANSIT: Duration = Duration::from_millis(300);
 /// Beyond this and what is left of its hold, a silent holder has no keys.
-const SILENCE: Duration = Duration::from_millis(1_200);
-const NOTICE: Duration = Duration::from_millis(20);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+const GRANT_NOTICE: Duration = Duration::from_millis(20);
 /// Longest wait of a watch: each that ends unheard costs a call.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 /// At the first start of all nodes: until all of them have registered.
 const FIRST_START_DELAY: Duration = Duration::from_millis(500);
 /// How much longer a node waits that has next to no processor time.
-const WEAK_START_DELAY: Duration = Duration::from_millis(1_500);
+const MAX_EXTRA_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Share of a core from which a node waits no longer than [`FIRST_START_DELAY`].
-const ABLE_SHARE: f64 = 0.5;
+const FULL_SPEED_SHARE: f64 = 0.5;
 
 impl NodeSettings {
     /// The core's fixed values for this run of the process.
@@ -52,7 +52,7 @@
             run,
             zone: self.zone.clone(),
             peers: self.listen.peers,
-            capacity: self.limits.ability(),
+            capacity: self.limits.relay_capacity(),
             declines_standby: false,
         };
         CoreConfig {
@@ -74,8 +74,8 @@
         if !self.first_start {
             return Duration::ZERO;
         }
-        let lacking = (1.0 - self.limits.processor_share / ABLE_SHARE).max(0.0);
-        FIRST_START_DELAY + WEAK_START_DELAY.mul_f64(lacking)
+        let shortfall = (1.0 - self.limits.processor_share / FULL_SPEED_SHARE).max(0.0);
+        FIRST_START_DELAY + MAX_EXTRA_START_DELAY.mul_f64(shortfall)
     }
 
     fn dispatch_config(&self, run: u64) -> DispatchConfig {
@@ -124,22 +124,22 @@
 
     fn control_config(&self, record: NodeRecord) -> ControlConfig {
         let heartbeat = self.heartbeat();
-        let longest = match self.bounds.longest_hold_ms {
-            0 => HOLD + LONGEST_RENEWAL,
-            longest => Duration::from_millis(longest),
+        let max_hold = match self.bounds.longest_hold_ms {
+            0 => GRANT_HOLD + MAX_RENEWAL,
+            max_hold => Duration::from_millis(max_hold),
         };
-        let hold = longest.min(HOLD);
+        let hold = max_hold.min(GRANT_HOLD);
         let renewal = GRANT_RENEWAL.min(hold / 4);
-        let least = Duration::from_millis(self.store.least_ttl_ms);
-        let patience = Duration::from_millis(20 + run_spread(record.run) % 180);
+        let min_ttl = Duration::from_millis(self.store.least_ttl_ms);
+        let patience = Duration::from_millis(20 + hash_run(record.run) % 180);
         ControlConfig {
             record,
             node_lease: LeaseTiming {
-                ttl: NODE_TTL.max(least),
+                ttl: NODE_TTL.max(min_ttl),
                 renewal: NODE_RENEWAL,
             },
             granter_lease: LeaseTiming {
-                ttl: GRANTER_TTL.max(least),
+                ttl: GRANTER_TTL.max(min_ttl),
                 renewal: GRANTER_RENEWAL,
             },
             patience,
@@ -147,17 +147,17 @@
             grants: GranterTiming {
                 hold,
                 renewal,
-                order_pause: ORDER_PAUSE
+                order_pause: ORDER_INTERVAL
                     .div_f64(self.limits.processor_share.min(1.0))
-                    .min(LONGEST_ORDER_PAUSE),
-                longest_renewal: renewal + (longest - hold).min(LONGEST_RENEWAL - renewal),
+                    .min(MAX_ORDER_INTERVAL),
+                longest_renewal: renewal + (max_hold - hold).min(MAX_RENEWAL - renewal),
                 drift_percent: CLOCK_DRIFT_PERCENT,
                 transit: TRANSIT,
                 order_wait: GRANT_TIMEOUT,
                 order_lifetime: ORDER_LIFETIME,
-                silence: SILENCE,
+                silence: SILENCE_TIMEOUT,
                 settle: heartbeat,
-                notice: NOTICE,
+                notice: GRANT_NOTICE,
                 guards: GranterGuards::default(),
             },
             balance: BalanceLimits {
@@ -175,6 +175,6 @@
 }
 
 /// Spreads runs so that nodes differ.
-fn run_spread(run: u64) -> u64 {
+fn hash_run(run: u64) -> u64 {
     run.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32
 }
--- a/crates/router/src/shell/actor.rs
+++ b/crates/router/src/shell/actor.rs
@@ -9,7 +9,7 @@
 
 /// What the process's loop needs to know after each turn of the actor.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
+pub(crate) struct LoopState {
     /// The time at which the actor works.
     pub now: Cell<Time>,
     /// When the next decision is due.
@@ -17,38 +17,43 @@
     /// Whether the node is ready for clients.
     pub ready: Cell<bool>,
     /// How long after one tick the next one is due.
-    pub tick_pause: Cell<Duration>,
+    pub tick_interval: Cell<Duration>,
 }
 
 /// Owns the core; passes on what it asks for.
 pub(crate) struct RouterActor {
     core: NodeCore,
-    turn: Rc<Turn>,
+    loop_state: Rc<LoopState>,
     outputs: Fwd<Output>,
 }
 
 impl RouterActor {
-    pub fn init(_: CX![], core: NodeCore, turn: Rc<Turn>, outputs: Fwd<Output>) -> Option<Self> {
+    pub fn init(
+        _: CX![],
+        core: NodeCore,
+        loop_state: Rc<LoopState>,
+        outputs: Fwd<Output>,
+    ) -> Option<Self> {
         Some(Self {
             core,
-            turn,
+            loop_state,
             outputs,
         })
     }
 
     /// Takes one input.
     pub fn input(&mut self, _: CX![], input: Input) {
-        let now = self.turn.now.get();
+        let now = self.loop_state.now.get();
         for output in self.core.handle(now, input) {
             self.outputs.fwd(output);
         }
-        self.turn.due.set(self.core.next_due());
-        self.turn.ready.set(self.core.is_ready());
-        self.turn.tick_pause.set(self.core.tick_pause(now));
+        self.loop_state.due.set(self.core.next_due());
+        self.loop_state.ready.set(self.core.is_ready());
+        self.loop_state.tick_interval.set(self.core.tick_pause(now));
     }
 
     /// Lets the owner look at the core.
-    pub fn inspect(&mut self, _: CX![], look: Box<dyn FnOnce(&NodeCore)>) {
-        look(&self.core);
+    pub fn inspect(&mut self, _: CX![], callback: Box<dyn FnOnce(&NodeCore)>) {
+        callback(&self.core);
     }
 }
--- a/crates/router/src/shell/answer.rs
+++ b/crates/router/src/shell/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of the router's own, and which headers go through.
 
-use crate::shell::handle::AnswerBody;
+use crate::shell::handle::ResponseBody;
 use beamtray_dispatch::{Admission, Conclusion, UnknownCause};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -45,15 +45,15 @@
 }
 
 /// An answer of the router's own.
-pub(crate) fn own(status: StatusCode) -> Response<AnswerBody> {
+pub(crate) fn empty_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
 /// A promise that the request has not run and never will.
-pub(crate) fn refusal(retry_after: Duration) -> Response<AnswerBody> {
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE);
+pub(crate) fn refusal_response(retry_after: Duration) -> Response<ResponseBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -62,19 +62,19 @@
 }
 
 /// The answer to a request that is not admitted.
-pub(crate) fn denial(admission: Admission) -> Response<AnswerBody> {
+pub(crate) fn denial_response(admission: Admission) -> Response<ResponseBody> {
     match admission {
-        Admission::NoConfiguration | Admission::Overloaded => refusal(START_RETRY_AFTER),
-        Admission::NoRoute => own(StatusCode::NOT_FOUND),
-        Admission::NoKey => own(StatusCode::BAD_REQUEST),
+        Admission::NoConfiguration | Admission::Overloaded => refusal_response(START_RETRY_AFTER),
+        Admission::NoRoute => empty_response(StatusCode::NOT_FOUND),
+        Admission::NoKey => empty_response(StatusCode::BAD_REQUEST),
     }
 }
 
 /// The final answer to a request that no upstream answered.
-pub(crate) fn conclusion(conclusion: Conclusion) -> Response<AnswerBody> {
+pub(crate) fn conclusion_response(conclusion: Conclusion) -> Response<ResponseBody> {
     match conclusion {
-        Conclusion::Refused { retry_after, .. } => refusal(retry_after),
-        Conclusion::Unknown(UnknownCause::TimedOut) => own(StatusCode::GATEWAY_TIMEOUT),
-        Conclusion::Unknown(_) => own(StatusCode::BAD_GATEWAY),
+        Conclusion::Refused { retry_after, .. } => refusal_response(retry_after),
+        Conclusion::Unknown(UnknownCause::TimedOut) => empty_response(StatusCode::GATEWAY_TIMEOUT),
+        Conclusion::Unknown(_) => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -3,7 +3,7 @@
 use crate::core::Input;
 use crate::shell::answer::strip_connection_headers;
 use crate::shell::connections::{Answer, CallFailure, CallProgress};
-use crate::shell::handle::{AnswerBody, Shared, Step};
+use crate::shell::handle::{RequestAction, ResponseBody, Shared};
 use beamtray_catalog::{LeaveWord, RateWord, RestWord};
 use beamtray_dispatch::{AttemptOutcome, Fingerprints, Forward, Ticket, UnknownCause, Untouched};
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 
 /// Kept back from the time that an upstream is given, so that its own answer
 /// at its deadline still arrives.
-const UPSTREAM_MARGIN: Duration = Duration::from_millis(5);
+const UPSTREAM_DEADLINE_MARGIN: Duration = Duration::from_millis(5);
 
 /// A client's request as it is sent on.
 pub(crate) struct ClientRequest {
@@ -28,28 +28,28 @@
 }
 
 /// What came of an attempt.
-struct Result {
+struct AttemptResult {
     outcome: AttemptOutcome,
-    response: Option<Response<AnswerBody>>,
+    response: Option<Response<ResponseBody>>,
     /// Set when an upstream of another name answered at the upstream's address.
     replaced: bool,
     /// What the upstream's answer said of the rate that it takes.
     rate: Option<RateWord>,
     /// Whether the upstream's answer said that it leaves.
-    leaves: bool,
+    is_leaving: bool,
     /// How long it asked this node for rest.
-    rest: Option<Duration>,
+    backoff: Option<Duration>,
 }
 
-impl Result {
+impl AttemptResult {
     fn failed(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
             response: None,
             replaced: false,
             rate: None,
-            leaves: false,
-            rest: None,
+            is_leaving: false,
+            backoff: None,
         }
     }
 }
@@ -62,44 +62,44 @@
     forward: Forward,
     request: Rc<ClientRequest>,
 ) {
-    let sent = shared.now();
-    let left = forward.deadline.since(sent);
-    shared.observer.sent(&request.id, &forward, left);
+    let sent_at = shared.now();
+    let left = forward.deadline.since(sent_at);
+    shared.observer.attempt_sent(&request.id, &forward, left);
     let progress = if forward.route.repeatable {
         CallProgress::repeatable()
     } else {
         CallProgress::unrepeatable()
     };
-    let progress = progress.before(shared.clock.clone(), forward.deadline);
-    let exchange = exchange(&shared, &forward, &request, &progress);
-    let result = match shared.until(forward.deadline, exchange).await {
+    let progress = progress.with_write_deadline(shared.clock.clone(), forward.deadline);
+    let exchange = send_to_upstream(&shared, &forward, &request, &progress);
+    let result = match shared.run_until(forward.deadline, exchange).await {
         Some(result) => result,
-        None if progress.may_be_written() => {
+        None if progress.may_have_been_written() => {
             // It may be the connection that is silent, not the upstream; then the others
             // from that time are, too, and each would cost a request of its own.
-            if progress.was_rested() {
-                shared.connections.forget(forward.address);
+            if progress.was_reused() {
+                shared.connections.close_idle(forward.address);
             }
-            Result::failed(AttemptOutcome::Unknown(UnknownCause::TimedOut))
+            AttemptResult::failed(AttemptOutcome::Unknown(UnknownCause::TimedOut))
         }
-        None => Result::failed(AttemptOutcome::Untouched(Untouched::Unconnected)),
+        None => AttemptResult::failed(AttemptOutcome::Untouched(Untouched::Unconnected)),
     };
-    let took = shared.now().since(sent);
+    let took = shared.now().since(sent_at);
     shared
         .observer
-        .ended(&request, &forward, result.outcome, took);
+        .attempt_ended(&request, &forward, result.outcome, took);
     if result.replaced {
         shared.input(Input::Replaced {
             upstream: forward.upstream.clone(),
         });
     }
-    if result.leaves {
+    if result.is_leaving {
         shared.input(Input::Leaves {
             upstream: forward.upstream.clone(),
         });
     }
-    if let Some(rest) = result.rest {
-        shared.observer.rest_asked(&forward.upstream, rest);
+    if let Some(rest) = result.backoff {
+        shared.observer.backoff_requested(&forward.upstream, rest);
         shared.input(Input::Rests {
             upstream: forward.upstream.clone(),
             rest,
@@ -107,8 +107,8 @@
     }
     if let Some(response) = result.response {
         let age = forward.waited + took;
-        shared.observer.answered(&forward.route.name, age);
-        shared.step(ticket, Step::Answer(Box::new(response)));
+        shared.observer.request_answered(&forward.route.name, age);
+        shared.send_action(ticket, RequestAction::Respond(Box::new(response)));
     }
     shared.input(Input::Ended {
         ticket,
@@ -117,39 +117,44 @@
     });
 }
 
-async fn exchange(
+async fn send_to_upstream(
     shared: &Shared,
     forward: &Forward,
     request: &ClientRequest,
     progress: &CallProgress,
-) -> Result {
-    let Some(outgoing) = outgoing(shared, forward, request) else {
-        return Result::failed(AttemptOutcome::Untouched(Untouched::Unsent));
+) -> AttemptResult {
+    let Some(outgoing) = build_request(shared, forward, request) else {
+        return AttemptResult::failed(AttemptOutcome::Untouched(Untouched::Unsent));
     };
     let call = shared.connections.call(forward.address, outgoing, progress);
     match call.await {
-        Ok(answer) => judge(shared, forward, request, answer),
-        Err(failure) => Result::failed(match failure {
-            CallFailure::BrokenOff | CallFailure::Unacknowledged => {
+        Ok(answer) => classify_answer(shared, forward, request, answer),
+        Err(failure) => AttemptResult::failed(match failure {
+            CallFailure::ConnectionLost | CallFailure::AckTimeout => {
                 // Others to the same upstream may have ended with it.
-                shared.connections.forget(forward.address);
+                shared.connections.close_idle(forward.address);
                 AttemptOutcome::Unknown(UnknownCause::BrokenOff)
             }
-            CallFailure::Unconnected => AttemptOutcome::Untouched(Untouched::Unconnected),
-            CallFailure::Refused => AttemptOutcome::Untouched(Untouched::ConnectionRefused),
-            CallFailure::Unsent => AttemptOutcome::Untouched(Untouched::Unsent),
+            CallFailure::ConnectFailed => AttemptOutcome::Untouched(Untouched::Unconnected),
+            CallFailure::ConnectionRefused => {
+                AttemptOutcome::Untouched(Untouched::ConnectionRefused)
+            }
+            CallFailure::NotSent => AttemptOutcome::Untouched(Untouched::Unsent),
         }),
     }
 }
 
-fn outgoing(
+fn build_request(
     shared: &Shared,
     forward: &Forward,
     request: &ClientRequest,
 ) -> Option<Request<Full<Bytes>>> {
     let names = shared.dialect.headers();
     let left = forward.deadline.since(shared.now());
-    let left = left.saturating_sub(UPSTREAM_MARGIN).as_millis().max(1);
+    let left = left
+        .saturating_sub(UPSTREAM_DEADLINE_MARGIN)
+        .as_millis()
+        .max(1);
     let mut outgoing = Request::new(Full::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.uri.clone();
@@ -162,53 +167,58 @@
     Some(outgoing)
 }
 
-fn judge(shared: &Shared, forward: &Forward, request: &ClientRequest, answer: Answer) -> Result {
+fn classify_answer(
+    shared: &Shared,
+    forward: &Forward,
+    request: &ClientRequest,
+    answer: Answer,
+) -> AttemptResult {
     let names = shared.dialect.headers();
     let headers = &answer.head.headers;
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let id = text(names.request_id);
-    let foreign = id.is_some_and(|id| id != request.id);
+    let is_foreign = id.is_some_and(|id| id != request.id);
     let status = answer.head.status;
     let not_executed = headers.contains_key(names.not_executed);
-    let named = values(headers, names.rate_limit);
-    let rate = (!foreign).then(|| shared.dialect.decode_rate(&named));
-    let leaves = !foreign && leaves(shared, forward, headers);
-    let rest = rest(shared, forward, &answer).filter(|_| !foreign);
-    if !foreign && (not_executed || status == StatusCode::MISDIRECTED_REQUEST) {
+    let named = header_values(headers, names.rate_limit);
+    let rate = (!is_foreign).then(|| shared.dialect.decode_rate(&named));
+    let is_leaving = !is_foreign && announces_leaving(shared, forward, headers);
+    let backoff = requested_backoff(shared, forward, &answer).filter(|_| !is_foreign);
+    if !is_foreign && (not_executed || status == StatusCode::MISDIRECTED_REQUEST) {
         let answering = text(names.answering_upstream);
         let replaced = answering.is_some_and(|name| name != forward.upstream.name.0);
         let proof = match status {
             StatusCode::MISDIRECTED_REQUEST => Untouched::Misdirected,
             _ => Untouched::Full,
         };
-        shared.connections.keep(answer);
-        return Result {
+        shared.connections.put_back(answer);
+        return AttemptResult {
             outcome: AttemptOutcome::Untouched(proof),
             response: None,
             replaced,
             // Another upstream speaks of itself.
             rate: rate.filter(|_| !replaced),
-            leaves: leaves && !replaced,
-            rest: rest.filter(|_| !replaced),
+            is_leaving: is_leaving && !replaced,
+            backoff: backoff.filter(|_| !replaced),
         };
     }
     let unsigned = status.is_success() && text(names.signature).is_none();
-    if foreign || id.is_none() || unsigned {
-        shared.connections.distrust(forward.address);
-        return Result::failed(AttemptOutcome::Unknown(UnknownCause::WrongAnswer));
+    if is_foreign || id.is_none() || unsigned {
+        shared.connections.disable_reuse(forward.address);
+        return AttemptResult::failed(AttemptOutcome::Unknown(UnknownCause::WrongAnswer));
     }
     // These would promise that the request has not run.
-    let promises = [
+    let not_run_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if promises.contains(&status) {
-        shared.connections.keep(answer);
-        return Result {
-            leaves,
-            rest,
-            ..Result::failed(AttemptOutcome::Unknown(UnknownCause::BrokenOff))
+    if not_run_statuses.contains(&status) {
+        shared.connections.put_back(answer);
+        return AttemptResult {
+            is_leaving,
+            backoff,
+            ..AttemptResult::failed(AttemptOutcome::Unknown(UnknownCause::BrokenOff))
         };
     }
     let mut headers = headers.clone();
@@ -216,57 +226,57 @@
     let mut response = Response::new(Full::new(answer.body.clone()));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
-    shared.connections.keep(answer);
-    Result {
+    shared.connections.put_back(answer);
+    AttemptResult {
         outcome: AttemptOutcome::Answered {
             success: status.is_success(),
         },
         response: Some(response),
         replaced: false,
         rate,
-        leaves,
-        rest: None,
+        is_leaving,
+        backoff: None,
     }
 }
 
-fn values<'a>(headers: &'a HeaderMap, name: &str) -> Vec<&'a [u8]> {
+fn header_values<'a>(headers: &'a HeaderMap, name: &str) -> Vec<&'a [u8]> {
     let all = headers.get_all(name).iter();
     all.map(HeaderValue::as_bytes).collect()
 }
 
-fn leaves(shared: &Shared, forward: &Forward, headers: &HeaderMap) -> bool {
+fn announces_leaving(shared: &Shared, forward: &Forward, headers: &HeaderMap) -> bool {
     let names = shared.dialect.headers();
     match shared
         .dialect
-        .decode_leaving(&values(headers, names.leaving))
+        .decode_leaving(&header_values(headers, names.leaving))
     {
         LeaveWord::Leaves => true,
         LeaveWord::Stays => false,
         LeaveWord::Unreadable => {
             shared
                 .observer
-                .word_unreadable(&forward.upstream, "leaving");
+                .header_unreadable(&forward.upstream, "leaving");
             false
         }
     }
 }
 
 /// The rest that an answer asks for which turns a request away.
-fn rest(shared: &Shared, forward: &Forward, answer: &Answer) -> Option<Duration> {
-    let turned_away = [
+fn requested_backoff(shared: &Shared, forward: &Forward, answer: &Answer) -> Option<Duration> {
+    let rejections = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if !turned_away.contains(&answer.head.status) {
+    if !rejections.contains(&answer.head.status) {
         return None;
     }
     let names = shared.dialect.headers();
-    let values = values(&answer.head.headers, names.rest);
+    let values = header_values(&answer.head.headers, names.rest);
     match shared.dialect.decode_rest(&values) {
         RestWord::Rest(rest) => Some(rest),
         RestWord::Unsaid => None,
         RestWord::Unreadable => {
-            shared.observer.word_unreadable(&forward.upstream, "rest");
+            shared.observer.header_unreadable(&forward.upstream, "rest");
             None
         }
     }
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the metadata store and orders to upstreams.
 
 use crate::core::{GRANT_TIMEOUT, Input, OrderTask, StoreTask};
-use crate::shell::connections::{Answer, CallFailure, CallProgress, Connections};
+use crate::shell::connections::{Answer, CallFailure, CallProgress, ConnectionPool};
 use crate::shell::handle::Shared;
 use beamtray_dialect::{CallMethod, HttpAnswer, HttpCall};
 use beamtray_metastore::{StoreCall, StoreOutcome};
@@ -22,7 +22,7 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// How long an order may stay unacknowledged. Less than its answer is waited for, so that the
 /// end of the connection tells that the order did not come to the upstream's machine.
-pub(crate) const ORDER_UNACKNOWLEDGED: Duration = Duration::from_millis(400);
+pub(crate) const ORDER_ACK_TIMEOUT: Duration = Duration::from_millis(400);
 const JSON: &str = "application/json";
 
 /// Calls the store and tells the core how it went.
@@ -44,14 +44,14 @@
         );
         let answer = timeout(limit, answer).await;
         let outcome = match answer {
-            Ok(Ok(answer)) => judge(&shared, &call, &answer),
+            Ok(Ok(answer)) => interpret_store_answer(&shared, &call, &answer),
             Ok(Err(_)) | Err(_) => {
                 // Other connections may be as dead, without having noticed.
-                shared.connections.forget(shared.store);
+                shared.connections.close_idle(shared.store);
                 StoreOutcome::Unknown
             }
         };
-        shared.observer.store(&task, &outcome);
+        shared.observer.store_call_ended(&task, &outcome);
         shared.input(Input::Store { task, outcome });
     });
 }
@@ -59,19 +59,21 @@
 /// What an answer of the store says. The core is told of a new era before.
 ///
 /// One of an older era came late: what it says has been taken back.
-fn judge(shared: &Shared, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome {
-    let known = shared.store_era.get();
+fn interpret_store_answer(shared: &Shared, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome {
+    let known_era = shared.store_era.get();
     let era = match shared.dialect.decode_era(answer) {
-        Some(era) if known.is_some_and(|known| era < known) => return StoreOutcome::Unknown,
+        Some(era) if known_era.is_some_and(|known_era| era < known_era) => {
+            return StoreOutcome::Unknown;
+        }
         Some(era) => era,
         None => {
             if let Some(text) = &answer.store_era {
                 shared.observer.era_unreadable(text);
             }
-            known.unwrap_or_default()
+            known_era.unwrap_or_default()
         }
     };
-    if known != Some(era) {
+    if known_era != Some(era) {
         shared.store_era.set(Some(era));
         shared.input(Input::StoreEra(era));
     }
@@ -79,16 +81,16 @@
 }
 
 /// Gives an order and tells the core how it went.
-pub(crate) fn order(shared: &Rc<Shared>, task: OrderTask, epoch: u64) {
+pub(crate) fn send_order(shared: &Rc<Shared>, task: OrderTask, epoch: u64) {
     let shared = shared.clone();
-    let decided = shared.now();
+    let decided_at = shared.now();
     tokio::task::spawn_local(async move {
         let reply = match task.address {
-            Some(address) => give(&shared, address, &task).await,
+            Some(address) => deliver_order(&shared, address, &task).await,
             None => GrantReply::Undelivered,
         };
-        let took = shared.now().since(decided);
-        shared.observer.order(&task, &reply, took);
+        let took = shared.now().since(decided_at);
+        shared.observer.order_ended(&task, &reply, took);
         shared.input(Input::Order {
             service: task.service,
             order: task.order,
@@ -98,7 +100,7 @@
     });
 }
 
-async fn give(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
+async fn deliver_order(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
     // The right to grant is looked at right before the order is written: the process may
     // have stood still since it was decided on, and a connection may take long.
     let right_left = task.until.since(shared.now());
@@ -108,7 +110,7 @@
     let is_grant = matches!(task.order.kind, OrderKind::Grant { .. });
     if let Some(key) = task.asks_about.filter(|_| is_grant) {
         let question = task.order.question(key);
-        match exchange(shared, address, &question, GRANT_TIMEOUT, task.until).await {
+        match exchange_order(shared, address, &question, GRANT_TIMEOUT, task.until).await {
             GrantReply::Replaced => return GrantReply::Replaced,
             // The grant itself was not written.
             GrantReply::Undelivered
@@ -125,40 +127,40 @@
         OrderKind::Grant { .. } => GRANT_TIMEOUT,
         OrderKind::Release => RELEASE_TIMEOUT,
     };
-    exchange(shared, address, &task.order, limit, task.until).await
+    exchange_order(shared, address, &task.order, limit, task.until).await
 }
 
 /// Writes an order, unless it is later than `until` by then, and waits so long for the answer.
-async fn exchange(
+async fn exchange_order(
     shared: &Shared,
     address: SocketAddr,
     order: &GrantOrder,
     limit: Duration,
     until: Time,
 ) -> GrantReply {
-    let connections = &shared.order_connections;
+    let pool = &shared.order_connections;
     let call = shared.dialect.encode_order(order);
-    let progress = CallProgress::repeatable().before(shared.clock.clone(), until);
-    match timeout(limit, send(shared, connections, address, call, &progress)).await {
+    let progress = CallProgress::repeatable().with_write_deadline(shared.clock.clone(), until);
+    match timeout(limit, send(shared, pool, address, call, &progress)).await {
         Ok(Ok(answer)) => match shared.dialect.decode_order(&order.kind, &answer) {
             // The answer of another call: that of the order did not come.
             GrantReply::Unanswered => GrantReply::InDoubt,
             reply => reply,
         },
-        Ok(Err(CallFailure::BrokenOff)) => {
+        Ok(Err(CallFailure::ConnectionLost)) => {
             // Others to the same upstream may have ended with it.
-            shared.connections.forget(address);
-            connections.forget(address);
+            shared.connections.close_idle(address);
+            pool.close_idle(address);
             GrantReply::BrokenOff
         }
-        Ok(Err(CallFailure::Unacknowledged)) => {
-            connections.forget(address);
+        Ok(Err(CallFailure::AckTimeout)) => {
+            pool.close_idle(address);
             GrantReply::Unanswered
         }
-        Ok(Err(_)) | Err(_) if progress.may_be_written() => {
+        Ok(Err(_)) | Err(_) if progress.may_have_been_written() => {
             // Other connections may be as dead: on a new one it shows that an
             // order can't have arrived.
-            connections.forget(address);
+            pool.close_idle(address);
             GrantReply::InDoubt
         }
         Ok(Err(_)) | Err(_) => GrantReply::Undelivered,
@@ -167,25 +169,25 @@
 
 async fn send(
     shared: &Shared,
-    connections: &Connections,
+    pool: &ConnectionPool,
     address: SocketAddr,
     call: HttpCall,
     progress: &CallProgress,
 ) -> Result<HttpAnswer, CallFailure> {
-    let request = request(address, call).map_err(|_| CallFailure::Unsent)?;
-    let answer = connections.call(address, request, progress).await?;
-    let read = read(shared, &answer);
-    if read.request_id.is_some() {
+    let request = build_request(address, call).map_err(|_| CallFailure::NotSent)?;
+    let answer = pool.call(address, request, progress).await?;
+    let decoded = to_http_answer(shared, &answer);
+    if decoded.request_id.is_some() {
         // The answer of a request: what else comes on the connection is not
         // what it seems either.
-        connections.distrust(address);
-        return Ok(read);
+        pool.disable_reuse(address);
+        return Ok(decoded);
     }
-    connections.keep(answer);
-    Ok(read)
+    pool.put_back(answer);
+    Ok(decoded)
 }
 
-fn request(
+fn build_request(
     address: SocketAddr,
     call: HttpCall,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
@@ -207,7 +209,7 @@
     builder.body(Full::new(Bytes::from(call.body)))
 }
 
-fn read(shared: &Shared, answer: &Answer) -> HttpAnswer {
+fn to_http_answer(shared: &Shared, answer: &Answer) -> HttpAnswer {
     let names = shared.dialect.headers();
     let header = |name| {
         let value = answer.head.headers.get(name)?;
--- a/crates/router/src/shell/clients.rs
+++ b/crates/router/src/shell/clients.rs
@@ -1,10 +1,13 @@
 //! Connections and requests of clients.
 
 use crate::core::Input;
-use crate::shell::answer::{conclusion, denial, own, refusal, strip_connection_headers};
+use crate::shell::answer::{
+    conclusion_response, denial_response, empty_response, refusal_response,
+    strip_connection_headers,
+};
 use crate::shell::attempt::{ClientRequest, attempt};
-use crate::shell::connections::prepare;
-use crate::shell::handle::{AnswerBody, Shared, Step};
+use crate::shell::connections::configure_socket;
+use crate::shell::handle::{RequestAction, ResponseBody, Shared};
 use beamtray_dispatch::{Fingerprints, RequestContent, RequestHead, Ticket};
 use beamtray_sharding::ShardKey;
 use http_body_util::{BodyExt, Limited};
@@ -25,13 +28,13 @@
 
 /// Pause after an accept that failed, so that a lack of descriptors does not
 /// spin the loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Longest time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// When to come back if the core was lost.
 const INTERNAL_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Least buffer for a request's head.
-const LEAST_HEAD_BYTES: usize = 8 * 1024;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Accepts clients until the process stops.
 pub(crate) async fn accept(shared: Rc<Shared>, listener: TcpListener) {
@@ -41,28 +44,28 @@
                 let connection = serve_connection(shared.clone(), stream, caller.ip());
                 tokio::task::spawn_local(connection);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 async fn serve_connection(shared: Rc<Shared>, stream: TcpStream, caller: IpAddr) {
-    prepare(&stream);
+    configure_socket(&stream);
     let limits = shared.limits.get();
-    let for_requests = shared.clone();
-    let service = service_fn(move |request| serve(for_requests.clone(), request, caller));
+    let request_shared = shared.clone();
+    let service = service_fn(move |request| serve(request_shared.clone(), request, caller));
     // The time for a head also bounds the rest between requests, so it must
     // not be shorter than that.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let stop = shared.stop.notified();
+    let shutdown = shared.shutdown.notified();
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = stop => connection.as_mut().graceful_shutdown(),
+        () = shutdown => connection.as_mut().graceful_shutdown(),
     }
     // A client that left needs no word.
     let _ = connection.await;
@@ -72,10 +75,10 @@
     shared: Rc<Shared>,
     request: Request<Incoming>,
     caller: IpAddr,
-) -> Result<Response<AnswerBody>, Infallible> {
-    let mut response = match receive(&shared, request, caller).await {
-        Ok(request) => decide(&shared, request).await,
-        Err(status) => own(status),
+) -> Result<Response<ResponseBody>, Infallible> {
+    let mut response = match read_request(&shared, request, caller).await {
+        Ok(request) => process_request(&shared, request).await,
+        Err(status) => empty_response(status),
     };
     if shared.stopping.get() {
         let headers = response.headers_mut();
@@ -85,14 +88,14 @@
 }
 
 /// Reads a whole request.
-async fn receive(
+async fn read_request(
     shared: &Shared,
     request: Request<Incoming>,
     caller: IpAddr,
 ) -> Result<(RequestHead, ClientRequest), StatusCode> {
     let (parts, body) = request.into_parts();
-    let longest = shared.limits.get().max_body_bytes;
-    let body = match timeout(BODY_TIMEOUT, Limited::new(body, longest).collect()).await {
+    let max_body_bytes = shared.limits.get().max_body_bytes;
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_body_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -100,7 +103,7 @@
         Ok(Err(_)) => return Err(StatusCode::BAD_REQUEST),
         Err(_) => return Err(StatusCode::REQUEST_TIMEOUT),
     };
-    let mut head = head(shared, &parts.headers, &parts.uri)?;
+    let mut head = parse_head(shared, &parts.headers, &parts.uri)?;
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let content = RequestContent {
         method: parts.method.as_str(),
@@ -124,7 +127,11 @@
     Ok((head, request))
 }
 
-fn head(shared: &Shared, headers: &HeaderMap, uri: &hyper::Uri) -> Result<RequestHead, StatusCode> {
+fn parse_head(
+    shared: &Shared,
+    headers: &HeaderMap,
+    uri: &hyper::Uri,
+) -> Result<RequestHead, StatusCode> {
     let names = shared.dialect.headers();
     let text = |name: &str| {
         let value = headers.get(name)?;
@@ -151,23 +158,25 @@
 }
 
 /// Follows a request's client: when it leaves, the core is told.
-struct Follower {
+struct RequestGuard {
     shared: Rc<Shared>,
     ticket: Ticket,
     id: String,
     attempt: Option<AbortHandle>,
     repeatable: bool,
-    concluded: bool,
+    finished: bool,
 }
 
-impl Drop for Follower {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.shared.clients.borrow_mut().remove(&self.ticket);
-        if self.concluded {
+        if self.finished {
             return;
         }
         let under_way = self.attempt.is_some();
-        self.shared.observer.cancelled(&self.id, under_way);
+        self.shared
+            .observer
+            .client_disconnected(&self.id, under_way);
         // Work that may not be repeated runs to its end: the client may look
         // for its effect. The core forgets the request when that ends.
         if self.attempt.is_some() && !self.repeatable {
@@ -182,55 +191,55 @@
 }
 
 /// Lets the core decide about a request until it has its final answer.
-async fn decide(
+async fn process_request(
     shared: &Rc<Shared>,
     (head, request): (RequestHead, ClientRequest),
-) -> Response<AnswerBody> {
-    let ticket = shared.ticket();
-    let (sender, steps) = unbounded_channel();
+) -> Response<ResponseBody> {
+    let ticket = shared.new_ticket();
+    let (sender, actions) = unbounded_channel();
     shared.clients.borrow_mut().insert(ticket, sender);
-    let follower = Follower {
+    let guard = RequestGuard {
         shared: shared.clone(),
         ticket,
         id: head.id.clone(),
         attempt: None,
         repeatable: true,
-        concluded: false,
+        finished: false,
     };
     shared.input(Input::Request { ticket, head });
-    follow(follower, Rc::new(request), steps).await
+    run_actions(guard, Rc::new(request), actions).await
 }
 
-async fn follow(
-    mut follower: Follower,
+async fn run_actions(
+    mut guard: RequestGuard,
     request: Rc<ClientRequest>,
-    mut steps: UnboundedReceiver<Step>,
-) -> Response<AnswerBody> {
-    let shared = follower.shared.clone();
-    while let Some(step) = steps.recv().await {
-        let response = match step {
-            Step::Forward(forward) => {
-                follower.repeatable = forward.route.repeatable;
-                let work = attempt(shared.clone(), follower.ticket, forward, request.clone());
-                follower.attempt = Some(tokio::task::spawn_local(work).abort_handle());
+    mut actions: UnboundedReceiver<RequestAction>,
+) -> Response<ResponseBody> {
+    let shared = guard.shared.clone();
+    while let Some(action) = actions.recv().await {
+        let response = match action {
+            RequestAction::Forward(forward) => {
+                guard.repeatable = forward.route.repeatable;
+                let work = attempt(shared.clone(), guard.ticket, forward, request.clone());
+                guard.attempt = Some(tokio::task::spawn_local(work).abort_handle());
                 continue;
             }
-            Step::Deny(admission) => {
-                shared.observer.denied(&request.id, admission);
-                denial(admission)
+            RequestAction::Deny(admission) => {
+                shared.observer.request_denied(&request.id, admission);
+                denial_response(admission)
             }
-            Step::Conclude(ending) => {
+            RequestAction::Conclude(ending) => {
                 let fingerprints = request.fingerprints;
                 shared
                     .observer
-                    .concluded(&request.id, fingerprints, &ending);
-                conclusion(ending.conclusion)
+                    .request_concluded(&request.id, fingerprints, &ending);
+                conclusion_response(ending.conclusion)
             }
-            Step::Answer(response) => *response,
+            RequestAction::Respond(response) => *response,
         };
-        follower.concluded = true;
+        guard.finished = true;
         return response;
     }
-    follower.concluded = true;
-    refusal(INTERNAL_RETRY_AFTER)
+    guard.finished = true;
+    refusal_response(INTERNAL_RETRY_AFTER)
 }
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -12,8 +12,8 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 pub(crate) use progress::{CallFailure, CallProgress};
-pub(crate) use socket::prepare;
-use socket::{end_when_unacknowledged, reset_when_closed};
+pub(crate) use socket::configure_socket;
+use socket::{reset_on_close, set_ack_timeout};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::error::Error;
@@ -31,43 +31,43 @@
 const RESET_WAIT: Duration = Duration::from_millis(1);
 /// Rest after which a connection is not used again, when the other side does
 /// not tell.
-const DEFAULT_REST: Duration = Duration::from_secs(3);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Part of the rest that the other side allows.
-const REST_PERCENT: u32 = 50;
+const IDLE_TIMEOUT_PERCENT: u32 = 50;
 /// Connections kept to one address.
-const KEPT: usize = 4;
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 /// Connections kept in all: each costs memory, and where there are many upstreams
 /// most are not used again before their rest is over.
-const MOST_RESTING: usize = 96;
+const MAX_IDLE: usize = 96;
 /// The same at the granter: one to each of hundreds of holders. A holder of busy keys
 /// resets new connections, and is to get the order that takes some of them away. Some
 /// 10 kB each, at one node.
-const MOST_RESTING_AT_GRANTER: usize = 800;
+const MAX_IDLE_AT_GRANTER: usize = 800;
 /// How long connections to an address that sent wrong bytes are not kept.
-const DISTRUST: Duration = Duration::from_secs(6);
+const NO_REUSE_PERIOD: Duration = Duration::from_secs(6);
 /// Longest answer, in bytes.
-const LONGEST_ANSWER: usize = 32 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 /// Bodies up to this length have left before any answer can come.
-const SMALL_BODY: usize = 8 * 1024;
+const SMALL_BODY_BYTES: usize = 8 * 1024;
 
 /// A whole answer.
 pub(crate) struct Answer {
     pub head: Parts,
     pub body: Bytes,
     /// The connection; dropped, it closes.
-    connection: Connection,
+    connection: PooledConnection,
     reusable: bool,
 }
 
-struct Connection {
+struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     address: SocketAddr,
-    rests_since: Instant,
+    idle_since: Instant,
     usable_until: Instant,
 }
 
-impl Drop for Connection {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -75,33 +75,33 @@
 
 /// Connections that rest.
 #[derive(Default)]
-pub(crate) struct Connections {
-    resting: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    distrusted: RefCell<HashMap<SocketAddr, Instant>>,
-    gives_orders: Cell<bool>,
+pub(crate) struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddr, Vec<PooledConnection>>>,
+    reuse_disabled: RefCell<HashMap<SocketAddr, Instant>>,
+    is_granter: Cell<bool>,
     /// How long written bytes may stay unacknowledged, if that is less than elsewhere.
-    unacknowledged_for: Option<Duration>,
+    ack_timeout: Option<Duration>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Connections that end when written bytes stay unacknowledged for so long.
-    pub fn that_end_after(unacknowledged_for: Duration) -> Self {
+    pub fn with_ack_timeout(ack_timeout: Duration) -> Self {
         Self {
-            unacknowledged_for: Some(unacknowledged_for),
+            ack_timeout: Some(ack_timeout),
             ..Self::default()
         }
     }
 
     /// States whether this node gives orders to all holders of keys.
-    pub fn set_gives_orders(&self, gives_orders: bool) {
-        self.gives_orders.set(gives_orders);
+    pub fn set_granter(&self, is_granter: bool) {
+        self.is_granter.set(is_granter);
     }
 
-    fn most_resting(&self) -> usize {
-        if self.gives_orders.get() {
-            MOST_RESTING_AT_GRANTER
+    fn max_idle(&self) -> usize {
+        if self.is_granter.get() {
+            MAX_IDLE_AT_GRANTER
         } else {
-            MOST_RESTING
+            MAX_IDLE
         }
     }
 
@@ -112,50 +112,50 @@
         mut request: Request<Full<Bytes>>,
         progress: &CallProgress,
     ) -> Result<Answer, CallFailure> {
-        let small = hyper::body::Body::size_hint(request.body())
+        let small_body = hyper::body::Body::size_hint(request.body())
             .upper()
-            .is_some_and(|length| length <= SMALL_BODY as u64);
+            .is_some_and(|length| length <= SMALL_BODY_BYTES as u64);
         loop {
-            let (mut connection, rested) = match self.take(address, progress.longest_rest) {
+            let (mut connection, reused) = match self.take_idle(address, progress.max_idle_time) {
                 Some(connection) => (connection, true),
-                None => (connect(address, self.unacknowledged_for).await?, false),
+                None => (connect(address, self.ack_timeout).await?, false),
             };
-            if progress.is_too_late() {
-                return Err(CallFailure::Unsent);
+            if progress.is_past_write_deadline() {
+                return Err(CallFailure::NotSent);
             }
             progress.written.set(true);
-            progress.rested.set(rested);
+            progress.reused.set(reused);
             match connection.sender.try_send_request(request).await {
-                Ok(response) => return read(connection, response, small).await,
+                Ok(response) => return read_answer(connection, response, small_body).await,
                 Err(mut error) => match error.take_message() {
                     // A connection that ended while it rested.
-                    Some(unsent) if rested => {
+                    Some(unsent) if reused => {
                         progress.written.set(false);
                         request = unsent;
                     }
                     Some(_) => {
                         progress.written.set(false);
-                        return Err(CallFailure::Unsent);
+                        return Err(CallFailure::NotSent);
                     }
-                    None if is_unacknowledged(error.error()) => {
-                        return Err(CallFailure::Unacknowledged);
+                    None if is_ack_timeout(error.error()) => {
+                        return Err(CallFailure::AckTimeout);
                     }
-                    None => return Err(CallFailure::BrokenOff),
+                    None => return Err(CallFailure::ConnectionLost),
                 },
             }
         }
     }
 
-    fn take(&self, address: SocketAddr, longest_rest: Duration) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.get_mut(&address)?;
+    fn take_idle(&self, address: SocketAddr, max_idle_time: Duration) -> Option<PooledConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
         let now = Instant::now();
         // The last one has rested the shortest time.
-        let rested = now.saturating_duration_since(kept.last()?.rests_since);
-        if rested > longest_rest {
+        let idle_for = now.saturating_duration_since(connections.last()?.idle_since);
+        if idle_for > max_idle_time {
             return None;
         }
-        while let Some(connection) = kept.pop() {
+        while let Some(connection) = connections.pop() {
             if connection.usable_until > now && connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -164,82 +164,86 @@
     }
 
     /// Keeps the connection of an answer that was in order.
-    pub fn keep(&self, answer: Answer) {
-        if !answer.reusable || self.is_distrusted(answer.connection.address) {
+    pub fn put_back(&self, answer: Answer) {
+        if !answer.reusable || self.is_reuse_disabled(answer.connection.address) {
             return;
         }
         let mut connection = answer.connection;
-        connection.rests_since = Instant::now();
-        connection.usable_until = connection.rests_since + rest(&answer.head);
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.entry(connection.address).or_default();
-        if kept.len() < KEPT {
-            kept.push(connection);
-            drop_longest_resting(&mut resting, self.most_resting());
+        connection.idle_since = Instant::now();
+        connection.usable_until = connection.idle_since + idle_timeout(&answer.head);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(connection.address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(connection);
+            close_longest_idle(&mut idle, self.max_idle());
         }
     }
 
     /// Keeps no connections to an address for a while.
-    pub fn distrust(&self, address: SocketAddr) {
-        self.resting.borrow_mut().remove(&address);
-        let until = Instant::now() + DISTRUST;
-        self.distrusted.borrow_mut().insert(address, until);
+    pub fn disable_reuse(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
+        let until = Instant::now() + NO_REUSE_PERIOD;
+        self.reuse_disabled.borrow_mut().insert(address, until);
     }
 
     /// Closes the resting connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
-        self.resting.borrow_mut().remove(&address);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
     }
 
-    fn is_distrusted(&self, address: SocketAddr) -> bool {
-        let distrusted = self.distrusted.borrow();
-        distrusted
+    fn is_reuse_disabled(&self, address: SocketAddr) -> bool {
+        let reuse_disabled = self.reuse_disabled.borrow();
+        reuse_disabled
             .get(&address)
             .is_some_and(|until| *until > Instant::now())
     }
 
     /// Closes all resting connections: the other sides may have forgotten them.
-    pub fn forget_all(&self) {
-        self.resting.borrow_mut().clear();
+    pub fn close_all_idle(&self) {
+        self.idle.borrow_mut().clear();
     }
 
     /// Closes connections that rested too long.
     pub fn prune(&self) {
         let now = Instant::now();
-        self.resting.borrow_mut().retain(|_, kept| {
-            kept.retain(|connection| connection.usable_until > now);
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|connection| connection.usable_until > now);
+            !connections.is_empty()
         });
-        self.distrusted.borrow_mut().retain(|_, until| *until > now);
+        self.reuse_disabled
+            .borrow_mut()
+            .retain(|_, until| *until > now);
     }
 }
 
 /// Closes the connection that has rested longest when there are too many.
-fn drop_longest_resting(resting: &mut HashMap<SocketAddr, Vec<Connection>>, most: usize) {
-    let count: usize = resting.values().map(Vec::len).sum();
-    if count <= most {
+fn close_longest_idle(idle: &mut HashMap<SocketAddr, Vec<PooledConnection>>, limit: usize) {
+    let count: usize = idle.values().map(Vec::len).sum();
+    if count <= limit {
         return;
     }
     // The first one of an address has rested longest there.
-    let first = |kept: &[Connection]| kept.first().map(|connection| connection.rests_since);
-    let longest = resting
+    let oldest = |connections: &[PooledConnection]| {
+        connections.first().map(|connection| connection.idle_since)
+    };
+    let longest = idle
         .iter()
-        .filter_map(|(address, kept)| Some((first(kept)?, *address)))
+        .filter_map(|(address, connections)| Some((oldest(connections)?, *address)))
         .min();
     let Some((_, address)) = longest else {
         return;
     };
-    if let Some(kept) = resting.get_mut(&address) {
-        kept.remove(0);
-        if kept.is_empty() {
-            resting.remove(&address);
+    if let Some(connections) = idle.get_mut(&address) {
+        connections.remove(0);
+        if connections.is_empty() {
+            idle.remove(&address);
         }
     }
 }
 
 /// How long the other side lets a connection rest, with a margin.
-fn rest(head: &Parts) -> Duration {
-    let told = head
+fn idle_timeout(head: &Parts) -> Duration {
+    let advertised = head
         .headers
         .get("keep-alive")
         .and_then(|value| value.to_str().ok())
@@ -249,13 +253,13 @@
                 .filter_map(|field| field.trim().strip_prefix("timeout="))
                 .find_map(|seconds| seconds.trim().parse::<u64>().ok())
         });
-    told.map_or(DEFAULT_REST, |seconds| {
-        Duration::from_secs(seconds) * REST_PERCENT / 100
+    advertised.map_or(DEFAULT_IDLE_TIMEOUT, |seconds| {
+        Duration::from_secs(seconds) * IDLE_TIMEOUT_PERCENT / 100
     })
 }
 
 /// Whether a connection ended since the other side acknowledged nothing for long.
-fn is_unacknowledged(error: &hyper::Error) -> bool {
+fn is_ack_timeout(error: &hyper::Error) -> bool {
     let cause = error.source();
     let cause = cause.and_then(|cause| cause.downcast_ref::<io::Error>());
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
@@ -263,51 +267,51 @@
 
 async fn connect(
     address: SocketAddr,
-    unacknowledged_for: Option<Duration>,
-) -> Result<Connection, CallFailure> {
+    ack_timeout: Option<Duration>,
+) -> Result<PooledConnection, CallFailure> {
     let stream = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            return Err(CallFailure::Refused);
+            return Err(CallFailure::ConnectionRefused);
         }
-        Ok(Err(_)) | Err(_) => return Err(CallFailure::Unconnected),
+        Ok(Err(_)) | Err(_) => return Err(CallFailure::ConnectFailed),
     };
-    prepare(&stream);
-    reset_when_closed(&stream);
-    if let Some(limit) = unacknowledged_for {
-        end_when_unacknowledged(&stream, limit);
+    configure_socket(&stream);
+    reset_on_close(&stream);
+    if let Some(limit) = ack_timeout {
+        set_ack_timeout(&stream, limit);
     }
     let (sender, connection) = http1::Builder::new()
         .handshake::<_, Full<Bytes>>(TokioIo::new(stream))
         .await
-        .map_err(|_| CallFailure::Unsent)?;
+        .map_err(|_| CallFailure::NotSent)?;
     let driver = tokio::task::spawn_local(async move {
         // Its failure shows in the call that uses it.
         let _ = connection.await;
     });
     tokio::time::sleep(RESET_WAIT).await;
     if sender.is_closed() {
-        return Err(CallFailure::Unconnected);
+        return Err(CallFailure::ConnectFailed);
     }
-    Ok(Connection {
+    Ok(PooledConnection {
         sender,
         driver: driver.abort_handle(),
         address,
-        rests_since: Instant::now(),
+        idle_since: Instant::now(),
         usable_until: Instant::now(),
     })
 }
 
-async fn read(
-    connection: Connection,
+async fn read_answer(
+    connection: PooledConnection,
     response: Response<Incoming>,
-    small: bool,
+    small_body: bool,
 ) -> Result<Answer, CallFailure> {
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, LONGEST_ANSWER)
+    let body = Limited::new(body, MAX_ANSWER_BYTES)
         .collect()
         .await
-        .map_err(|_| CallFailure::BrokenOff)?
+        .map_err(|_| CallFailure::ConnectionLost)?
         .to_bytes();
     let closes = head.headers.get_all(CONNECTION).iter().any(|value| {
         value
@@ -318,6 +322,6 @@
         head,
         body,
         connection,
-        reusable: small && !closes,
+        reusable: small_body && !closes,
     })
 }
--- a/crates/router/src/shell/connections/progress.rs
+++ b/crates/router/src/shell/connections/progress.rs
@@ -7,27 +7,27 @@
 use std::time::Duration;
 
 /// Rest after which a request that can't be repeated takes a new connection.
-const SAFE_REST: Duration = Duration::from_millis(200);
+const UNREPEATABLE_MAX_IDLE: Duration = Duration::from_millis(200);
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
     /// No connection came up in time.
-    Unconnected,
+    ConnectFailed,
     /// The connection was refused.
-    Refused,
+    ConnectionRefused,
     /// The connection ended before anything was written.
-    Unsent,
+    NotSent,
     /// It ended without a whole answer.
-    BrokenOff,
+    ConnectionLost,
     /// It ended since the other side acknowledged nothing of what was written.
-    Unacknowledged,
+    AckTimeout,
 }
 
 /// Until when a call may be written, looked at right before it is: the process may have
 /// stood still, or the machine have been suspended, while a connection came up.
 #[derive(Debug)]
-struct WriteBefore {
+struct WriteDeadline {
     clock: Rc<BootClock>,
     end: Time,
 }
@@ -36,13 +36,13 @@
 #[derive(Debug)]
 pub(crate) struct CallProgress {
     /// Longest rest of a connection that is used.
-    pub(super) longest_rest: Duration,
+    pub(super) max_idle_time: Duration,
     /// The request is not written after this.
-    write_before: Option<WriteBefore>,
+    write_deadline: Option<WriteDeadline>,
     /// Whether the request may have been written.
     pub(super) written: Cell<bool>,
     /// Whether that was on a connection that had been used before.
-    pub(super) rested: Cell<bool>,
+    pub(super) reused: Cell<bool>,
 }
 
 impl CallProgress {
@@ -50,10 +50,10 @@
     /// costs a repeat.
     pub fn repeatable() -> Self {
         Self {
-            longest_rest: Duration::MAX,
-            write_before: None,
+            max_idle_time: Duration::MAX,
+            write_deadline: None,
             written: Cell::new(false),
-            rested: Cell::new(false),
+            reused: Cell::new(false),
         }
     }
 
@@ -61,34 +61,34 @@
     /// it tells, and nobody knows then whether the request ran.
     pub fn unrepeatable() -> Self {
         Self {
-            longest_rest: SAFE_REST,
-            write_before: None,
+            max_idle_time: UNREPEATABLE_MAX_IDLE,
+            write_deadline: None,
             written: Cell::new(false),
-            rested: Cell::new(false),
+            reused: Cell::new(false),
         }
     }
 
     /// The same call, which must not be written after that: to connect may take longer
     /// than the right to say it lasts.
-    pub fn before(self, clock: Rc<BootClock>, end: Time) -> Self {
+    pub fn with_write_deadline(self, clock: Rc<BootClock>, end: Time) -> Self {
         Self {
-            write_before: Some(WriteBefore { clock, end }),
+            write_deadline: Some(WriteDeadline { clock, end }),
             ..self
         }
     }
 
-    pub(super) fn is_too_late(&self) -> bool {
-        let before = self.write_before.as_ref();
-        before.is_some_and(|before| before.clock.now() >= before.end)
+    pub(super) fn is_past_write_deadline(&self) -> bool {
+        let deadline = self.write_deadline.as_ref();
+        deadline.is_some_and(|deadline| deadline.clock.now() >= deadline.end)
     }
 
     /// Whether the request was written on a connection that had been used before.
-    pub fn was_rested(&self) -> bool {
-        self.rested.get()
+    pub fn was_reused(&self) -> bool {
+        self.reused.get()
     }
 
     /// Whether the request may have been written.
-    pub fn may_be_written(&self) -> bool {
+    pub fn may_have_been_written(&self) -> bool {
         self.written.get()
     }
 }
--- a/crates/router/src/shell/connections/socket.rs
+++ b/crates/router/src/shell/connections/socket.rs
@@ -10,7 +10,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Makes a dead path show within seconds.
-pub(crate) fn prepare(stream: &TcpStream) {
+pub(crate) fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
         .with_time(PROBE_AFTER)
@@ -23,7 +23,7 @@
 }
 
 /// Ends a connection whose written bytes stay unacknowledged for that long.
-pub(super) fn end_when_unacknowledged(stream: &TcpStream, limit: Duration) {
+pub(super) fn set_ack_timeout(stream: &TcpStream, limit: Duration) {
     // Without it a call ends by its own time, and it is not known whether it arrived.
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(limit));
 }
@@ -33,7 +33,7 @@
 /// cut: an upstream took an order 6.2 s after it was written, 5.7 s after it was given up on.
 /// Nothing that is wanted is lost by that: a connection is closed once the answer is read,
 /// or when nobody waits for it any more.
-pub(super) fn reset_when_closed(stream: &TcpStream) {
+pub(super) fn reset_on_close(stream: &TcpStream) {
     // Without it the fence of holders that lost their keys is what is left.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -2,9 +2,9 @@
 
 use crate::core::{Input, NodeCore};
 use crate::shell::actor::RouterActor;
-use crate::shell::connections::Connections;
+use crate::shell::connections::ConnectionPool;
 use crate::shell::observer::Observer;
-use crate::shell::peers::LastAnswer;
+use crate::shell::peers::AnswerCache;
 use beamtray_catalog::ClientLimits;
 use beamtray_clock::BootClock;
 use beamtray_dialect::Dialect;
@@ -24,10 +24,10 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Body of an answer to a client.
-pub(crate) type AnswerBody = Full<Bytes>;
+pub(crate) type ResponseBody = Full<Bytes>;
 
 /// What the task of one client request is told.
-pub(crate) enum Step {
+pub(crate) enum RequestAction {
     /// It can't be admitted.
     Deny(Admission),
     /// Make an attempt.
@@ -35,34 +35,34 @@
     /// Give the final answer.
     Conclude(Box<Ending>),
     /// An upstream's answer.
-    Answer(Box<Response<AnswerBody>>),
+    Respond(Box<Response<ResponseBody>>),
 }
 
 /// Shared by every task of the process.
 pub(crate) struct Shared {
     pub dialect: Rc<dyn Dialect>,
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Connections for orders to holders of keys.
-    pub order_connections: Connections,
-    pub clients: RefCell<HashMap<Ticket, UnboundedSender<Step>>>,
+    pub order_connections: ConnectionPool,
+    pub clients: RefCell<HashMap<Ticket, UnboundedSender<RequestAction>>>,
     pub actor: RefCell<Option<ActorOwn<RouterActor>>>,
-    pub wake: Notify,
+    pub core_wakeup: Notify,
     /// What the core's times are read off.
     pub clock: Rc<BootClock>,
     /// Told after the machine was suspended.
-    pub woke: Notify,
+    pub resumed: Notify,
     pub next_ticket: Cell<u64>,
     pub limits: Cell<ClientLimits>,
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
-    pub stop: Notify,
+    pub shutdown: Notify,
     /// Number of this run.
     pub run: u64,
     pub store: SocketAddr,
     /// The store's era, as its answers told it.
     pub store_era: Cell<Option<StoreEra>>,
     pub datagrams: UdpSocket,
-    pub last_answer: LastAnswer,
+    pub answer_cache: AnswerCache,
     pub observer: Observer,
 }
 
@@ -72,16 +72,16 @@
         if let Some(actor) = &*self.actor.borrow() {
             call!([actor], input(input));
         }
-        self.wake.notify_one();
+        self.core_wakeup.notify_one();
     }
 
-    /// Lets `look` see the core, at the actor's next turn.
-    pub fn inspect(&self, look: impl FnOnce(&NodeCore) + 'static) {
-        let look: Box<dyn FnOnce(&NodeCore)> = Box::new(look);
+    /// Lets `callback` see the core, at the actor's next turn.
+    pub fn inspect(&self, callback: impl FnOnce(&NodeCore) + 'static) {
+        let callback: Box<dyn FnOnce(&NodeCore)> = Box::new(callback);
         if let Some(actor) = &*self.actor.borrow() {
-            call!([actor], inspect(look));
+            call!([actor], inspect(callback));
         }
-        self.wake.notify_one();
+        self.core_wakeup.notify_one();
     }
 
     /// The core's clock.
@@ -91,10 +91,10 @@
 
     /// Lets `work` go on until then; none if it did not end. Timers do not count the time
     /// asleep, so the clock is looked at again after it.
-    pub async fn until<Work: Future>(&self, time: Time, work: Work) -> Option<Work::Output> {
+    pub async fn run_until<Work: Future>(&self, time: Time, work: Work) -> Option<Work::Output> {
         let mut work = std::pin::pin!(work);
         loop {
-            let woke = self.woke.notified();
+            let resumed = self.resumed.notified();
             let left = self.clock.until(time);
             if left.is_zero() {
                 return None;
@@ -102,24 +102,24 @@
             tokio::select! {
                 biased;
                 done = work.as_mut() => return Some(done),
-                () = woke => {}
+                () = resumed => {}
                 () = tokio::time::sleep(left) => {}
             }
         }
     }
 
     /// A new ticket.
-    pub fn ticket(&self) -> Ticket {
+    pub fn new_ticket(&self) -> Ticket {
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
         Ticket(ticket)
     }
 
     /// Passes a step on to the task of a request, if it is still there.
-    pub fn step(&self, ticket: Ticket, step: Step) {
+    pub fn send_action(&self, ticket: Ticket, action: RequestAction) {
         if let Some(client) = self.clients.borrow().get(&ticket) {
             // A task that has just ended needs no step.
-            let _ = client.send(step);
+            let _ = client.send(action);
         }
     }
 }
--- a/crates/router/src/shell/log.rs
+++ b/crates/router/src/shell/log.rs
@@ -13,7 +13,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Bytes that wait for the pipe.
-const MOST_WAITING: usize = 256 * 1024;
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// Level of a log.
 pub type LogLevel = Level;
@@ -27,7 +27,7 @@
 }
 
 #[derive(Default)]
-struct Waiting {
+struct OutputBuffer {
     bytes: Vec<u8>,
     dropped: u64,
 }
@@ -35,39 +35,39 @@
 /// Takes lines and hands them to standard output without blocking.
 #[derive(Clone, Default)]
 struct BoundedOutput {
-    waiting: Arc<Mutex<Waiting>>,
+    buffer: Arc<Mutex<OutputBuffer>>,
 }
 
 impl Write for BoundedOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > MOST_WAITING {
-            waiting.dropped += 1;
+        let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         } else {
-            if waiting.dropped > 0 {
-                let lost = format!("level=WARN msg=log_dropped lines={}\n", waiting.dropped);
-                waiting.bytes.extend_from_slice(lost.as_bytes());
-                waiting.dropped = 0;
+            if buffer.dropped > 0 {
+                let notice = format!("level=WARN msg=log_dropped lines={}\n", buffer.dropped);
+                buffer.bytes.extend_from_slice(notice.as_bytes());
+                buffer.dropped = 0;
             }
-            waiting.bytes.extend_from_slice(line);
+            buffer.bytes.extend_from_slice(line);
         }
-        drain(&mut waiting);
+        write_buffered(&mut buffer);
         Ok(line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        drain(&mut waiting);
+        let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        write_buffered(&mut buffer);
         Ok(())
     }
 }
 
-fn drain(waiting: &mut Waiting) {
-    while !waiting.bytes.is_empty() {
-        match nix::unistd::write(io::stdout(), &waiting.bytes) {
+fn write_buffered(buffer: &mut OutputBuffer) {
+    while !buffer.bytes.is_empty() {
+        match nix::unistd::write(io::stdout(), &buffer.bytes) {
             Ok(written) if written > 0 => {
-                waiting.bytes.drain(..written);
+                buffer.bytes.drain(..written);
             }
             _ => return,
         }
--- a/crates/router/src/shell/rate.rs
+++ b/crates/router/src/shell/log_rate.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LineKind {
     /// Ordinary steps of a request.
-    Step,
+    RequestStep,
     /// Requests that failed, were refused or given up.
     Failure,
     /// Calls and orders that failed.
@@ -16,45 +16,45 @@
     /// Requests that are suspected of ending upstreams.
     Suspicion,
     /// Entries of the store that can't be used.
-    Entry,
+    StoreEntry,
     /// Rates that upstreams name.
-    Limit,
+    RateLimit,
     /// What upstreams say of themselves.
-    Word,
+    UpstreamReport,
 }
 
 impl LineKind {
     /// Lines a second; failures are kept before successes.
-    fn allowed(self) -> u32 {
+    fn max_per_second(self) -> u32 {
         match self {
-            LineKind::Step => 400,
+            LineKind::RequestStep => 400,
             LineKind::Failure => 1_000,
             LineKind::Dependency => 300,
             // A zone that ends leaves as many as requests were under way there.
             LineKind::Suspicion => 20,
             // Another writer decides how many there are and how often they change.
-            LineKind::Entry => 20,
+            LineKind::StoreEntry => 20,
             // An upstream may name another one with each answer.
-            LineKind::Limit => 20,
+            LineKind::RateLimit => 20,
             // An upstream may say it with each answer.
-            LineKind::Word => 20,
+            LineKind::UpstreamReport => 20,
         }
     }
 }
 
 struct Count {
-    since: Instant,
+    window_start: Instant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Counts the lines of each kind.
 #[derive(Default)]
-pub(crate) struct LineRate {
+pub(crate) struct LogRateLimiter {
     counts: RefCell<HashMap<LineKind, Count>>,
 }
 
-impl LineRate {
+impl LogRateLimiter {
     /// Whether a line may be written; how many of its kind were left out
     /// before it.
     pub fn admit(&self, kind: LineKind) -> Option<u64> {
@@ -64,19 +64,19 @@
     fn admit_at(&self, kind: LineKind, now: Instant) -> Option<u64> {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(kind).or_insert(Count {
-            since: now,
+            window_start: now,
             written: 0,
-            left_out: 0,
+            suppressed: 0,
         });
-        if now.duration_since(count.since) >= Duration::from_secs(1) {
-            count.since = now;
+        if now.duration_since(count.window_start) >= Duration::from_secs(1) {
+            count.window_start = now;
             count.written = 0;
         }
-        if count.written >= kind.allowed() {
-            count.left_out += 1;
+        if count.written >= kind.max_per_second() {
+            count.suppressed += 1;
             return None;
         }
         count.written += 1;
-        Some(std::mem::take(&mut count.left_out))
+        Some(std::mem::take(&mut count.suppressed))
     }
 }
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -8,9 +8,9 @@
 use beamtray_metastore::StoreEra;
 use beamtray_types::Time;
 pub(crate) use labels::{
-    AttemptLabels, EntryLabel, LossLabel, OrderLabels, OrderName, PermitLabel, RefusalLabels,
-    RequestLabels, RouteLabel, ServiceLabel, SlotLabel, StoreLabels, SuspectLabel, TrialLabel,
-    UnansweredLabel, UpstreamLabel, ViewLabel,
+    AttemptLabels, EntryLabel, OrderLabels, OrderName, PermitLabel, RefusalLabels, RequestLabels,
+    RouteLabel, ServiceLabel, SlotLabel, StoreLabels, SuspectLabel, TrialLabel, UnansweredLabel,
+    UnownedLabel, UpstreamLabel, ViewLabel,
 };
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -31,11 +31,11 @@
 
 type Latencies<Label> = Family<Label, Histogram, fn() -> Histogram>;
 
-fn latency() -> Histogram {
+fn latency_histogram() -> Histogram {
     Histogram::new(LATENCY_BOUNDS)
 }
 
-fn unowned_time() -> Histogram {
+fn unowned_histogram() -> Histogram {
     Histogram::new(UNOWNED_BOUNDS)
 }
 
@@ -58,13 +58,13 @@
     pub refusal_latency: Latencies<RefusalLabels>,
     upstream_latency: Latencies<UpstreamLabel>,
     /// Seconds for which slices had no owner.
-    pub unowned: Latencies<LossLabel>,
+    pub unowned: Latencies<UnownedLabel>,
     /// Upstreams that have a histogram.
-    timed: RefCell<BTreeSet<String>>,
+    upstreams_with_latency: RefCell<BTreeSet<String>>,
     lines_dropped: Gauge,
-    lines_left_out: Counter,
+    lines_suppressed: Counter,
     /// Seconds for which the machine was suspended.
-    pub asleep: Counter<f64, AtomicU64>,
+    pub suspended_seconds: Counter<f64, AtomicU64>,
     waiting: Gauge,
     under_way: Gauge,
     slots_in_use: Family<UpstreamLabel, Gauge>,
@@ -94,20 +94,20 @@
             attempts: Family::default(),
             store_calls: Family::default(),
             orders: Family::default(),
-            order_latency: Family::new_with_constructor(latency),
+            order_latency: Family::new_with_constructor(latency_histogram),
             unanswered_grants: Family::default(),
             unfenced_holders: Gauge::default(),
             doubted_slices: Gauge::default(),
             doubted_keys: Counter::default(),
             keys_with_holder: Family::default(),
-            route_latency: Family::new_with_constructor(latency),
-            refusal_latency: Family::new_with_constructor(latency),
-            upstream_latency: Family::new_with_constructor(latency),
-            unowned: Family::new_with_constructor(unowned_time),
-            timed: RefCell::new(BTreeSet::new()),
+            route_latency: Family::new_with_constructor(latency_histogram),
+            refusal_latency: Family::new_with_constructor(latency_histogram),
+            upstream_latency: Family::new_with_constructor(latency_histogram),
+            unowned: Family::new_with_constructor(unowned_histogram),
+            upstreams_with_latency: RefCell::new(BTreeSet::new()),
             lines_dropped: Gauge::default(),
-            lines_left_out: Counter::default(),
-            asleep: Counter::default(),
+            lines_suppressed: Counter::default(),
+            suspended_seconds: Counter::default(),
             waiting: Gauge::default(),
             under_way: Gauge::default(),
             slots_in_use: Family::default(),
@@ -209,12 +209,12 @@
         registry.register(
             "log_lines_left_out",
             "Lines beyond the rate of their kind",
-            self.lines_left_out.clone(),
+            self.lines_suppressed.clone(),
         );
         registry.register(
             "asleep_seconds",
             "Time for which the machine was suspended",
-            self.asleep.clone(),
+            self.suspended_seconds.clone(),
         );
         registry.register("waiting", "Requests that wait here", self.waiting.clone());
         registry.register(
@@ -295,8 +295,8 @@
     }
 
     /// Counts a line that was left out.
-    pub fn left_out(&self) {
-        self.lines_left_out.inc();
+    pub fn count_suppressed_line(&self) {
+        self.lines_suppressed.inc();
     }
 
     /// Notes the store's era.
@@ -305,23 +305,25 @@
     }
 
     /// Counts an attempt and the time of its answer.
-    pub fn answered(&self, upstream: &str, took: Duration) {
+    pub fn observe_attempt(&self, upstream: &str, took: Duration) {
         let label = UpstreamLabel {
             upstream: upstream.to_owned(),
         };
         let histogram = self.upstream_latency.get_or_create(&label);
         histogram.observe(took.as_secs_f64());
-        self.timed.borrow_mut().insert(label.upstream);
+        self.upstreams_with_latency
+            .borrow_mut()
+            .insert(label.upstream);
     }
 
     /// Takes the gauges from the core.
-    pub fn observe(&self, now: Time, core: &NodeCore) {
+    pub fn update_gauges(&self, now: Time, core: &NodeCore) {
         let (views, control, dispatcher) = core.inspect();
         let (waiting, under_way) = dispatcher.counts();
         self.waiting.set(waiting as i64);
         self.under_way.set(under_way as i64);
         self.slots_in_use.clear();
-        self.forget_gone(core);
+        self.remove_gone_upstreams(core);
         for registration in views.directory.iter() {
             let id = &registration.record.id;
             let label = UpstreamLabel {
@@ -383,7 +385,10 @@
             self.keys_with_holder.get_or_create(&label).set(share);
         }
         self.is_granter.set(control.is_granter(now).into());
-        let version = views.configuration.as_ref().map_or(0, |one| one.version.0);
+        let version = views
+            .configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.version.0);
         self.configuration.set(version as i64);
         self.upstreams.set(views.directory.iter().count() as i64);
         self.nodes.set(views.nodes.len() as i64);
@@ -394,12 +399,12 @@
                 view: format!("{view:?}"),
             };
             self.view_age.get_or_create(&label).set(age);
-            self.observe_unusable(views, view);
+            self.update_unusable(views, view);
         }
         self.lines_dropped.set(dropped_lines() as i64);
     }
 
-    fn observe_unusable(&self, views: &Views, view: ViewName) {
+    fn update_unusable(&self, views: &Views, view: ViewName) {
         let unusable = views.unusable(view);
         for (cause, count) in [
             ("unreadable", unusable.unreadable),
@@ -414,10 +419,10 @@
     }
 
     /// Upstreams that are gone need not be told of for ever.
-    fn forget_gone(&self, core: &NodeCore) {
+    fn remove_gone_upstreams(&self, core: &NodeCore) {
         let directory = &core.inspect().0.directory;
         let known = |name: &String| directory.registered(&UpstreamName(name.clone())).is_some();
-        self.timed.borrow_mut().retain(|id| {
+        self.upstreams_with_latency.borrow_mut().retain(|id| {
             let keep = known(id);
             if !keep {
                 let upstream = id.clone();
@@ -428,7 +433,7 @@
     }
 
     /// All figures as text.
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
--- a/crates/router/src/shell/metrics/labels.rs
+++ b/crates/router/src/shell/metrics/labels.rs
@@ -54,7 +54,7 @@
 
 /// Why keys had no owner.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct LossLabel {
+pub(crate) struct UnownedLabel {
     pub cause: String,
 }
 
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -8,16 +8,16 @@
 mod connections;
 mod handle;
 mod log;
+mod log_rate;
 mod metrics;
 mod observer;
 mod outputs;
 mod peers;
 mod probe;
 mod process;
-mod rate;
 mod readiness;
 mod reload;
-mod small_server;
+mod single_endpoint;
 
 pub use log::{LogLevel, build_logger, dropped_lines};
 pub use process::{ProcessError, run};
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -7,11 +7,11 @@
 
 use crate::core::{OrderTask, StandbyState, StoreTask, ViewNotice};
 use crate::shell::attempt::ClientRequest;
+use crate::shell::log_rate::{LineKind, LogRateLimiter};
 use crate::shell::metrics::{
     AttemptLabels, Metrics, OrderLabels, OrderName, RefusalLabels, RequestLabels, RouteLabel,
     StoreLabels,
 };
-use crate::shell::rate::{LineKind, LineRate};
 use beamtray_catalog::{DirectoryChange, UpstreamId};
 use beamtray_dispatch::{
     Admission, AssignmentNumber, AttemptOutcome, Conclusion, Ending, Fingerprints, Forward,
@@ -29,7 +29,7 @@
 pub(crate) struct Observer {
     pub log: Logger,
     pub metrics: Metrics,
-    rate: LineRate,
+    rate_limiter: LogRateLimiter,
 }
 
 /// The key and the assignment that a decision was made by.
@@ -66,9 +66,9 @@
 }
 
 /// How many lines of the same kind were left out before this one.
-struct LeftOut(u64);
+struct SuppressedLines(u64);
 
-impl slog::KV for LeftOut {
+impl slog::KV for SuppressedLines {
     fn serialize(&self, _: &Record, serializer: &mut dyn slog::Serializer) -> slog::Result {
         if self.0 > 0 {
             serializer.emit_u64("left_out", self.0)?;
@@ -82,37 +82,37 @@
         Self {
             log,
             metrics: Metrics::new(),
-            rate: LineRate::default(),
+            rate_limiter: LogRateLimiter::default(),
         }
     }
 
     /// Whether a line of that kind may be written.
-    fn admit(&self, kind: LineKind) -> Option<LeftOut> {
-        let left_out = self.rate.admit(kind);
-        if left_out.is_none() {
-            self.metrics.left_out();
+    fn admit(&self, kind: LineKind) -> Option<SuppressedLines> {
+        let suppressed = self.rate_limiter.admit(kind);
+        if suppressed.is_none() {
+            self.metrics.count_suppressed_line();
         }
-        left_out.map(LeftOut)
+        suppressed.map(SuppressedLines)
     }
 
     /// A belief changed.
-    pub fn notice(&self, notice: &ViewNotice) {
+    pub fn view_changed(&self, notice: &ViewNotice) {
         let log = &self.log;
         match notice {
             ViewNotice::Configured { version, routes } => {
                 info!(log, "configuration_in_force"; "version" => version, "routes" => routes);
             }
             ViewNotice::Unreadable { key, cause } => {
-                if let Some(left_out) = self.admit(LineKind::Entry) {
-                    warn!(log, "value_unreadable"; "key" => key, "cause" => cause, left_out);
+                if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
+                    warn!(log, "value_unreadable"; "key" => key, "cause" => cause, suppressed);
                 }
             }
             ViewNotice::UnknownService { key, service } => {
-                if let Some(left_out) = self.admit(LineKind::Entry) {
-                    warn!(log, "service_unknown"; "key" => key, "service" => %service, left_out);
+                if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
+                    warn!(log, "service_unknown"; "key" => key, "service" => %service, suppressed);
                 }
             }
-            ViewNotice::Directory(change) => self.directory(change),
+            ViewNotice::Directory(change) => self.directory_changed(change),
             ViewNotice::Assigned {
                 service,
                 epoch,
@@ -145,7 +145,7 @@
         }
     }
 
-    fn directory(&self, change: &DirectoryChange) {
+    fn directory_changed(&self, change: &DirectoryChange) {
         let log = &self.log;
         match change {
             DirectoryChange::Registered(id, state) => {
@@ -173,7 +173,7 @@
     }
 
     /// This node became the granter, or ceased to be.
-    pub fn granter(&self, epoch: Option<u64>) {
+    pub fn granter_changed(&self, epoch: Option<u64>) {
         match epoch {
             Some(epoch) => info!(self.log, "granter_here"; "epoch" => epoch),
             None => info!(self.log, "granter_ended"),
@@ -181,19 +181,19 @@
     }
 
     /// What this node does as a standby changed.
-    pub fn standby(&self, state: StandbyState) {
+    pub fn standby_changed(&self, state: StandbyState) {
         info!(self.log, "standby"; "state" => ?state);
     }
 
     /// Another node did not give its copies.
     pub fn peer_unanswered(&self, peer: SocketAddr, error: &str) {
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
-            info!(self.log, "peer_unanswered"; "peer" => %peer, "error" => error, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
+            info!(self.log, "peer_unanswered"; "peer" => %peer, "error" => error, suppressed);
         }
     }
 
     /// A call to the store ended.
-    pub fn store(&self, task: &StoreTask, outcome: &StoreOutcome) {
+    pub fn store_call_ended(&self, task: &StoreTask, outcome: &StoreOutcome) {
         let name = store_outcome(outcome);
         let labels = StoreLabels {
             task: store_task(task).to_owned(),
@@ -210,13 +210,13 @@
         if !failed {
             return;
         }
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
-            info!(self.log, "store_call"; "task" => ?task, "outcome" => name, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
+            info!(self.log, "store_call"; "task" => ?task, "outcome" => name, suppressed);
         }
     }
 
     /// An order ended, that long after it was decided on.
-    pub fn order(&self, task: &OrderTask, reply: &GrantReply, took: Duration) {
+    pub fn order_ended(&self, task: &OrderTask, reply: &GrantReply, took: Duration) {
         let order = &task.order;
         let kind = match order.kind {
             OrderKind::Grant { .. } => OrderName::Grant,
@@ -237,16 +237,16 @@
                 "reply" => ?reply, "took_ms" => took_ms);
             return;
         }
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(log, "order"; "kind" => ?kind, "service" => %task.service,
                 "holder" => %order.holder, "range" => %order.range, "token" => %order.token,
-                "reply" => ?reply, "took_ms" => took_ms, left_out);
+                "reply" => ?reply, "took_ms" => took_ms, suppressed);
         }
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&self, id: &str, forward: &Forward, left: Duration) {
-        let Some(left_out) = self.admit(LineKind::Step) else {
+    pub fn attempt_sent(&self, id: &str, forward: &Forward, left: Duration) {
+        let Some(suppressed) = self.admit(LineKind::RequestStep) else {
             return;
         };
         let fields = KeyFields {
@@ -257,7 +257,7 @@
             "service" => %forward.service, "upstream" => %forward.upstream,
             "attempt" => forward.attempt, "occupied" => forward.occupied,
             "waited_ms" => forward.waited.as_millis() as u64,
-            "left_ms" => left.as_millis() as u64, fields, left_out);
+            "left_ms" => left.as_millis() as u64, fields, suppressed);
     }
 
     /// The store has begun another era: it came back from an older copy, unless it is the first
@@ -275,30 +275,30 @@
     /// An answer of the store names an era that can't be read.
     pub fn era_unreadable(&self, text: &str) {
         const LONGEST: usize = 40;
-        if let Some(left_out) = self.admit(LineKind::Entry) {
+        if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
             let shown: String = text.chars().take(LONGEST).collect();
-            warn!(self.log, "store_era_unreadable"; "value" => shown, left_out);
+            warn!(self.log, "store_era_unreadable"; "value" => shown, suppressed);
         }
     }
 
     /// An upstream's answer says something of itself that can't be read.
-    pub fn word_unreadable(&self, upstream: &UpstreamId, subject: &str) {
-        if let Some(left_out) = self.admit(LineKind::Word) {
+    pub fn header_unreadable(&self, upstream: &UpstreamId, subject: &str) {
+        if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             warn!(self.log, "word_unreadable"; "upstream" => %upstream, "subject" => subject,
-                left_out);
+                suppressed);
         }
     }
 
     /// An upstream turned a request away and asked this node for rest.
-    pub fn rest_asked(&self, upstream: &UpstreamId, rest: Duration) {
-        if let Some(left_out) = self.admit(LineKind::Word) {
+    pub fn backoff_requested(&self, upstream: &UpstreamId, rest: Duration) {
+        if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             info!(self.log, "rest_asked"; "upstream" => %upstream,
-                "rest_ms" => rest.as_millis() as u64, left_out);
+                "rest_ms" => rest.as_millis() as u64, suppressed);
         }
     }
 
     /// An attempt ended.
-    pub fn ended(
+    pub fn attempt_ended(
         &self,
         request: &ClientRequest,
         forward: &Forward,
@@ -313,27 +313,27 @@
         self.metrics.attempts.get_or_create(&labels).inc();
         let kind = match outcome {
             AttemptOutcome::Answered { .. } => {
-                self.metrics.answered(&forward.upstream.name.0, took);
-                LineKind::Step
+                self.metrics.observe_attempt(&forward.upstream.name.0, took);
+                LineKind::RequestStep
             }
             _ => LineKind::Failure,
         };
-        if let Some(left_out) = self.admit(kind) {
+        if let Some(suppressed) = self.admit(kind) {
             let is_broken_off = outcome == AttemptOutcome::Unknown(UnknownCause::BrokenOff);
             let fingerprints = is_broken_off.then_some(request.fingerprints);
             info!(self.log, "attempt_ended"; "request" => &request.id,
                 "upstream" => %forward.upstream, "attempt" => forward.attempt,
                 "outcome" => name, "took_ms" => took.as_millis() as u64,
-                FingerprintFields(fingerprints), left_out);
+                FingerprintFields(fingerprints), suppressed);
         }
     }
 
     /// A request got an upstream's answer.
-    pub fn answered(&self, route: &str, took: Duration) {
-        self.finished(route, "answered", took);
+    pub fn request_answered(&self, route: &str, took: Duration) {
+        self.count_request(route, "answered", took);
     }
 
-    fn finished(&self, route: &str, outcome: &str, took: Duration) {
+    fn count_request(&self, route: &str, outcome: &str, took: Duration) {
         let labels = RequestLabels {
             route: route.to_owned(),
             outcome: outcome.to_owned(),
@@ -347,31 +347,31 @@
     }
 
     /// A request is not admitted.
-    pub fn denied(&self, id: &str, admission: Admission) {
+    pub fn request_denied(&self, id: &str, admission: Admission) {
         let labels = RequestLabels {
             route: String::new(),
             outcome: format!("denied {admission:?}"),
         };
         self.metrics.requests.get_or_create(&labels).inc();
-        if let Some(left_out) = self.admit(LineKind::Failure) {
-            info!(self.log, "denied"; "request" => id, "reason" => ?admission, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Failure) {
+            info!(self.log, "denied"; "request" => id, "reason" => ?admission, suppressed);
         }
     }
 
     /// A request got its final answer without one of an upstream.
-    pub fn concluded(&self, id: &str, fingerprints: Fingerprints, ending: &Ending) {
+    pub fn request_concluded(&self, id: &str, fingerprints: Fingerprints, ending: &Ending) {
         let (outcome, reason, retry_after) = match ending.conclusion {
             Conclusion::Refused {
                 reason,
                 retry_after,
             } => {
-                self.refused(ending, reason);
+                self.observe_refusal_latency(ending, reason);
                 ("refused", format!("{reason:?}"), retry_after)
             }
             Conclusion::Unknown(cause) => ("unknown", format!("{cause:?}"), Duration::ZERO),
         };
-        self.finished(&ending.route, &format!("{outcome} {reason}"), ending.age);
-        let Some(left_out) = self.admit(LineKind::Failure) else {
+        self.count_request(&ending.route, &format!("{outcome} {reason}"), ending.age);
+        let Some(suppressed) = self.admit(LineKind::Failure) else {
             return;
         };
         let fields = KeyFields {
@@ -392,10 +392,10 @@
             "arrivals" => ending.arrivals, "age_ms" => ending.age.as_millis() as u64,
             "left_ms" => ending.left.as_millis() as u64,
             "retry_after_ms" => retry_after.as_millis() as u64, fields, fingerprints, limit,
-            left_out);
+            suppressed);
     }
 
-    fn refused(&self, ending: &Ending, reason: RefusalReason) {
+    fn observe_refusal_latency(&self, ending: &Ending, reason: RefusalReason) {
         let labels = RefusalLabels {
             route: ending.route.clone(),
             reason: format!("{reason:?}"),
@@ -406,14 +406,14 @@
     }
 
     /// A client left before its answer.
-    pub fn cancelled(&self, id: &str, under_way: bool) {
+    pub fn client_disconnected(&self, id: &str, under_way: bool) {
         let labels = RequestLabels {
             route: String::new(),
             outcome: "client left".to_owned(),
         };
         self.metrics.requests.get_or_create(&labels).inc();
-        if let Some(left_out) = self.admit(LineKind::Failure) {
-            info!(self.log, "client_left"; "request" => id, "under_way" => under_way, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Failure) {
+            info!(self.log, "client_left"; "request" => id, "under_way" => under_way, suppressed);
         }
     }
 }
--- a/crates/router/src/shell/observer/ownership.rs
+++ b/crates/router/src/shell/observer/ownership.rs
@@ -3,15 +3,15 @@
 use super::Observer;
 use super::names::loss_cause;
 use crate::core::OwnershipNotice;
-use crate::shell::metrics::LossLabel;
-use crate::shell::rate::LineKind;
+use crate::shell::log_rate::LineKind;
+use crate::shell::metrics::UnownedLabel;
 use beamtray_sharding::{DoubtNotice, FenceNotice, OwnedAgain};
 use beamtray_types::ServiceName;
 use slog::info;
 
 impl Observer {
     /// What became of keys, or of those who held them.
-    pub fn ownership(&self, service: &ServiceName, notice: &OwnershipNotice) {
+    pub fn ownership_changed(&self, service: &ServiceName, notice: &OwnershipNotice) {
         match notice {
             OwnershipNotice::OwnedAgain(owned) => self.owned_again(service, owned),
             OwnershipNotice::Fence(notice) => self.fence(service, notice),
@@ -21,10 +21,10 @@
 
     fn doubt(&self, service: &ServiceName, notice: &DoubtNotice) {
         self.metrics.doubted_keys.inc();
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(self.log, "keys_wait_for_order_that_may_lie"; "service" => %service,
                 "range" => %notice.range, "upstream" => %notice.holder,
-                "left_ms" => notice.left.as_millis() as u64, left_out);
+                "left_ms" => notice.left.as_millis() as u64, suppressed);
         }
     }
 
@@ -46,14 +46,14 @@
 
     fn owned_again(&self, service: &ServiceName, owned: &OwnedAgain) {
         let cause = loss_cause(owned.cause);
-        let label = LossLabel {
+        let label = UnownedLabel {
             cause: cause.to_owned(),
         };
         let histogram = self.metrics.unowned.get_or_create(&label);
         histogram.observe(owned.after.as_secs_f64());
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(self.log, "owned_again"; "service" => %service, "range" => %owned.range,
-                "cause" => cause, "after_ms" => owned.after.as_millis() as u64, left_out);
+                "cause" => cause, "after_ms" => owned.after.as_millis() as u64, suppressed);
         }
     }
 }
--- a/crates/router/src/shell/observer/quarantine.rs
+++ b/crates/router/src/shell/observer/quarantine.rs
@@ -2,8 +2,8 @@
 
 use super::Observer;
 use crate::core::Liveness;
+use crate::shell::log_rate::LineKind;
 use crate::shell::metrics::TrialLabel;
-use crate::shell::rate::LineKind;
 use beamtray_catalog::UpstreamId;
 use beamtray_dispatch::{QuarantineNotice, TrialOutcome, UpstreamHash};
 use slog::{info, warn};
@@ -11,21 +11,23 @@
 
 impl Observer {
     /// The machine was suspended.
-    pub fn woke(&self, asleep: Duration) {
-        self.metrics.asleep.inc_by(asleep.as_secs_f64());
-        warn!(self.log, "woke"; "asleep_ms" => asleep.as_millis() as u64);
+    pub fn resumed(&self, suspended_for: Duration) {
+        self.metrics
+            .suspended_seconds
+            .inc_by(suspended_for.as_secs_f64());
+        warn!(self.log, "woke"; "asleep_ms" => suspended_for.as_millis() as u64);
     }
 
     /// It was tried whether an upstream to which a connection broke off still listens.
-    pub fn probed(&self, upstream: &UpstreamId, liveness: Liveness) {
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
+    pub fn upstream_probed(&self, upstream: &UpstreamId, liveness: Liveness) {
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(self.log, "upstream_probed"; "upstream" => %upstream,
-                "short" => UpstreamHash::of(upstream).0, "found" => ?liveness, left_out);
+                "short" => UpstreamHash::of(upstream).0, "found" => ?liveness, suppressed);
         }
     }
 
     /// What is known of requests that end upstreams changed.
-    pub fn quarantine(&self, notice: QuarantineNotice) {
+    pub fn quarantine_changed(&self, notice: QuarantineNotice) {
         if let QuarantineNotice::Tried { outcome, .. } = notice {
             let label = TrialLabel {
                 outcome: trial_outcome(outcome),
@@ -37,7 +39,7 @@
             QuarantineNotice::KeptOff { .. } => LineKind::Failure,
             _ => LineKind::Suspicion,
         };
-        let Some(left_out) = self.admit(kind) else {
+        let Some(suppressed) = self.admit(kind) else {
             return;
         };
         let log = &self.log;
@@ -49,7 +51,7 @@
                 is_trial,
             } => {
                 info!(log, "request_suspected"; "fingerprint" => %fingerprint,
-                    "short" => upstream.0, "ended" => ended, "is_trial" => is_trial, left_out);
+                    "short" => upstream.0, "ended" => ended, "is_trial" => is_trial, suppressed);
             }
             QuarantineNotice::KeptOff {
                 fingerprint,
@@ -57,17 +59,17 @@
                 lasts,
             } => {
                 warn!(log, "request_kept_off"; "fingerprint" => %fingerprint,
-                    "ended" => ended, "for_s" => lasts.as_secs(), left_out);
+                    "ended" => ended, "for_s" => lasts.as_secs(), suppressed);
             }
             QuarantineNotice::Tried {
                 fingerprint,
                 outcome,
             } => {
                 info!(log, "request_tried"; "fingerprint" => %fingerprint,
-                    "outcome" => trial_outcome(outcome), left_out);
+                    "outcome" => trial_outcome(outcome), suppressed);
             }
             QuarantineNotice::Cleared { fingerprint } => {
-                info!(log, "request_cleared"; "fingerprint" => %fingerprint, left_out);
+                info!(log, "request_cleared"; "fingerprint" => %fingerprint, suppressed);
             }
         }
     }
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -1,7 +1,7 @@
 //! Lines of the rates that upstreams name.
 
 use super::Observer;
-use crate::shell::rate::LineKind;
+use crate::shell::log_rate::LineKind;
 use beamtray_catalog::UpstreamId;
 use beamtray_dispatch::{LimitFacts, LimitNotice};
 use slog::{Record, info, warn};
@@ -25,8 +25,8 @@
 impl Observer {
     /// What is known of an upstream's rate changed. `short` is the upstream's name in what
     /// nodes tell each other, and in the lines of requests that were refused for its rate.
-    pub fn rate_limit(&self, upstream: Option<&UpstreamId>, notice: LimitNotice) {
-        let Some(left_out) = self.admit(LineKind::Limit) else {
+    pub fn rate_limit_changed(&self, upstream: Option<&UpstreamId>, notice: LimitNotice) {
+        let Some(suppressed) = self.admit(LineKind::RateLimit) else {
             return;
         };
         let log = &self.log;
@@ -35,14 +35,14 @@
         match notice {
             LimitNotice::Limited { rate, is_own, .. } => {
                 info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.a_second(),
-                    "heard_from" => heard_from(is_own), left_out);
+                    "heard_from" => heard_from(is_own), suppressed);
             }
             LimitNotice::Ended { is_own, .. } => {
                 info!(log, "rate_limit_ended"; "upstream" => name, "short" => short,
-                    "heard_from" => heard_from(is_own), left_out);
+                    "heard_from" => heard_from(is_own), suppressed);
             }
             LimitNotice::Unreadable { .. } => {
-                warn!(log, "rate_unreadable"; "upstream" => name, "short" => short, left_out);
+                warn!(log, "rate_unreadable"; "upstream" => name, "short" => short, suppressed);
             }
         }
     }
--- a/crates/router/src/shell/outputs.rs
+++ b/crates/router/src/shell/outputs.rs
@@ -1,48 +1,56 @@
 //! Does what the core asks for.
 
 use crate::core::{Output, ViewNotice};
-use crate::shell::handle::{Shared, Step};
+use crate::shell::handle::{RequestAction, Shared};
 use crate::shell::{calls, peers, probe};
 use beamtray_catalog::DirectoryChange;
 use std::rc::Rc;
 
 /// Does what the core asks for.
-pub(crate) fn carry_out(shared: &Rc<Shared>, output: Output) {
+pub(crate) fn execute_output(shared: &Rc<Shared>, output: Output) {
     match output {
-        Output::Deny(ticket, admission) => shared.step(ticket, Step::Deny(admission)),
-        Output::Forward(ticket, forward) => shared.step(ticket, Step::Forward(forward)),
+        Output::Deny(ticket, admission) => {
+            shared.send_action(ticket, RequestAction::Deny(admission))
+        }
+        Output::Forward(ticket, forward) => {
+            shared.send_action(ticket, RequestAction::Forward(forward))
+        }
         Output::Conclude(ticket, ending) => {
-            shared.step(ticket, Step::Conclude(Box::new(ending)));
+            shared.send_action(ticket, RequestAction::Conclude(Box::new(ending)));
         }
         Output::Store(task, call) => calls::call_store(shared, task, call),
-        Output::Order(task, epoch) => calls::order(shared, task, epoch),
+        Output::Order(task, epoch) => calls::send_order(shared, task, epoch),
         Output::Send(datagram, addresses) => peers::send(shared, &datagram, &addresses),
-        Output::Ask(address, request, wait) => peers::ask(shared, address, request, wait),
-        Output::Probe(doubted) => probe::listens(shared, doubted),
-        Output::Quarantine(notice) => shared.observer.quarantine(notice),
+        Output::Ask(address, request, wait) => {
+            peers::request_snapshots(shared, address, request, wait)
+        }
+        Output::Probe(doubted) => probe::probe_upstream(shared, doubted),
+        Output::Quarantine(notice) => shared.observer.quarantine_changed(notice),
         Output::RateLimit(upstream, notice) => {
-            shared.observer.rate_limit(upstream.as_ref(), notice);
+            shared
+                .observer
+                .rate_limit_changed(upstream.as_ref(), notice);
         }
         Output::StoreEra { before, era } => shared.observer.store_era(before, era),
         Output::Limits(limits) => shared.limits.set(limits),
         Output::Notice(notice) => {
-            shared.observer.notice(&notice);
-            forget_ended(shared, &notice);
+            shared.observer.view_changed(&notice);
+            close_idle_to_restarted(shared, &notice);
         }
         Output::Granter(epoch) => {
-            shared.order_connections.set_gives_orders(epoch.is_some());
-            shared.observer.granter(epoch);
+            shared.order_connections.set_granter(epoch.is_some());
+            shared.observer.granter_changed(epoch);
         }
-        Output::Ownership(service, notice) => shared.observer.ownership(&service, &notice),
-        Output::Standby(state) => shared.observer.standby(state),
+        Output::Ownership(service, notice) => shared.observer.ownership_changed(&service, &notice),
+        Output::Standby(state) => shared.observer.standby_changed(state),
     }
 }
 
 /// Closes the resting connections to an upstream that has started again: behind a cut they
 /// would take a request each before they show that their other side has ended.
-fn forget_ended(shared: &Shared, notice: &ViewNotice) {
+fn close_idle_to_restarted(shared: &Shared, notice: &ViewNotice) {
     if let ViewNotice::Directory(DirectoryChange::Restarted { address, .. }) = notice {
-        shared.connections.forget(*address);
-        shared.order_connections.forget(*address);
+        shared.connections.close_idle(*address);
+        shared.order_connections.close_idle(*address);
     }
 }
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -1,7 +1,7 @@
 //! Talk between nodes: reports in datagrams, copies of views over TCP.
 
 use crate::core::{Datagram, Input, NodeCore, Snapshot, ViewRequest};
-use crate::shell::connections::prepare;
+use crate::shell::connections::configure_socket;
 use crate::shell::handle::Shared;
 use beamtray_dispatch::KeyReport;
 use beamtray_metastore::Revision;
@@ -19,11 +19,11 @@
 
 /// How long a connection of another node is kept.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(5);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-const READ_BYTES: usize = 16 * 1024;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Key loads in one datagram, so that it fits a packet.
-const KEYS_A_DATAGRAM: usize = 200;
-const DATAGRAM_BYTES: usize = 2 * 1024;
+const MAX_KEYS_PER_DATAGRAM: usize = 200;
+const MAX_DATAGRAM_BYTES: usize = 2 * 1024;
 
 /// Why a talk with another node failed.
 #[derive(Debug, Error)]
@@ -44,7 +44,7 @@
     let Datagram::Keys(report) = datagram else {
         return send_one(shared, datagram, addresses);
     };
-    for keys in report.keys.chunks(KEYS_A_DATAGRAM) {
+    for keys in report.keys.chunks(MAX_KEYS_PER_DATAGRAM) {
         let part = KeyReport {
             services: report.services.clone(),
             keys: keys.to_vec(),
@@ -65,10 +65,10 @@
 
 /// Takes word of other nodes.
 pub(crate) async fn receive(shared: Rc<Shared>) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = shared.datagrams.recv_from(&mut buffer).await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if let Ok(datagram) = borsh::from_slice::<Datagram>(&buffer[..length]) {
@@ -78,27 +78,35 @@
 }
 
 /// Asks another node for its copies and waits at most `wait`.
-pub(crate) fn ask(shared: &Rc<Shared>, address: SocketAddr, request: ViewRequest, wait: Duration) {
+pub(crate) fn request_snapshots(
+    shared: &Rc<Shared>,
+    address: SocketAddr,
+    request: ViewRequest,
+    wait: Duration,
+) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
-        let answer = timeout(wait, fetch(address, &request)).await;
+        let answer = timeout(wait, fetch_snapshots(address, &request)).await;
         let input = match answer {
             Ok(Ok(snapshots)) => Input::Snapshots(address, snapshots),
-            Ok(Err(error)) => not_answered(&shared, address, &error.to_string()),
-            Err(_) => not_answered(&shared, address, "timeout"),
+            Ok(Err(error)) => report_unanswered(&shared, address, &error.to_string()),
+            Err(_) => report_unanswered(&shared, address, "timeout"),
         };
         shared.input(input);
     });
 }
 
-fn not_answered(shared: &Shared, address: SocketAddr, error: &str) -> Input {
+fn report_unanswered(shared: &Shared, address: SocketAddr, error: &str) -> Input {
     shared.observer.peer_unanswered(address, error);
     Input::NotAnswered(address)
 }
 
-async fn fetch(address: SocketAddr, request: &ViewRequest) -> Result<Vec<Snapshot>, PeerError> {
+async fn fetch_snapshots(
+    address: SocketAddr,
+    request: &ViewRequest,
+) -> Result<Vec<Snapshot>, PeerError> {
     let mut stream = TcpStream::connect(address).await?;
-    prepare(&stream);
+    configure_socket(&stream);
     stream.write_all(&encode(request)?).await?;
     let packed: Packed = read_message(&mut stream).await?;
     Ok(packed.open()?)
@@ -106,7 +114,7 @@
 
 async fn read_message<T: borsh::BorshDeserialize>(stream: &mut TcpStream) -> Result<T, PeerError> {
     let mut frames = FrameBuffer::default();
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         if let Some(message) = frames.next_message()? {
             return Ok(message);
@@ -123,13 +131,13 @@
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             // A node that fails to ask asks another.
-            let _ = timeout(SERVE_TIMEOUT, answer(&shared, stream)).await;
+            let _ = timeout(SERVE_TIMEOUT, serve_request(&shared, stream)).await;
         });
     }
 }
@@ -137,13 +145,13 @@
 /// The last answer to other nodes, ready to be sent. After each change all nodes of a
 /// zone ask their relay for the same difference, and after a start for the same copies.
 #[derive(Default)]
-pub(crate) struct LastAnswer {
-    last: RefCell<Option<PackedAnswer>>,
+pub(crate) struct AnswerCache {
+    last: RefCell<Option<CachedAnswer>>,
 }
 
 /// Tells one state of a copy from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct CopyState {
+struct ReplicaState {
     /// Up to which revision it is whole.
     at: Option<Revision>,
     /// Newest change in it.
@@ -151,66 +159,66 @@
 }
 
 /// An answer, and what it answers.
-struct PackedAnswer {
+struct CachedAnswer {
     request: ViewRequest,
     /// The copies that it was made of.
-    made_of: Vec<CopyState>,
+    replica_states: Vec<ReplicaState>,
     bytes: Bytes,
 }
 
-impl LastAnswer {
+impl AnswerCache {
     /// The bytes of the last answer, if it is this question's and still right.
-    fn find(&self, request: &ViewRequest, made_of: &[CopyState]) -> Option<Bytes> {
+    fn find(&self, request: &ViewRequest, replica_states: &[ReplicaState]) -> Option<Bytes> {
         let last = self.last.borrow();
         let last = last.as_ref()?;
-        let is_same = last.request == *request && last.made_of == made_of;
+        let is_same = last.request == *request && last.replica_states == replica_states;
         is_same.then(|| last.bytes.clone())
     }
 
-    fn keep(&self, answer: PackedAnswer) {
+    fn store(&self, answer: CachedAnswer) {
         *self.last.borrow_mut() = Some(answer);
     }
 }
 
 /// What an answer is made of, and the copies unless it stands ready.
-enum Prepared {
-    Ready(Bytes),
-    Made(Vec<CopyState>, Vec<Snapshot>),
+enum PreparedAnswer {
+    Cached(Bytes),
+    Fresh(Vec<ReplicaState>, Vec<Snapshot>),
 }
 
-fn prepare_answer(shared: &Shared, core: &NodeCore, request: &ViewRequest) -> Prepared {
+fn prepare_answer(shared: &Shared, core: &NodeCore, request: &ViewRequest) -> PreparedAnswer {
     let (views, ..) = core.inspect();
     let wanted = request.wanted.iter();
-    let made_of: Vec<CopyState> = wanted
+    let replica_states: Vec<ReplicaState> = wanted
         .map(|wanted| {
             let replica = views.replica(wanted.view);
-            CopyState {
+            ReplicaState {
                 at: replica.mirror().at(),
                 latest: replica.latest(),
             }
         })
         .collect();
-    match shared.last_answer.find(request, &made_of) {
-        Some(bytes) => Prepared::Ready(bytes),
-        None => Prepared::Made(made_of, core.answer(request)),
+    match shared.answer_cache.find(request, &replica_states) {
+        Some(bytes) => PreparedAnswer::Cached(bytes),
+        None => PreparedAnswer::Fresh(replica_states, core.answer(request)),
     }
 }
 
-async fn answer(shared: &Rc<Shared>, mut stream: TcpStream) -> Result<(), PeerError> {
+async fn serve_request(shared: &Rc<Shared>, mut stream: TcpStream) -> Result<(), PeerError> {
     let request: ViewRequest = read_message(&mut stream).await?;
     let (sender, receiver) = oneshot::channel();
-    let (for_look, asked) = (shared.clone(), request.clone());
+    let (for_core, for_answer) = (shared.clone(), request.clone());
     shared.inspect(move |core| {
         // The asker may have left.
-        let _ = sender.send(prepare_answer(&for_look, core, &asked));
+        let _ = sender.send(prepare_answer(&for_core, core, &for_answer));
     });
     let bytes = match receiver.await.map_err(|_| PeerError::Ended)? {
-        Prepared::Ready(bytes) => bytes,
-        Prepared::Made(made_of, snapshots) => {
+        PreparedAnswer::Cached(bytes) => bytes,
+        PreparedAnswer::Fresh(replica_states, snapshots) => {
             let bytes = Bytes::from(encode(&Packed::new(&snapshots)?)?);
-            shared.last_answer.keep(PackedAnswer {
+            shared.answer_cache.store(CachedAnswer {
                 request,
-                made_of,
+                replica_states,
                 bytes: bytes.clone(),
             });
             bytes
--- a/crates/router/src/shell/probe.rs
+++ b/crates/router/src/shell/probe.rs
@@ -13,35 +13,35 @@
 
 /// How often a connection is tried before an upstream counts as silent: one opening packet
 /// in forty may get lost, and the system sends the next one after a second.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 /// After this one that listened is tried once more. A process that ends closes its
 /// connections some milliseconds before it stops to listen where its machine is busy: taken
 /// for alive, it did not count as ended in 3 of 10 runs of real processes beside load.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const RECHECK_DELAY: Duration = Duration::from_millis(50);
 /// Between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Tries to connect to an upstream and tells the core what that showed. Nothing is sent: a
 /// request would take one of its slots.
-pub(crate) fn listens(shared: &Rc<Shared>, doubted: DoubtedUpstream) {
+pub(crate) fn probe_upstream(shared: &Rc<Shared>, doubted: DoubtedUpstream) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
         let mut liveness = Liveness::Silent;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             liveness = try_once(doubted.address).await;
             if liveness != Liveness::Silent {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         if liveness == Liveness::Listens {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RECHECK_DELAY).await;
             if try_once(doubted.address).await == Liveness::Ended {
                 liveness = Liveness::Ended;
             }
         }
         let upstream = doubted.upstream;
-        shared.observer.probed(&upstream, liveness);
+        shared.observer.upstream_probed(&upstream, liveness);
         shared.input(Input::Probed { upstream, liveness });
     });
 }
--- a/crates/router/src/shell/process.rs
+++ b/crates/router/src/shell/process.rs
@@ -2,12 +2,12 @@
 
 use crate::core::{Input, NodeCore};
 use crate::settings::NodeSettings;
-use crate::shell::actor::{RouterActor, Turn};
-use crate::shell::calls::ORDER_UNACKNOWLEDGED;
-use crate::shell::connections::Connections;
+use crate::shell::actor::{LoopState, RouterActor};
+use crate::shell::calls::ORDER_ACK_TIMEOUT;
+use crate::shell::connections::ConnectionPool;
 use crate::shell::handle::Shared;
 use crate::shell::observer::Observer;
-use crate::shell::outputs::carry_out;
+use crate::shell::outputs::execute_output;
 use crate::shell::{clients, peers, readiness, reload};
 use beamtray_catalog::ClientLimits;
 use beamtray_clock::{BootClock, SleepWatch, SystemClocks};
@@ -26,13 +26,13 @@
 use tokio::task::{JoinHandle, LocalSet};
 
 /// Between looks at resting connections.
-const PRUNE: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 /// After the order to stop, clients may still be led here for so long.
-const LINGER: Duration = Duration::from_millis(3_000);
+const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(3_000);
 /// Kept back from the time that a stop may take.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 /// Between looks at whether everything has ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the process could not start or go on.
 #[derive(Debug, Error)]
@@ -124,28 +124,28 @@
     let core = NodeCore::new(settings.core_config(run), dialect.clone());
     let shared = Rc::new(Shared {
         dialect,
-        connections: Connections::default(),
-        order_connections: Connections::that_end_after(ORDER_UNACKNOWLEDGED),
+        connections: ConnectionPool::default(),
+        order_connections: ConnectionPool::with_ack_timeout(ORDER_ACK_TIMEOUT),
         clients: RefCell::new(HashMap::new()),
         actor: RefCell::new(None),
-        wake: Notify::new(),
+        core_wakeup: Notify::new(),
         clock,
-        woke: Notify::new(),
+        resumed: Notify::new(),
         next_ticket: Cell::new(0),
         limits: Cell::new(ClientLimits::default()),
         ready: Cell::new(false),
         stopping: Cell::new(false),
-        stop: Notify::new(),
+        shutdown: Notify::new(),
         run,
         store: settings.store.address,
         store_era: Cell::new(None),
         datagrams: listeners.datagrams,
-        last_answer: peers::LastAnswer::default(),
+        answer_cache: peers::AnswerCache::default(),
         observer: Observer::new(log),
     });
-    let turn = Rc::new(Turn::default());
-    let stakker = start_actor(&shared, core, &turn);
-    tokio::task::spawn_local(turns(shared.clone(), turn, stakker));
+    let loop_state = Rc::new(LoopState::default());
+    let stakker = start_actor(&shared, core, &loop_state);
+    tokio::task::spawn_local(run_core_loop(shared.clone(), loop_state, stakker));
     tokio::task::spawn_local(readiness::serve(shared.clone(), listeners.readiness));
     tokio::task::spawn_local(peers::serve(shared.clone(), listeners.peers));
     tokio::task::spawn_local(peers::receive(shared.clone()));
@@ -153,58 +153,66 @@
         tokio::task::spawn_local(readiness::serve_metrics(shared.clone(), listener));
     }
     tokio::task::spawn_local(prune(shared.clone()));
-    let accepting = tokio::task::spawn_local(clients::accept(shared.clone(), listeners.clients));
-    let following = reload::follow(shared.clone(), file.to_owned(), settings.clone(), hangup);
-    tokio::task::spawn_local(following);
+    let accept_task = tokio::task::spawn_local(clients::accept(shared.clone(), listeners.clients));
+    let reload_task =
+        reload::watch_settings(shared.clone(), file.to_owned(), settings.clone(), hangup);
+    tokio::task::spawn_local(reload_task);
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    stop(&shared, settings.grace(), &accepting).await;
+    shut_down(&shared, settings.shutdown_grace(), &accept_task).await;
     info!(shared.observer.log, "stopped");
     Ok(())
 }
 
-fn start_actor(shared: &Rc<Shared>, core: NodeCore, turn: &Rc<Turn>) -> Stakker {
+fn start_actor(shared: &Rc<Shared>, core: NodeCore, loop_state: &Rc<LoopState>) -> Stakker {
     let mut stakker = Stakker::new(Instant::now());
-    let for_outputs = Rc::downgrade(shared);
+    let weak_shared = Rc::downgrade(shared);
     let outputs = Fwd::new(move |output| {
-        if let Some(shared) = for_outputs.upgrade() {
-            carry_out(&shared, output);
+        if let Some(shared) = weak_shared.upgrade() {
+            execute_output(&shared, output);
         }
     });
-    let turn = turn.clone();
-    let owner = actor!(stakker, RouterActor::init(core, turn, outputs), ret_nop!());
+    let loop_state = loop_state.clone();
+    let owner = actor!(
+        stakker,
+        RouterActor::init(core, loop_state, outputs),
+        ret_nop!()
+    );
     *shared.actor.borrow_mut() = Some(owner);
     stakker.run(Instant::now(), false);
     stakker
 }
 
 /// Lets the actor work after each batch of events and when something is due.
-async fn turns(shared: Rc<Shared>, turn: Rc<Turn>, mut stakker: Stakker) {
-    let mut ticked = None;
+async fn run_core_loop(shared: Rc<Shared>, loop_state: Rc<LoopState>, mut stakker: Stakker) {
+    let mut last_tick = None;
     let mut sleep_watch = SleepWatch::new(shared.clock.source());
     loop {
-        if let Some(asleep) = sleep_watch.asleep(shared.clock.source()) {
-            wake(&shared, asleep);
+        if let Some(suspended_for) = sleep_watch.asleep(shared.clock.source()) {
+            handle_resume(&shared, suspended_for);
         }
-        turn.now.set(shared.now());
+        loop_state.now.set(shared.now());
         let now = Instant::now();
-        let pause = turn.tick_pause.get();
-        if ticked.is_none_or(|ticked| now >= ticked + pause) {
-            ticked = Some(now);
+        let pause = loop_state.tick_interval.get();
+        if last_tick.is_none_or(|last_tick| now >= last_tick + pause) {
+            last_tick = Some(now);
             shared.input(Input::Tick);
         }
         stakker.run(now, false);
-        shared.ready.set(turn.ready.get());
-        let tick_at = ticked.unwrap_or(now) + turn.tick_pause.get();
-        let due = turn.due.get().map(|time| now + shared.clock.until(time));
+        shared.ready.set(loop_state.ready.get());
+        let tick_at = last_tick.unwrap_or(now) + loop_state.tick_interval.get();
+        let due = loop_state
+            .due
+            .get()
+            .map(|time| now + shared.clock.until(time));
         let wait = due.map_or(tick_at, |due| tick_at.min(due));
         tokio::select! {
-            () = shared.wake.notified() => {}
+            () = shared.core_wakeup.notified() => {}
             () = tokio::time::sleep_until(wait.into()) => {}
         }
-        if turn.due.get().is_some_and(|due| shared.now() >= due) {
+        if loop_state.due.get().is_some_and(|due| shared.now() >= due) {
             shared.input(Input::Tick);
         }
     }
@@ -213,17 +221,17 @@
 /// The machine was suspended: what was known before is as old as the boot clock says, and
 /// what hung on connections is doubted until something new is heard. Attempts whose time
 /// is over end, orders whose right is over are not written; both look at the boot clock.
-fn wake(shared: &Shared, asleep: Duration) {
-    shared.observer.woke(asleep);
-    shared.connections.forget_all();
-    shared.order_connections.forget_all();
-    shared.woke.notify_waiters();
+fn handle_resume(shared: &Shared, suspended_for: Duration) {
+    shared.observer.resumed(suspended_for);
+    shared.connections.close_all_idle();
+    shared.order_connections.close_all_idle();
+    shared.resumed.notify_waiters();
     shared.input(Input::Woke);
 }
 
 async fn prune(shared: Rc<Shared>) {
     loop {
-        tokio::time::sleep(PRUNE).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         shared.connections.prune();
         shared.order_connections.prune();
     }
@@ -233,18 +241,18 @@
 ///
 /// Invariant: once connections are being closed none is accepted. A connection
 /// accepted later would not hear of the stop, and be cut with its request.
-async fn stop(shared: &Rc<Shared>, grace: Duration, accepting: &JoinHandle<()>) {
-    let begin = Instant::now();
+async fn shut_down(shared: &Rc<Shared>, grace: Duration, accept_task: &JoinHandle<()>) {
+    let stop_requested_at = Instant::now();
     shared.stopping.set(true);
     shared.input(Input::Stop);
     info!(shared.observer.log, "stopping"; "requests" => shared.clients.borrow().len());
-    tokio::time::sleep(LINGER.min(grace / 2)).await;
-    accepting.abort();
+    tokio::time::sleep(STOP_ACCEPT_PERIOD.min(grace / 2)).await;
+    accept_task.abort();
     tokio::task::yield_now().await;
-    shared.stop.notify_waiters();
-    let end = begin + grace.saturating_sub(STOP_MARGIN);
+    shared.shutdown.notify_waiters();
+    let end = stop_requested_at + grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < end {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
         if shared.clients.borrow().is_empty() {
             return;
         }
--- a/crates/router/src/shell/readiness.rs
+++ b/crates/router/src/shell/readiness.rs
@@ -1,8 +1,8 @@
 //! Tells whoever asks whether the node is ready for clients, and its figures.
 
-use crate::shell::answer::own;
-use crate::shell::handle::{AnswerBody, Shared};
-use crate::shell::small_server;
+use crate::shell::answer::empty_response;
+use crate::shell::handle::{ResponseBody, Shared};
+use crate::shell::single_endpoint;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -15,12 +15,12 @@
 
 /// Serves the readiness address.
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
-    small_server::serve(listener, move || readiness(shared.clone())).await;
+    single_endpoint::serve(listener, move || readiness_response(shared.clone())).await;
 }
 
-async fn readiness(shared: Rc<Shared>) -> Response<AnswerBody> {
+async fn readiness_response(shared: Rc<Shared>) -> Response<ResponseBody> {
     let ready = shared.ready.get() && !shared.stopping.get();
-    own(if ready {
+    empty_response(if ready {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
@@ -29,21 +29,24 @@
 
 /// Serves the metrics address.
 pub(crate) async fn serve_metrics(shared: Rc<Shared>, listener: TcpListener) {
-    small_server::serve(listener, move || figures(shared.clone())).await;
+    single_endpoint::serve(listener, move || metrics_response(shared.clone())).await;
 }
 
-async fn figures(shared: Rc<Shared>) -> Response<AnswerBody> {
+async fn metrics_response(shared: Rc<Shared>) -> Response<ResponseBody> {
     let (sender, receiver) = oneshot::channel();
     let observed = shared.clone();
     shared.inspect(move |core| {
-        observed.observer.metrics.observe(observed.now(), core);
+        observed
+            .observer
+            .metrics
+            .update_gauges(observed.now(), core);
         // Whoever asked may have left.
         let _ = sender.send(());
     });
     if receiver.await.is_err() {
-        return own(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let text = shared.observer.metrics.text();
+    let text = shared.observer.metrics.encode_text();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     response.headers_mut().insert(CONTENT_TYPE, TEXT);
     response
--- a/crates/router/src/shell/reload.rs
+++ b/crates/router/src/shell/reload.rs
@@ -11,10 +11,10 @@
 use tokio::signal::unix::Signal;
 
 /// Between looks at whether the file has changed.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the settings file for the life of the process.
-pub(crate) async fn follow(
+pub(crate) async fn watch_settings(
     shared: Rc<Shared>,
     file: String,
     settings: NodeSettings,
@@ -22,28 +22,28 @@
 ) {
     let mut in_force = settings;
     // The file may have changed since it was read.
-    let mut changed_at = None;
+    let mut last_modified = None;
     loop {
-        let told = tokio::select! {
+        let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
-        let seen = modified(&file);
-        if !told && seen == changed_at {
+        let modified = modified_time(&file);
+        if !signalled && modified == last_modified {
             continue;
         }
-        changed_at = seen;
-        reload(&shared, &file, &mut in_force, told);
+        last_modified = modified;
+        reload(&shared, &file, &mut in_force, signalled);
     }
 }
 
-fn modified(file: &str) -> Option<SystemTime> {
+fn modified_time(file: &str) -> Option<SystemTime> {
     std::fs::metadata(Path::new(file)).ok()?.modified().ok()
 }
 
 /// Puts in force what can change in a running process. A file that is refused
 /// changes nothing.
-fn reload(shared: &Shared, file: &str, in_force: &mut NodeSettings, told: bool) {
+fn reload(shared: &Shared, file: &str, in_force: &mut NodeSettings, signalled: bool) {
     let log = &shared.observer.log;
     let next = match NodeSettings::load(file) {
         Ok(next) => next,
@@ -52,14 +52,14 @@
             return;
         }
     };
-    let fixed = in_force.fixed_changes(&next).join(",");
-    let changed = next.changeable() != in_force.changeable();
-    if told || changed || !fixed.is_empty() {
+    let needs_restart = in_force.changes_needing_restart(&next).join(",");
+    let changed = next.reloadable() != in_force.reloadable();
+    if signalled || changed || !needs_restart.is_empty() {
         info!(log, "reload"; "outcome" => if changed { "changed" } else { "same" },
-            "needs_restart" => fixed);
+            "needs_restart" => needs_restart);
     }
     if changed {
-        in_force.adopt(&next);
+        in_force.apply_reloadable(&next);
         let config = Box::new(in_force.core_config(shared.run));
         shared.input(Input::Settings(config));
     }
--- a/crates/router/src/shell/small_server.rs
+++ b/crates/router/src/shell/single_endpoint.rs
@@ -1,6 +1,6 @@
 //! A server of one answer, for the platform and for whoever collects figures.
 
-use crate::shell::handle::AnswerBody;
+use crate::shell::handle::ResponseBody;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -12,18 +12,18 @@
 use tokio::net::TcpListener;
 
 /// How long a connection may rest.
-const REST: Duration = Duration::from_secs(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Gives the same answer to every request, whatever it asks for.
 pub(crate) async fn serve<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn() -> A + Clone + 'static,
-    A: Future<Output = Response<AnswerBody>> + 'static,
+    A: Future<Output = Response<ResponseBody>> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
@@ -33,7 +33,7 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(REST)
+            .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
         tokio::task::spawn_local(async move {
             // Whoever asked and left needs no answer.
