--- a/crates/router/tests/foreign_entries.rs
+++ b/crates/router/tests/foreign_entries.rs
@@ -137,7 +137,7 @@
         known.map(|known| known.record.id.name.0.clone()).collect()
     }
 
-    fn unreadable_lines(&mut self) -> usize {
+    fn unreadable_notices(&mut self) -> usize {
         let notices = self.views.take_notices().into_iter();
         notices
             .filter(|notice| matches!(notice, ViewNotice::Unreadable { .. }))
@@ -208,7 +208,7 @@
     for _ in 0..100 {
         node.register("i-2", b"{");
     }
-    assert_eq!(node.unreadable_lines(), 1);
+    assert_eq!(node.unreadable_notices(), 1);
     assert_eq!(node.unusable().unreadable, 1);
     node.register("i-2", &registration(SHOP, 82));
     assert_eq!(node.unusable(), UnusableCounts::default());
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -22,9 +22,9 @@
 /// Longer than any grant of the granter before may last.
 const AFTER_HOLD: u64 = 9_000;
 /// Less than a standby's word and the last hold that it may order.
-const WITHIN_WORD: u64 = 11_000;
+const WITHIN_STANDBY_SPAN: u64 = 11_000;
 /// More than that.
-const AFTER_WORD: u64 = 18_000;
+const AFTER_STANDBY_SPAN: u64 = 18_000;
 
 fn at(millis: u64) -> Time {
     Time(millis * 1_000)
@@ -162,7 +162,7 @@
 
 /// Whether keys of a holder that is no upstream any more, and does not answer, are granted
 /// to another before `until`.
-fn passes_keys_on(head: Option<&[u8]>, until: u64) -> bool {
+fn regrants_keys(head: Option<&[u8]>, until: u64) -> bool {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
     let entry = format!("{}one", dialect.keys().upstream_prefix);
@@ -181,9 +181,9 @@
 /// The head names the standbys, which may prolong the holds for 11 s after their last word.
 #[test]
 fn without_a_readable_head_a_silent_holder_keeps_its_keys_while_a_standby_may_prolong_them() {
-    assert!(passes_keys_on(None, WITHIN_WORD));
-    assert!(!passes_keys_on(Some(b"no head"), WITHIN_WORD));
-    assert!(passes_keys_on(Some(b"no head"), AFTER_WORD));
+    assert!(regrants_keys(None, WITHIN_STANDBY_SPAN));
+    assert!(!regrants_keys(Some(b"no head"), WITHIN_STANDBY_SPAN));
+    assert!(regrants_keys(Some(b"no head"), AFTER_STANDBY_SPAN));
 }
 
 /// Tokens count upwards with the epoch: one that fell would let two upstreams hold a key.
@@ -319,7 +319,7 @@
         routes: Vec::new(),
         services: Vec::new(),
     };
-    for (slowness, is_taken) in [
+    for (slowness, is_accepted) in [
         (1.5, true),
         (f32::NAN, false),
         (f32::INFINITY, false),
@@ -331,7 +331,7 @@
             continue;
         };
         write(&mut views, ViewName::State, OwnKeys::SPEEDS, value, 2);
-        assert_eq!(views.speeds.is_some(), is_taken, "{slowness}");
+        assert_eq!(views.speeds.is_some(), is_accepted, "{slowness}");
     }
 }
 
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -30,7 +30,7 @@
 }
 
 /// Whom the node tells of the newest changes it has seen.
-fn told(outputs: Vec<Output>) -> Vec<SocketAddr> {
+fn heads_recipients(outputs: Vec<Output>) -> Vec<SocketAddr> {
     outputs
         .into_iter()
         .filter_map(|output| match output {
@@ -74,8 +74,11 @@
     let heard = Datagram::Answers(Vec::new());
     core.handle(at(20), Input::Datagram(address(2), heard));
     let gone = |outputs: Vec<Output>| {
-        let told = |output: &Output| matches!(output, Output::Send(Datagram::Gone(_), _));
-        outputs.iter().filter(|output| told(output)).count()
+        let is_gone_report = |output: &Output| matches!(output, Output::Send(Datagram::Gone(_), _));
+        outputs
+            .iter()
+            .filter(|output| is_gone_report(output))
+            .count()
     };
     let replaced = || Input::Replaced {
         upstream: upstream.clone(),
@@ -91,15 +94,18 @@
 #[test]
 fn a_node_without_an_entry_is_told_as_long_as_it_is_heard() {
     let mut core = core();
-    assert!(told(core.handle(at(10), Input::Tick)).is_empty());
+    assert!(heads_recipients(core.handle(at(10), Input::Tick)).is_empty());
     let latest = [Revision::new(0); ViewName::ALL.len()];
     let heads = Datagram::Heads(ViewHeads {
         latest,
         contact: None,
     });
     core.handle(at(300), Input::Datagram(address(2), heads));
-    assert_eq!(told(core.handle(at(310), Input::Tick)), [address(2)]);
-    assert!(told(core.handle(at(4_000), Input::Tick)).is_empty());
+    assert_eq!(
+        heads_recipients(core.handle(at(310), Input::Tick)),
+        [address(2)]
+    );
+    assert!(heads_recipients(core.handle(at(4_000), Input::Tick)).is_empty());
 }
 
 /// A copy of the nodes: this one, and so many others of its zone, the ablest last.
@@ -127,12 +133,12 @@
 }
 
 /// Whom the node asks for copies.
-fn asked(outputs: Vec<Output>) -> Vec<SocketAddr> {
-    let asked = outputs.into_iter().filter_map(|output| match output {
+fn snapshot_sources(outputs: Vec<Output>) -> Vec<SocketAddr> {
+    let addresses = outputs.into_iter().filter_map(|output| match output {
         Output::Ask(address, ..) => Some(address),
         _ => None,
     });
-    asked.collect()
+    addresses.collect()
 }
 
 /// Found on a day at 78 machines: after all had lost power each asked the first of the
@@ -140,13 +146,13 @@
 #[test]
 fn a_node_that_has_just_started_asks_its_own_zones_relays() {
     let mut core = core();
-    assert_eq!(asked(core.handle(at(0), Input::Tick)), []);
-    assert_eq!(asked(core.handle(at(10), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(0), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(10), Input::Tick)), []);
     let nodes = Input::Snapshots(address(800), vec![members(30)]);
-    let first = asked(core.handle(at(18), nodes));
+    let first = snapshot_sources(core.handle(at(18), nodes));
     assert!(!first.is_empty());
     assert!(first.iter().all(|one| *one == address(30)), "{first:?}");
-    let next = asked(core.handle(at(19), Input::NotAnswered(address(30))));
+    let next = snapshot_sources(core.handle(at(19), Input::NotAnswered(address(30))));
     assert!(next.contains(&address(29)), "{next:?}");
 }
 
@@ -154,8 +160,8 @@
 fn a_node_that_does_not_reach_the_store_asks_the_seeds() {
     let mut core = core();
     core.handle(at(0), Input::Tick);
-    assert_eq!(asked(core.handle(at(490), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(490), Input::Tick)), []);
     let seeds = &usual_settings(0).seeds;
-    let first = asked(core.handle(at(510), Input::Tick));
+    let first = snapshot_sources(core.handle(at(510), Input::Tick));
     assert!(!first.is_empty() && first.iter().all(|one| seeds.contains(one)));
 }
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -17,9 +17,9 @@
     (0..count).map(record).collect()
 }
 
-fn named(records: Vec<NodeRecord>) -> BTreeMap<String, NodeRecord> {
-    let named = records.into_iter().map(|one| (one.name.clone(), one));
-    named.collect()
+fn by_name(records: Vec<NodeRecord>) -> BTreeMap<String, NodeRecord> {
+    let by_name = records.into_iter().map(|one| (one.name.clone(), one));
+    by_name.collect()
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let mut records = nodes("a", 3, |_| 200);
     records.extend(nodes("bb", 8, |_| 200));
     records.extend(nodes("ccc", 100, |_| 200));
-    let relays = Relays::choose(&named(records));
+    let relays = Relays::choose(&by_name(records));
     let counts = ["a", "bb", "ccc"].map(|zone| relays.of_zone(zone).len());
     assert_eq!(counts, [1, 2, 3]);
     assert_eq!(relays.of_others("ccc").count(), 3);
@@ -36,25 +36,25 @@
 #[test]
 fn the_ablest_nodes_come_first() {
     let records = nodes("a", 20, |index| if index >= 18 { 500 } else { 100 });
-    let able = [records[18].peers, records[19].peers];
-    let relays = Relays::choose(&named(records));
+    let expected = [records[18].peers, records[19].peers];
+    let relays = Relays::choose(&by_name(records));
     assert!(
         relays.of_zone("a")[..2]
             .iter()
-            .all(|one| able.contains(one))
+            .all(|one| expected.contains(one))
     );
 }
 
 #[test]
 fn a_node_that_leaves_is_replaced_and_nobody_else_moves() {
     let records = nodes("a", 20, |_| 200);
-    let before = Relays::choose(&named(records.clone()));
+    let before = Relays::choose(&by_name(records.clone()));
     let first = before.of_zone("a")[0];
     let left: Vec<NodeRecord> = records
         .into_iter()
         .filter(|one| one.peers != first)
         .collect();
-    let after = Relays::choose(&named(left));
+    let after = Relays::choose(&by_name(left));
     assert_eq!(after.of_zone("a")[..2], before.of_zone("a")[1..]);
 }
 
@@ -64,7 +64,7 @@
 fn zones_follow_the_store_in_one_order() {
     let mut records = nodes("a", 20, |_| 200);
     records.extend(nodes("bb", 20, |_| 500));
-    let relays = Relays::choose(&named(records));
+    let relays = Relays::choose(&by_name(records));
     assert_eq!(relays.of_zones_before("bb").count(), 0);
     let before: Vec<_> = relays.of_zones_before("a").collect();
     assert_eq!(before, relays.of_zone("bb"));
--- a/crates/router/tests/removals_by_reading.rs
+++ b/crates/router/tests/removals_by_reading.rs
@@ -93,7 +93,7 @@
     let from: SocketAddr = ([10, 2, 0, 1], 7_000).into();
     other.follow(at(110), false);
     let lacking = other.heads(at(110), from, &relay.own_heads(None));
-    let told = relay.answer(&other.request(&lacking));
-    other.adopt(at(112), told);
+    let update = relay.answer(&other.request(&lacking));
+    other.adopt(at(112), update);
     assert!(other.directory.get(&UpstreamId::from("u1")).is_none());
 }
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -48,7 +48,7 @@
         let value = node.dialect.encode_configuration(configuration);
         let key = node.dialect.keys().configuration;
         node.adopt(0, ViewName::Operator, key.to_owned(), value);
-        node.registers(1, born(1));
+        node.register(1, born(1));
         node
     }
 
@@ -70,7 +70,7 @@
         self.core.handle(at(millis), snapshots)
     }
 
-    fn registers(&mut self, millis: u64, id: UpstreamId) -> Vec<Output> {
+    fn register(&mut self, millis: u64, id: UpstreamId) -> Vec<Output> {
         let key = format!("{}{}", self.dialect.keys().upstream_prefix, id.name);
         let value = self.dialect.encode_upstream(UpstreamRecord {
             id,
@@ -108,7 +108,7 @@
         })
     }
 
-    fn breaks_off(&mut self, millis: u64, ticket: u64) {
+    fn break_off(&mut self, millis: u64, ticket: u64) {
         let ticket = Ticket(ticket);
         let outcome = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
         let rate = None;
@@ -138,7 +138,7 @@
 fn requests_go_to_the_restart_at_once() {
     let mut node = Node::new();
     assert_eq!(node.send(10), Some(born(1)));
-    node.registers(20, born(2));
+    node.register(20, born(2));
     assert_eq!(node.send(21), Some(born(2)));
 }
 
@@ -146,10 +146,10 @@
 fn a_restart_proves_the_end_of_the_one_before() {
     let mut node = Node::new();
     node.send(10);
-    node.breaks_off(30, 10);
-    let outputs = node.registers(2_000, born(2));
+    node.break_off(30, 10);
+    let outputs = node.register(2_000, born(2));
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
-    let again = node.registers(2_010, born(2));
+    let again = node.register(2_010, born(2));
     assert_eq!(suspected(&again), []);
 }
 
@@ -159,13 +159,13 @@
 fn an_end_is_proved_also_where_the_restart_listens_already() {
     let mut node = Node::new();
     node.send(10);
-    node.breaks_off(30, 10);
+    node.break_off(30, 10);
     let listens = Input::Probed {
         upstream: born(1),
         liveness: Liveness::Listens,
     };
     node.core.handle(at(60), listens);
-    let outputs = node.registers(400, born(2));
+    let outputs = node.register(400, born(2));
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
 }
 
@@ -173,9 +173,9 @@
 #[test]
 fn late_word_of_the_one_before_does_not_touch_the_restart() {
     let mut node = Node::new();
-    node.registers(20, born(2));
+    node.register(20, born(2));
     let upstream = born(1);
     node.core.handle(at(30), Input::Replaced { upstream });
-    node.registers(40, born(1));
+    node.register(40, born(1));
     assert_eq!(node.send(50), Some(born(2)));
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -115,14 +115,14 @@
 /// kept nodes waiting for a second, however much processor time it had.
 #[test]
 fn a_node_with_a_narrow_link_counts_as_less_able() {
-    let ability = |limits: &str| {
+    let capacity = |limits: &str| {
         let text = VALID.replace("memory_mb", &format!("{limits}\nmemory_mb"));
         let settings = NodeSettings::parse("file", &text).expect("valid");
         settings.core_config(7).control.record.capacity
     };
-    assert_eq!(ability("processor_share = 0.5"), 500);
-    assert_eq!(ability("processor_share = 0.5\nlink_mbps = 200"), 500);
-    assert_eq!(ability("processor_share = 0.5\nlink_mbps = 20.0"), 100);
+    assert_eq!(capacity("processor_share = 0.5"), 500);
+    assert_eq!(capacity("processor_share = 0.5\nlink_mbps = 200"), 500);
+    assert_eq!(capacity("processor_share = 0.5\nlink_mbps = 20.0"), 100);
     let text = VALID.replace("memory_mb", "link_mbps = 0\nmemory_mb");
     assert!(NodeSettings::parse("file", &text).is_err());
 }
--- a/crates/router/tests/short_lived_entries.rs
+++ b/crates/router/tests/short_lived_entries.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn tell(views: &mut Views, millis: u64, view: ViewName, events: Vec<StoreEvent>, revision: u64) {
+fn deliver(views: &mut Views, millis: u64, view: ViewName, events: Vec<StoreEvent>, revision: u64) {
     let outcome = StoreOutcome::Events {
         events,
         at: Revision::new(revision),
@@ -91,7 +91,7 @@
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
-    tell(
+    deliver(
         &mut views,
         100,
         ViewName::Upstreams,
@@ -100,7 +100,7 @@
     );
     assert!(is_confirmed(&views));
     let events = vec![put(KEY, &value, 12), removed(KEY, 13)];
-    tell(&mut views, 200, ViewName::Upstreams, events, 13);
+    deliver(&mut views, 200, ViewName::Upstreams, events, 13);
     assert!(!is_confirmed(&views));
 }
 
@@ -109,7 +109,7 @@
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
-    tell(
+    deliver(
         &mut views,
         100,
         ViewName::Upstreams,
@@ -117,7 +117,7 @@
         11,
     );
     let events = vec![removed(KEY, 12), put(KEY, &value, 13)];
-    tell(&mut views, 200, ViewName::Upstreams, events, 13);
+    deliver(&mut views, 200, ViewName::Upstreams, events, 13);
     assert!(is_confirmed(&views));
 }
 
@@ -127,7 +127,7 @@
     let mut views = watching(&dialect, ViewName::Operator);
     let key = "operator/evacuation/a";
     let events = vec![put(key, &[], 11), removed(key, 12)];
-    tell(&mut views, 100, ViewName::Operator, events, 12);
+    deliver(&mut views, 100, ViewName::Operator, events, 12);
     views.poll(at(150), ViewName::Upstreams);
     let page = StoreOutcome::Page {
         items: vec![Item {
