--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: a TOML file that the environment fills in.
+//! Settings of a router node, read from a TOML file.
 
 mod core_config;
 
@@ -10,7 +10,7 @@
 /// Version of the settings that this program reads.
 pub const SETTINGS_VERSION: u32 = 1;
 
-/// Why settings were refused.
+/// Reasons why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NodeSettingsError {
     /// The file could not be read.
@@ -21,7 +21,7 @@
         /// What the system said.
         cause: String,
     },
-    /// The file is not TOML of the expected shape.
+    /// The file is not valid TOML or lacks a field.
     #[error("{file}: {cause}")]
     Parse {
         /// Path as given.
@@ -29,7 +29,7 @@
         /// The parser's message, with line and column.
         cause: String,
     },
-    /// A value is outside what is allowed.
+    /// A value is out of range.
     #[error("{file}:{line}: {field} = {value}: allowed is {allowed}")]
     Range {
         /// Path as given.
@@ -38,23 +38,23 @@
         line: usize,
         /// Name of the field.
         field: &'static str,
-        /// The value refused.
+        /// The invalid value.
         value: String,
-        /// What would be accepted.
+        /// The allowed values.
         allowed: &'static str,
     },
 }
 
-/// Where the node listens.
+/// Addresses on which the node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct ListenSettings {
     /// For clients.
     pub clients: SocketAddr,
-    /// For questions whether the node is ready.
+    /// For readiness checks.
     pub readiness: SocketAddr,
     /// For other nodes, over TCP and UDP.
     pub peers: SocketAddr,
-    /// For whoever collects metrics.
+    /// For metrics collection.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
@@ -64,47 +64,47 @@
 pub struct StoreSettings {
     /// Its address.
     pub address: SocketAddr,
-    /// Shortest lease that it gives, in milliseconds.
+    /// Shortest lease that it grants, in milliseconds.
     #[serde(default)]
     pub least_ttl_ms: u64,
 }
 
-/// What the environment promises and asks for.
+/// Guarantees and requirements of the environment.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct BoundSettings {
-    /// How long a leaving upstream may still get requests, in milliseconds.
+    /// How long a leaving upstream may still receive requests, in milliseconds.
     pub drain_ms: u64,
-    /// How long a node must have been connected to count as such, in
+    /// How long a node must have been connected to the store to count as connected, in
     /// milliseconds.
     pub contact_ms: u64,
     /// How long a stopping node may take, in seconds.
     pub grace_s: f64,
-    /// Repeats for each request, over all nodes.
+    /// Retries per request, over all nodes.
     pub retry_ratio: f64,
-    /// Repeats on top of that in each window.
+    /// Retries allowed in addition in each window.
     pub retry_allowance: f64,
     /// The window, in seconds.
     pub retry_window_s: f64,
-    /// How long after an evacuation was accepted upstreams of its zone may still get
+    /// How long after an evacuation was accepted the upstreams of its zone may still receive
     /// requests, in milliseconds.
     #[serde(default = "default_evacuate_ms")]
     pub evacuate_ms: u64,
-    /// Requests a second that a cold upstream may get over all nodes, as a multiple of what
-    /// it says that it takes.
+    /// Requests per second that a cold upstream may receive over all nodes, as a multiple of
+    /// the rate it announces.
     #[serde(default = "default_cold_overage")]
     pub cold_overage: f64,
-    /// Requests a second beyond that.
+    /// Requests per second allowed in addition.
     #[serde(default)]
     pub cold_slack: f64,
     /// Longest hold of a grant, in milliseconds; 0 where nothing is granted.
     #[serde(default)]
     pub longest_hold_ms: u64,
-    /// Between two writes of an upstream's registration, in milliseconds.
+    /// Interval at which upstreams write their registrations, in milliseconds.
     #[serde(default)]
     pub heartbeat_ms: u64,
 }
 
-/// What one process may use.
+/// Resources of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct ProcessLimits {
     /// Share of a processor core.
@@ -112,17 +112,17 @@
     pub processor_share: f64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub descriptors: u64,
-    /// Megabits a second of its link; none where that is not known to be narrow.
+    /// Bandwidth of its network link in megabits per second, if known to be limited.
     #[serde(default)]
     pub link_mbps: Option<f64>,
 }
 
 impl ProcessLimits {
-    /// How much the process can do for others, in thousandths of a core. A relay sends
-    /// its zone copies of a hundred kilobytes and more, so one with a narrow link counts
-    /// as one with little processor time.
+    /// Capacity of the process for work on behalf of other nodes, in thousandths of a core. A
+    /// relay sends its zone copies of a hundred kilobytes and more, so a slow link counts like
+    /// little processor time.
     fn relay_capacity(&self) -> u32 {
         let processor = self.processor_share * 1_000.0;
         let link = self.link_mbps.map(|mbps| mbps * CAPACITY_PER_MBPS);
@@ -143,12 +143,12 @@
     retry_window_s: f64,
 }
 
-/// As long as upstreams that leave by themselves take at the least.
+/// Equal to the minimum for upstreams that leave by themselves.
 fn default_evacuate_ms() -> u64 {
     2_000
 }
 
-/// What upstreams say that they take.
+/// Exactly the rate that upstreams announce.
 fn default_cold_overage() -> f64 {
     1.0
 }
@@ -157,7 +157,7 @@
     1.0
 }
 
-/// One value that is looked at.
+/// Range check of one value.
 struct Check {
     field: &'static str,
     value: String,
@@ -192,34 +192,34 @@
     }
 }
 
-/// Thousandths of a core that a megabit a second goes with: at 100 Mbit/s a link is no
-/// bound for half of a core.
+/// Thousandths of a core that one Mbit/s of bandwidth counts for: at 100 Mbit/s the link does
+/// not limit half a core.
 const CAPACITY_PER_MBPS: f64 = 5.0;
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct NodeSettings {
-    /// Version of this form.
+    /// Version of the settings format.
     pub version: u32,
     /// Name of the node.
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// Its address, from which it calls.
+    /// Its IP address, from which it opens connections.
     pub ip: IpAddr,
     /// Where it listens.
     pub listen: ListenSettings,
-    /// Whether all nodes of the system start now for the first time.
+    /// Whether all nodes of the system are starting for the first time.
     #[serde(default)]
     pub first_start: bool,
-    /// Where other nodes may be heard.
+    /// Addresses of other nodes to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The metadata store.
     pub store: StoreSettings,
-    /// Bounds.
+    /// Guarantees and requirements of the environment.
     pub bounds: BoundSettings,
-    /// Limits.
+    /// Resources of the process.
     pub limits: ProcessLimits,
 }
 
@@ -329,7 +329,7 @@
         }
     }
 
-    /// What can change in a running process.
+    /// The settings that can change in a running process.
     pub(crate) fn reloadable(&self) -> ReloadableSettings {
         let bounds = &self.bounds;
         ReloadableSettings {
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Takes over what can change in a running process.
+    /// Applies the settings of `next` that can change in a running process.
     pub(crate) fn apply_reloadable(&mut self, next: &Self) {
         let (own, next) = (&mut self.bounds, &next.bounds);
         own.drain_ms = next.drain_ms;
@@ -357,9 +357,8 @@
         own.retry_window_s = next.retry_window_s;
     }
 
-    /// Names of the settings that differ and that only a new process takes.
-    /// Holds are among them: a granter must know the longest hold that any
-    /// other process may have given.
+    /// Names of the differing settings that require a restart. Holds are among them: a granter
+    /// must know the longest hold that any other process may have granted.
     pub(crate) fn changes_needing_restart(&self, next: &Self) -> Vec<&'static str> {
         let differences = [
             ("node", self.node != next.node),
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -1,4 +1,4 @@
-//! What the settings and the constants here make of a core's configuration.
+//! Configuration of the core, built from the settings and constants.
 
 use super::NodeSettings;
 use crate::core::{ControlConfig, CoreConfig, GRANT_TIMEOUT, NodeRecord, Timing};
@@ -8,44 +8,43 @@
 use beamtray_sharding::{BalanceLimits, GranterGuards, GranterTiming};
 use std::time::Duration;
 
-/// Life of a node's entry without renewal.
+/// Lease of a node's entry in the store.
 const NODE_TTL: Duration = Duration::from_secs(8);
 const NODE_RENEWAL: Duration = Duration::from_millis(3_000);
-/// Life of the granter's place without renewal: how long keys are without a
-/// granter after it is lost.
+/// Lease of the granter's role: how long keys are without a granter after it is lost.
 const GRANTER_TTL: Duration = Duration::from_millis(2_000);
 const GRANTER_RENEWAL: Duration = Duration::from_millis(500);
-/// How long a grant holds at most. When a granter is lost the next one is there
-/// after [`GRANTER_TTL`]; what is left of a hold then is this less
-/// [`GRANT_RENEWAL`]. Outages of the store are bridged by standbys.
+/// Duration of a grant. After the loss of a granter the next one takes over within
+/// [`GRANTER_TTL`]; by then a hold has at least this less [`GRANT_RENEWAL`] left. Store
+/// outages are bridged by standbys.
 const GRANT_HOLD: Duration = Duration::from_millis(3_000);
 const GRANT_RENEWAL: Duration = Duration::from_millis(750);
-/// Time between orders that a granter with a whole core has the processor time for. An
-/// estimate: a fifth of it, if an order with its connection costs 0.2 ms.
+/// Average time between orders of a granter with a whole core. An estimate: if an order with
+/// its connection costs 0.2 ms of processor time, orders take a fifth of the core.
 const ORDER_INTERVAL: Duration = Duration::from_millis(1);
-/// Longest time between orders, for nodes with next to no processor time.
+/// Upper limit of the time between orders, for nodes with very little processor time.
 const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_RENEWAL: Duration = Duration::from_millis(2_000);
-/// How much longer a holder may count a hold, in percent.
+/// How much longer a holder may count a hold by its own clock, in percent.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
-/// How long an upstream may take to carry an order out that it did not answer, as the users'
-/// platform has it.
+/// How long an upstream may take to carry out an order that it has not answered, as specified
+/// by the users' platform.
 const ORDER_LIFETIME: Duration = Duration::from_secs(12);
 const TRANSIT: Duration = Duration::from_millis(300);
-/// Beyond this and what is left of its hold, a silent holder has no keys.
+/// A silent holder has lost its keys after this and the remainder of its hold.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 const GRANT_NOTICE: Duration = Duration::from_millis(20);
-/// Longest wait of a watch: each that ends unheard costs a call.
+/// Longest wait of a watch; each watch that ends without events costs a call.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
-/// At the first start of all nodes: until all of them have registered.
+/// At the first start of all nodes, the time until all of them have registered.
 const FIRST_START_DELAY: Duration = Duration::from_millis(500);
-/// How much longer a node waits that has next to no processor time.
+/// Additional delay of a node with very little processor time.
 const MAX_EXTRA_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Share of a core from which a node waits no longer than [`FIRST_START_DELAY`].
 const FULL_SPEED_SHARE: f64 = 0.5;
 
 impl NodeSettings {
-    /// The core's fixed values for this run of the process.
+    /// Builds the core's configuration for this run of the process.
     pub fn core_config(&self, run: u64) -> CoreConfig {
         let record = NodeRecord {
             name: self.node.clone(),
@@ -68,8 +67,8 @@
         }
     }
 
-    /// How long this node waits for others to register before it reads who they
-    /// are. Relays are the ablest nodes, so those read first and tell the others.
+    /// How long this node waits for others to register before it reads the list of nodes.
+    /// Relays are the nodes with the most capacity, so they read it first and pass it on.
     fn start_delay(&self) -> Duration {
         if !self.first_start {
             return Duration::ZERO;
@@ -79,9 +78,9 @@
     }
 
     fn dispatch_config(&self, run: u64) -> DispatchConfig {
-        // The other half of the drain time is for hearing of it, and for a request
-        // that takes long to reach the upstream: connecting alone may take a third
-        // of a second, and a node may have a tenth of a core.
+        // The other half of the drain time is reserved for learning that the upstream leaves
+        // and for requests that reach it late: connecting alone may take a third of a second,
+        // and a node may have a tenth of a core.
         let drain = Duration::from_millis(self.bounds.drain_ms.max(200));
         DispatchConfig {
             node: self.node.clone(),
@@ -107,9 +106,8 @@
         }
     }
 
-    /// An upstream that left while the store was sound must get nothing once
-    /// the drain time is over, so doubt about its absence ends before a node
-    /// counts as connected again.
+    /// An upstream that left while the store was available must receive nothing once the drain
+    /// time is over, so doubt about its absence ends before a node counts as connected again.
     fn directory_policy(&self) -> DirectoryPolicy {
         let contact = Duration::from_millis(self.bounds.contact_ms.max(500));
         DirectoryPolicy {
@@ -174,7 +172,7 @@
     }
 }
 
-/// Spreads runs so that nodes differ.
+/// Hashes a run number so that nodes get different delays.
 fn hash_run(run: u64) -> u64 {
     run.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32
 }
--- a/crates/router/src/shell/actor.rs
+++ b/crates/router/src/shell/actor.rs
@@ -7,20 +7,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the process's loop needs to know after each turn of the actor.
+/// State shared between the main loop and the actor, updated after each input.
 #[derive(Debug, Default)]
 pub(crate) struct LoopState {
-    /// The time at which the actor works.
+    /// Time at which the actor handles its inputs.
     pub now: Cell<Time>,
-    /// When the next decision is due.
+    /// When the core next has work due.
     pub due: Cell<Option<Time>>,
     /// Whether the node is ready for clients.
     pub ready: Cell<bool>,
-    /// How long after one tick the next one is due.
+    /// Interval between ticks.
     pub tick_interval: Cell<Duration>,
 }
 
-/// Owns the core; passes on what it asks for.
+/// Owns the core and forwards its outputs.
 pub(crate) struct RouterActor {
     core: NodeCore,
     loop_state: Rc<LoopState>,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Takes one input.
+    /// Passes one input to the core.
     pub fn input(&mut self, _: CX![], input: Input) {
         let now = self.loop_state.now.get();
         for output in self.core.handle(now, input) {
@@ -52,7 +52,7 @@
         self.loop_state.tick_interval.set(self.core.tick_pause(now));
     }
 
-    /// Lets the owner look at the core.
+    /// Calls `callback` with read access to the core.
     pub fn inspect(&mut self, _: CX![], callback: Box<dyn FnOnce(&NodeCore)>) {
         callback(&self.core);
     }
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an upstream.
+//! Forwarding of a client request to one upstream.
 
 use crate::core::Input;
 use crate::shell::answer::strip_connection_headers;
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Kept back from the time that an upstream is given, so that its own answer
-/// at its deadline still arrives.
+/// Subtracted from the deadline that the upstream is given, so that a response it sends at its
+/// deadline still arrives.
 const UPSTREAM_DEADLINE_MARGIN: Duration = Duration::from_millis(5);
 
-/// A client's request as it is sent on.
+/// A client's request as it is forwarded.
 pub(crate) struct ClientRequest {
     pub id: String,
     pub fingerprints: Fingerprints,
@@ -27,17 +27,17 @@
     pub body: Bytes,
 }
 
-/// What came of an attempt.
+/// Result of an attempt.
 struct AttemptResult {
     outcome: AttemptOutcome,
     response: Option<Response<ResponseBody>>,
-    /// Set when an upstream of another name answered at the upstream's address.
+    /// Whether an upstream with another name answered at the address.
     replaced: bool,
-    /// What the upstream's answer said of the rate that it takes.
+    /// Rate limit announced in the upstream's response.
     rate: Option<RateWord>,
-    /// Whether the upstream's answer said that it leaves.
+    /// Whether the upstream's response announced that it is leaving.
     is_leaving: bool,
-    /// How long it asked this node for rest.
+    /// How long the upstream asked this node to send it nothing.
     backoff: Option<Duration>,
 }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// Makes an attempt, tells the core how it ended and the request's task what
-/// came.
+/// Sends the request to the chosen upstream, reports the outcome to the core and passes the
+/// response to the request's task.
 pub(crate) async fn attempt(
     shared: Rc<Shared>,
     ticket: Ticket,
@@ -75,8 +75,8 @@
     let result = match shared.run_until(forward.deadline, exchange).await {
         Some(result) => result,
         None if progress.may_have_been_written() => {
-            // It may be the connection that is silent, not the upstream; then the others
-            // from that time are, too, and each would cost a request of its own.
+            // The connection may be dead rather than the upstream. Others opened at the same
+            // time are then dead as well, and each would cost a request.
             if progress.was_reused() {
                 shared.connections.close_idle(forward.address);
             }
@@ -131,7 +131,7 @@
         Ok(answer) => classify_answer(shared, forward, request, answer),
         Err(failure) => AttemptResult::failed(match failure {
             CallFailure::ConnectionLost | CallFailure::AckTimeout => {
-                // Others to the same upstream may have ended with it.
+                // Other connections to the same upstream may have ended as well.
                 shared.connections.close_idle(forward.address);
                 AttemptOutcome::Unknown(UnknownCause::BrokenOff)
             }
@@ -196,7 +196,7 @@
             outcome: AttemptOutcome::Untouched(proof),
             response: None,
             replaced,
-            // Another upstream speaks of itself.
+            // The announcements are those of another upstream.
             rate: rate.filter(|_| !replaced),
             is_leaving: is_leaving && !replaced,
             backoff: backoff.filter(|_| !replaced),
@@ -207,7 +207,7 @@
         shared.connections.disable_reuse(forward.address);
         return AttemptResult::failed(AttemptOutcome::Unknown(UnknownCause::WrongAnswer));
     }
-    // These would promise that the request has not run.
+    // To the client these would guarantee that the request has not run.
     let not_run_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
@@ -261,7 +261,7 @@
     }
 }
 
-/// The rest that an answer asks for which turns a request away.
+/// The backoff requested by a response that rejects a request.
 fn requested_backoff(shared: &Shared, forward: &Forward, answer: &Answer) -> Option<Duration> {
     let rejections = [
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -16,16 +16,17 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for the store's answer.
+/// Timeout of calls to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for the answer to a release: work on the keys ends first.
+/// Timeout of a release: the upstream finishes its work on the keys before it answers.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long an order may stay unacknowledged. Less than its answer is waited for, so that the
-/// end of the connection tells that the order did not come to the upstream's machine.
+/// How long an order may stay unacknowledged at the TCP level. Shorter than the timeout of its
+/// answer, so that the end of the connection shows that the order did not reach the upstream's
+/// machine.
 pub(crate) const ORDER_ACK_TIMEOUT: Duration = Duration::from_millis(400);
 const JSON: &str = "application/json";
 
-/// Calls the store and tells the core how it went.
+/// Calls the store and reports the outcome to the core.
 pub(crate) fn call_store(shared: &Rc<Shared>, task: StoreTask, call: StoreCall) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
@@ -46,7 +47,7 @@
         let outcome = match answer {
             Ok(Ok(answer)) => interpret_store_answer(&shared, &call, &answer),
             Ok(Err(_)) | Err(_) => {
-                // Other connections may be as dead, without having noticed.
+                // Other connections may be dead as well without a sign of it.
                 shared.connections.close_idle(shared.store);
                 StoreOutcome::Unknown
             }
@@ -56,9 +57,9 @@
     });
 }
 
-/// What an answer of the store says. The core is told of a new era before.
+/// Decodes an answer of the store. The core is informed of a new era first.
 ///
-/// One of an older era came late: what it says has been taken back.
+/// An answer from an older era is stale: the store has rolled back what it says.
 fn interpret_store_answer(shared: &Shared, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome {
     let known_era = shared.store_era.get();
     let era = match shared.dialect.decode_era(answer) {
@@ -80,7 +81,7 @@
     shared.dialect.decode_store(call, answer).of_era(era)
 }
 
-/// Gives an order and tells the core how it went.
+/// Sends an order and reports the outcome to the core.
 pub(crate) fn send_order(shared: &Rc<Shared>, task: OrderTask, epoch: u64) {
     let shared = shared.clone();
     let decided_at = shared.now();
@@ -101,8 +102,8 @@
 }
 
 async fn deliver_order(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
-    // The right to grant is looked at right before the order is written: the process may
-    // have stood still since it was decided on, and a connection may take long.
+    // The validity of the order is checked right before it is written: the process may have
+    // been suspended since the decision, and connecting may take long.
     let right_left = task.until.since(shared.now());
     if right_left.is_zero() {
         return GrantReply::Undelivered;
@@ -112,7 +113,7 @@
         let question = task.order.question(key);
         match exchange_order(shared, address, &question, GRANT_TIMEOUT, task.until).await {
             GrantReply::Replaced => return GrantReply::Replaced,
-            // The grant itself was not written.
+            // Only the question was written, not the grant.
             GrantReply::Undelivered
             | GrantReply::Unanswered
             | GrantReply::InDoubt
@@ -130,7 +131,7 @@
     exchange_order(shared, address, &task.order, limit, task.until).await
 }
 
-/// Writes an order, unless it is later than `until` by then, and waits so long for the answer.
+/// Writes an order unless `until` has passed, and waits up to `limit` for the answer.
 async fn exchange_order(
     shared: &Shared,
     address: SocketAddr,
@@ -143,12 +144,12 @@
     let progress = CallProgress::repeatable().with_write_deadline(shared.clock.clone(), until);
     match timeout(limit, send(shared, pool, address, call, &progress)).await {
         Ok(Ok(answer)) => match shared.dialect.decode_order(&order.kind, &answer) {
-            // The answer of another call: that of the order did not come.
+            // This was the answer to another call; that to the order is missing.
             GrantReply::Unanswered => GrantReply::InDoubt,
             reply => reply,
         },
         Ok(Err(CallFailure::ConnectionLost)) => {
-            // Others to the same upstream may have ended with it.
+            // Other connections to the same upstream may have ended as well.
             shared.connections.close_idle(address);
             pool.close_idle(address);
             GrantReply::BrokenOff
@@ -158,8 +159,8 @@
             GrantReply::Unanswered
         }
         Ok(Err(_)) | Err(_) if progress.may_have_been_written() => {
-            // Other connections may be as dead: on a new one it shows that an
-            // order can't have arrived.
+            // Other connections may be dead as well. A new connection shows whether an order
+            // can't have arrived.
             pool.close_idle(address);
             GrantReply::InDoubt
         }
@@ -178,8 +179,8 @@
     let answer = pool.call(address, request, progress).await?;
     let decoded = to_http_answer(shared, &answer);
     if decoded.request_id.is_some() {
-        // The answer of a request: what else comes on the connection is not
-        // what it seems either.
+        // This is the answer to a client request, so the connection is out of step and nothing
+        // else on it can be relied on.
         pool.disable_reuse(address);
         return Ok(decoded);
     }
--- a/crates/router/src/shell/clients.rs
+++ b/crates/router/src/shell/clients.rs
@@ -1,4 +1,4 @@
-//! Connections and requests of clients.
+//! Client connections and their requests.
 
 use crate::core::Input;
 use crate::shell::answer::{
@@ -26,17 +26,17 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Pause after an accept that failed, so that a lack of descriptors does not
-/// spin the loop.
+/// Delay after a failed accept, so that a shortage of file descriptors does not cause a busy
+/// loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest time for a body to arrive.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back if the core was lost.
+/// Retry-After if the core ended without a final response.
 const INTERNAL_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Least buffer for a request's head.
+/// Smallest buffer for a request head.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Accepts clients until the process stops.
+/// Accepts client connections until the task is aborted.
 pub(crate) async fn accept(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -54,8 +54,8 @@
     let limits = shared.limits.get();
     let request_shared = shared.clone();
     let service = service_fn(move |request| serve(request_shared.clone(), request, caller));
-    // The time for a head also bounds the rest between requests, so it must
-    // not be shorter than that.
+    // The header timeout also limits the idle time between requests, so it must not be shorter
+    // than the idle timeout.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
@@ -67,7 +67,7 @@
         _ = connection.as_mut() => return,
         () = shutdown => connection.as_mut().graceful_shutdown(),
     }
-    // A client that left needs no word.
+    // The client may have closed the connection.
     let _ = connection.await;
 }
 
@@ -87,7 +87,7 @@
     Ok(response)
 }
 
-/// Reads a whole request.
+/// Reads a request with its body.
 async fn read_request(
     shared: &Shared,
     request: Request<Incoming>,
@@ -152,12 +152,13 @@
         path: uri.path().to_owned(),
         patience,
         key,
-        // Known once the body is.
+        // Computed once the body has been read.
         fingerprints: Fingerprints::default(),
     })
 }
 
-/// Follows a request's client: when it leaves, the core is told.
+/// Drop guard of a client request; reports to the core if the client disconnects before its
+/// response.
 struct RequestGuard {
     shared: Rc<Shared>,
     ticket: Ticket,
@@ -177,8 +178,8 @@
         self.shared
             .observer
             .client_disconnected(&self.id, under_way);
-        // Work that may not be repeated runs to its end: the client may look
-        // for its effect. The core forgets the request when that ends.
+        // An attempt that must not be repeated runs to completion, because the client may look
+        // for its effect. The core drops the request when the attempt ends.
         if self.attempt.is_some() && !self.repeatable {
             return;
         }
@@ -190,7 +191,7 @@
     }
 }
 
-/// Lets the core decide about a request until it has its final answer.
+/// Passes a request to the core and executes its actions until the final response.
 async fn process_request(
     shared: &Rc<Shared>,
     (head, request): (RequestHead, ClientRequest),
--- a/crates/router/src/shell/connections.rs
+++ b/crates/router/src/shell/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that this node opens, kept for further calls.
+//! Pool of outgoing HTTP connections.
 
 mod progress;
 mod socket;
@@ -23,38 +23,37 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection may take to come up.
+/// Timeout for opening a connection.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// After a connection came up, a reset by an upstream that has too many of them
-/// is waited for. A request written before it came could not be told from one
+/// After a connection was opened, the time to wait for a reset by an upstream that has too
+/// many connections. A request written before the reset arrives could not be told from one
 /// that ran.
 const RESET_WAIT: Duration = Duration::from_millis(1);
-/// Rest after which a connection is not used again, when the other side does
-/// not tell.
+/// Idle time after which a connection is not reused, if the other side announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Part of the rest that the other side allows.
+/// Share of the idle timeout announced by the other side that is used.
 const IDLE_TIMEOUT_PERCENT: u32 = 50;
-/// Connections kept to one address.
+/// Idle connections kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
-/// Connections kept in all: each costs memory, and where there are many upstreams
-/// most are not used again before their rest is over.
+/// Idle connections kept in total. Each costs memory, and with many upstreams most are not
+/// reused before their idle timeout.
 const MAX_IDLE: usize = 96;
-/// The same at the granter: one to each of hundreds of holders. A holder of busy keys
-/// resets new connections, and is to get the order that takes some of them away. Some
-/// 10 kB each, at one node.
+/// The same at the granter, which needs one connection to each of hundreds of holders: a
+/// holder with busy keys resets new connections, yet has to receive the order that takes some
+/// of its keys away. Each costs about 10 kB, on one node only.
 const MAX_IDLE_AT_GRANTER: usize = 800;
-/// How long connections to an address that sent wrong bytes are not kept.
+/// How long connections to an address that sent a wrong answer are not reused.
 const NO_REUSE_PERIOD: Duration = Duration::from_secs(6);
-/// Longest answer, in bytes.
+/// Largest response body.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
-/// Bodies up to this length have left before any answer can come.
+/// Request bodies up to this length are fully sent before a response can arrive.
 const SMALL_BODY_BYTES: usize = 8 * 1024;
 
-/// A whole answer.
+/// A complete response.
 pub(crate) struct Answer {
     pub head: Parts,
     pub body: Bytes,
-    /// The connection; dropped, it closes.
+    /// The connection it arrived on, closed on drop.
     connection: PooledConnection,
     reusable: bool,
 }
@@ -73,18 +72,18 @@
     }
 }
 
-/// Connections that rest.
+/// Pool of idle connections.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<PooledConnection>>>,
     reuse_disabled: RefCell<HashMap<SocketAddr, Instant>>,
     is_granter: Cell<bool>,
-    /// How long written bytes may stay unacknowledged, if that is less than elsewhere.
+    /// How long written bytes may stay unacknowledged, if not [`configure_socket`]'s default.
     ack_timeout: Option<Duration>,
 }
 
 impl ConnectionPool {
-    /// Connections that end when written bytes stay unacknowledged for so long.
+    /// A pool whose connections end when written bytes stay unacknowledged for this long.
     pub fn with_ack_timeout(ack_timeout: Duration) -> Self {
         Self {
             ack_timeout: Some(ack_timeout),
@@ -92,7 +91,7 @@
         }
     }
 
-    /// States whether this node gives orders to all holders of keys.
+    /// Sets whether this node is the granter, which sends orders to all key holders.
     pub fn set_granter(&self, is_granter: bool) {
         self.is_granter.set(is_granter);
     }
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -128,7 +127,7 @@
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return read_answer(connection, response, small_body).await,
                 Err(mut error) => match error.take_message() {
-                    // A connection that ended while it rested.
+                    // The connection was closed while it was idle.
                     Some(unsent) if reused => {
                         progress.written.set(false);
                         request = unsent;
@@ -150,7 +149,7 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         let now = Instant::now();
-        // The last one has rested the shortest time.
+        // The last one was used most recently.
         let idle_for = now.saturating_duration_since(connections.last()?.idle_since);
         if idle_for > max_idle_time {
             return None;
@@ -163,7 +162,7 @@
         None
     }
 
-    /// Keeps the connection of an answer that was in order.
+    /// Returns the connection of a valid response to the pool.
     pub fn put_back(&self, answer: Answer) {
         if !answer.reusable || self.is_reuse_disabled(answer.connection.address) {
             return;
@@ -179,14 +178,14 @@
         }
     }
 
-    /// Keeps no connections to an address for a while.
+    /// Closes the idle connections to an address and keeps none for a while.
     pub fn disable_reuse(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
         let until = Instant::now() + NO_REUSE_PERIOD;
         self.reuse_disabled.borrow_mut().insert(address, until);
     }
 
-    /// Closes the resting connections to an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
@@ -198,12 +197,12 @@
             .is_some_and(|until| *until > Instant::now())
     }
 
-    /// Closes all resting connections: the other sides may have forgotten them.
+    /// Closes all idle connections, for when the other sides may have dropped them.
     pub fn close_all_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections that rested too long.
+    /// Closes connections past their idle timeout.
     pub fn prune(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -216,13 +215,13 @@
     }
 }
 
-/// Closes the connection that has rested longest when there are too many.
+/// Closes the connection that has been idle longest if there are more than `limit`.
 fn close_longest_idle(idle: &mut HashMap<SocketAddr, Vec<PooledConnection>>, limit: usize) {
     let count: usize = idle.values().map(Vec::len).sum();
     if count <= limit {
         return;
     }
-    // The first one of an address has rested longest there.
+    // The first one of an address has been idle longest.
     let oldest = |connections: &[PooledConnection]| {
         connections.first().map(|connection| connection.idle_since)
     };
@@ -241,7 +240,7 @@
     }
 }
 
-/// How long the other side lets a connection rest, with a margin.
+/// Idle time after which the connection is not reused: a share of the timeout in `Keep-Alive`.
 fn idle_timeout(head: &Parts) -> Duration {
     let advertised = head
         .headers
@@ -258,7 +257,7 @@
     })
 }
 
-/// Whether a connection ended since the other side acknowledged nothing for long.
+/// Whether a connection ended because written bytes stayed unacknowledged.
 fn is_ack_timeout(error: &hyper::Error) -> bool {
     let cause = error.source();
     let cause = cause.and_then(|cause| cause.downcast_ref::<io::Error>());
@@ -286,7 +285,7 @@
         .await
         .map_err(|_| CallFailure::NotSent)?;
     let driver = tokio::task::spawn_local(async move {
-        // Its failure shows in the call that uses it.
+        // Errors surface in the call that uses the connection.
         let _ = connection.await;
     });
     tokio::time::sleep(RESET_WAIT).await;
--- a/crates/router/src/shell/connections/progress.rs
+++ b/crates/router/src/shell/connections/progress.rs
@@ -1,4 +1,4 @@
-//! How a call may be made, and how far it came.
+//! Constraints and progress of a call.
 
 use beamtray_clock::BootClock;
 use beamtray_types::Time;
@@ -6,48 +6,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Rest after which a request that can't be repeated takes a new connection.
+/// Longest idle time of a connection that is reused for a request that must not be repeated.
 const UNREPEATABLE_MAX_IDLE: Duration = Duration::from_millis(200);
 
-/// How a call failed.
+/// Reasons why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
-    /// No connection came up in time.
+    /// No connection could be opened in time.
     ConnectFailed,
     /// The connection was refused.
     ConnectionRefused,
-    /// The connection ended before anything was written.
+    /// The request was not written.
     NotSent,
-    /// It ended without a whole answer.
+    /// The connection ended before a complete response.
     ConnectionLost,
-    /// It ended since the other side acknowledged nothing of what was written.
+    /// The connection ended because the other side did not acknowledge what was written.
     AckTimeout,
 }
 
-/// Until when a call may be written, looked at right before it is: the process may have
-/// stood still, or the machine have been suspended, while a connection came up.
+/// Time after which a call must not be written. It is checked right before the write, since
+/// the process may have been stopped or the machine suspended while the connection was opened.
 #[derive(Debug)]
 struct WriteDeadline {
     clock: Rc<BootClock>,
     end: Time,
 }
 
-/// How a call may be made, and how far it came.
+/// Constraints and progress of a call.
 #[derive(Debug)]
 pub(crate) struct CallProgress {
-    /// Longest rest of a connection that is used.
+    /// Longest idle time of a connection that is reused.
     pub(super) max_idle_time: Duration,
     /// The request is not written after this.
     write_deadline: Option<WriteDeadline>,
     /// Whether the request may have been written.
     pub(super) written: Cell<bool>,
-    /// Whether that was on a connection that had been used before.
+    /// Whether it was written to a reused connection.
     pub(super) reused: Cell<bool>,
 }
 
 impl CallProgress {
-    /// A call of what can be repeated: a connection that the other side forgot
-    /// costs a repeat.
+    /// A call that can be repeated: a stale connection costs one retry.
     pub fn repeatable() -> Self {
         Self {
             max_idle_time: Duration::MAX,
@@ -57,8 +56,8 @@
         }
     }
 
-    /// A call of what can't: the other side may forget a connection sooner than
-    /// it tells, and nobody knows then whether the request ran.
+    /// A call that must not be repeated: the other side may close an idle connection sooner
+    /// than it announced, and then it is unknown whether the request ran.
     pub fn unrepeatable() -> Self {
         Self {
             max_idle_time: UNREPEATABLE_MAX_IDLE,
@@ -68,8 +67,8 @@
         }
     }
 
-    /// The same call, which must not be written after that: to connect may take longer
-    /// than the right to say it lasts.
+    /// Forbids writing the call from `end` on: connecting may take longer than the call stays
+    /// valid.
     pub fn with_write_deadline(self, clock: Rc<BootClock>, end: Time) -> Self {
         Self {
             write_deadline: Some(WriteDeadline { clock, end }),
@@ -82,7 +81,7 @@
         deadline.is_some_and(|deadline| deadline.clock.now() >= deadline.end)
     }
 
-    /// Whether the request was written on a connection that had been used before.
+    /// Whether the request was written to a reused connection.
     pub fn was_reused(&self) -> bool {
         self.reused.get()
     }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -1,4 +1,4 @@
-//! What every task of the process shares.
+//! State shared by all tasks of the process.
 
 use crate::core::{Input, NodeCore};
 use crate::shell::actor::RouterActor;
@@ -23,43 +23,43 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Body of an answer to a client.
+/// Body of a response to a client.
 pub(crate) type ResponseBody = Full<Bytes>;
 
-/// What the task of one client request is told.
+/// Actions for the task of one client request.
 pub(crate) enum RequestAction {
-    /// It can't be admitted.
+    /// Reject the request, which was not admitted.
     Deny(Admission),
-    /// Make an attempt.
+    /// Send the request to an upstream.
     Forward(Forward),
-    /// Give the final answer.
+    /// Send the router's own final response.
     Conclude(Box<Ending>),
-    /// An upstream's answer.
+    /// Send an upstream's response.
     Respond(Box<Response<ResponseBody>>),
 }
 
-/// Shared by every task of the process.
+/// State shared by all tasks of the process.
 pub(crate) struct Shared {
     pub dialect: Rc<dyn Dialect>,
     pub connections: ConnectionPool,
-    /// Connections for orders to holders of keys.
+    /// Connections for orders to key holders.
     pub order_connections: ConnectionPool,
     pub clients: RefCell<HashMap<Ticket, UnboundedSender<RequestAction>>>,
     pub actor: RefCell<Option<ActorOwn<RouterActor>>>,
     pub core_wakeup: Notify,
-    /// What the core's times are read off.
+    /// Source of the core's timestamps.
     pub clock: Rc<BootClock>,
-    /// Told after the machine was suspended.
+    /// Notified after the machine was suspended.
     pub resumed: Notify,
     pub next_ticket: Cell<u64>,
     pub limits: Cell<ClientLimits>,
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
     pub shutdown: Notify,
-    /// Number of this run.
+    /// Random number of this run of the process.
     pub run: u64,
     pub store: SocketAddr,
-    /// The store's era, as its answers told it.
+    /// The store's era according to its latest answers.
     pub store_era: Cell<Option<StoreEra>>,
     pub datagrams: UdpSocket,
     pub answer_cache: AnswerCache,
@@ -67,7 +67,7 @@
 }
 
 impl Shared {
-    /// Tells the core what happened.
+    /// Passes an input to the core.
     pub fn input(&self, input: Input) {
         if let Some(actor) = &*self.actor.borrow() {
             call!([actor], input(input));
@@ -75,7 +75,7 @@
         self.core_wakeup.notify_one();
     }
 
-    /// Lets `callback` see the core, at the actor's next turn.
+    /// Calls `callback` with read access to the core when the actor next runs.
     pub fn inspect(&self, callback: impl FnOnce(&NodeCore) + 'static) {
         let callback: Box<dyn FnOnce(&NodeCore)> = Box::new(callback);
         if let Some(actor) = &*self.actor.borrow() {
@@ -84,13 +84,13 @@
         self.core_wakeup.notify_one();
     }
 
-    /// The core's clock.
+    /// Current time on the core's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Lets `work` go on until then; none if it did not end. Timers do not count the time
-    /// asleep, so the clock is looked at again after it.
+    /// Runs `work` until `time`; `None` if it has not finished by then. Timers do not count
+    /// time in suspend, so the clock is checked again after a resume.
     pub async fn run_until<Work: Future>(&self, time: Time, work: Work) -> Option<Work::Output> {
         let mut work = std::pin::pin!(work);
         loop {
@@ -108,17 +108,17 @@
         }
     }
 
-    /// A new ticket.
+    /// Allocates a ticket for a client request.
     pub fn new_ticket(&self) -> Ticket {
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
         Ticket(ticket)
     }
 
-    /// Passes a step on to the task of a request, if it is still there.
+    /// Sends an action to the task of a request, if that still runs.
     pub fn send_action(&self, ticket: Ticket, action: RequestAction) {
         if let Some(client) = self.clients.borrow().get(&ticket) {
-            // A task that has just ended needs no step.
+            // The task may have ended in the meantime.
             let _ = client.send(action);
         }
     }
--- a/crates/router/src/shell/log.rs
+++ b/crates/router/src/shell/log.rs
@@ -1,8 +1,7 @@
-//! Lines that explain what the process did and believed.
+//! Structured log on standard output.
 //!
-//! One line of key=value pairs an event, on standard output. Writing never
-//! blocks: what the pipe does not take is kept up to a bound, then dropped and
-//! counted.
+//! One line of key=value pairs per event. Writing never blocks: output that the pipe does not
+//! take is buffered up to a limit, then dropped and counted.
 
 use nix::fcntl::{FcntlArg, OFlag, fcntl};
 use slog::{Drain, Level, Logger, Record, o};
@@ -12,16 +11,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bytes that wait for the pipe.
+/// Limit of the bytes buffered for standard output.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Level of a log.
+/// Lowest level that is logged.
 pub type LogLevel = Level;
 
-/// Lines that the pipe did not take in time, over the life of the process.
+/// Log lines dropped since the process started because the buffer was full.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were dropped since the process began.
+/// Number of log lines dropped since the process started.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
@@ -32,7 +31,7 @@
     dropped: u64,
 }
 
-/// Takes lines and hands them to standard output without blocking.
+/// Writes lines to standard output without blocking, through a bounded buffer.
 #[derive(Clone, Default)]
 struct BoundedOutput {
     buffer: Arc<Mutex<OutputBuffer>>,
@@ -76,7 +75,7 @@
 
 /// Builds the logger of a process.
 pub fn build_logger(level: LogLevel) -> Logger {
-    // Standard output that can't be switched is written to all the same.
+    // If standard output can't be made non-blocking, it is used as it is.
     if let Ok(flags) = fcntl(io::stdout(), FcntlArg::F_GETFL) {
         let flags = OFlag::from_bits_truncate(flags) | OFlag::O_NONBLOCK;
         let _ = fcntl(io::stdout(), FcntlArg::F_SETFL(flags));
@@ -93,7 +92,7 @@
     Logger::root(drain, o!())
 }
 
-/// Starts a line with the wall clock, in milliseconds since 1970.
+/// Writes the wall-clock time in milliseconds since 1970 at the start of a line.
 fn write_time(line: &mut dyn Write, _: &Record) -> slog::Result {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
--- a/crates/router/src/shell/log_rate.rs
+++ b/crates/router/src/shell/log_rate.rs
@@ -1,42 +1,42 @@
-//! Bounds the lines of each kind.
+//! Rate limits for log lines, by kind.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Kinds of lines that a load can multiply.
+/// Kinds of log lines whose number grows with the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LineKind {
-    /// Ordinary steps of a request.
+    /// Regular steps of a request.
     RequestStep,
-    /// Requests that failed, were refused or given up.
+    /// Requests that failed, were refused or were abandoned by the client.
     Failure,
-    /// Calls and orders that failed.
+    /// Failed store calls and orders, and other events of upstreams and peers.
     Dependency,
-    /// Requests that are suspected of ending upstreams.
+    /// Requests suspected of crashing upstreams.
     Suspicion,
-    /// Entries of the store that can't be used.
+    /// Unusable entries of the store.
     StoreEntry,
-    /// Rates that upstreams name.
+    /// Rate limits announced by upstreams.
     RateLimit,
-    /// What upstreams say of themselves.
+    /// Other announcements in upstreams' responses.
     UpstreamReport,
 }
 
 impl LineKind {
-    /// Lines a second; failures are kept before successes.
+    /// Lines per second; failures have priority over successes.
     fn max_per_second(self) -> u32 {
         match self {
             LineKind::RequestStep => 400,
             LineKind::Failure => 1_000,
             LineKind::Dependency => 300,
-            // A zone that ends leaves as many as requests were under way there.
+            // When a zone fails, every request that was in progress there becomes a suspect.
             LineKind::Suspicion => 20,
-            // Another writer decides how many there are and how often they change.
+            // Other writers determine how many there are and how often they change.
             LineKind::StoreEntry => 20,
-            // An upstream may name another one with each answer.
+            // An upstream may announce a new limit with each response.
             LineKind::RateLimit => 20,
-            // An upstream may say it with each answer.
+            // An upstream may repeat them with each response.
             LineKind::UpstreamReport => 20,
         }
     }
@@ -48,15 +48,15 @@
     suppressed: u64,
 }
 
-/// Counts the lines of each kind.
+/// Rate limiter with one counter per kind.
 #[derive(Default)]
 pub(crate) struct LogRateLimiter {
     counts: RefCell<HashMap<LineKind, Count>>,
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written; how many of its kind were left out
-    /// before it.
+    /// The number of lines of this kind suppressed since the last one, or `None` if this line
+    /// is to be suppressed as well.
     pub fn admit(&self, kind: LineKind) -> Option<u64> {
         self.admit_at(kind, Instant::now())
     }
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, as Prometheus text.
+//! Metrics in the Prometheus text format.
 
 mod labels;
 
@@ -26,7 +26,7 @@
 /// Upper bounds of the latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
-/// Upper bounds of the histogram of times without an owner, in seconds.
+/// Upper bounds of the histogram of the time for which keys have no owner, in seconds.
 const UNOWNED_BOUNDS: [f64; 9] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0];
 
 type Latencies<Label> = Family<Label, Histogram, fn() -> Histogram>;
@@ -39,7 +39,7 @@
     Histogram::new(UNOWNED_BOUNDS)
 }
 
-/// The process's figures.
+/// All metrics of the process.
 pub(crate) struct Metrics {
     registry: Registry,
     pub requests: Family<RequestLabels, Counter>,
@@ -57,9 +57,9 @@
     /// Seconds from a whole request to its refusal.
     pub refusal_latency: Latencies<RefusalLabels>,
     upstream_latency: Latencies<UpstreamLabel>,
-    /// Seconds for which slices had no owner.
+    /// Seconds for which keys had no owner.
     pub unowned: Latencies<UnownedLabel>,
-    /// Upstreams that have a histogram.
+    /// Upstreams for which `upstream_latency` has a histogram.
     upstreams_with_latency: RefCell<BTreeSet<String>>,
     lines_dropped: Gauge,
     lines_suppressed: Counter,
@@ -294,17 +294,17 @@
         );
     }
 
-    /// Counts a line that was left out.
+    /// Counts a log line suppressed by its rate limit.
     pub fn count_suppressed_line(&self) {
         self.lines_suppressed.inc();
     }
 
-    /// Notes the store's era.
+    /// Sets the store's era.
     pub fn store_era(&self, era: StoreEra) {
         self.store_era.set(era.0.into());
     }
 
-    /// Counts an attempt and the time of its answer.
+    /// Observes the response time of an upstream.
     pub fn observe_attempt(&self, upstream: &str, took: Duration) {
         let label = UpstreamLabel {
             upstream: upstream.to_owned(),
@@ -316,7 +316,7 @@
             .insert(label.upstream);
     }
 
-    /// Takes the gauges from the core.
+    /// Updates the gauges from the state of the core.
     pub fn update_gauges(&self, now: Time, core: &NodeCore) {
         let (views, control, dispatcher) = core.inspect();
         let (waiting, under_way) = dispatcher.counts();
@@ -418,7 +418,7 @@
         }
     }
 
-    /// Upstreams that are gone need not be told of for ever.
+    /// Removes the histograms of upstreams that are gone.
     fn remove_gone_upstreams(&self, core: &NodeCore) {
         let directory = &core.inspect().0.directory;
         let known = |name: &String| directory.registered(&UpstreamName(name.clone())).is_some();
@@ -432,7 +432,7 @@
         });
     }
 
-    /// All figures as text.
+    /// All metrics in the Prometheus text format.
     pub fn encode_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
--- a/crates/router/src/shell/metrics/labels.rs
+++ b/crates/router/src/shell/metrics/labels.rs
@@ -14,18 +14,18 @@
 pub(crate) struct RefusalLabels {
     pub route: String,
     pub reason: String,
-    /// "yes" if it arrived at an upstream, which turned it away.
+    /// "yes" if it reached an upstream, which rejected it.
     pub arrived: &'static str,
 }
 
-/// What a call to the store was for, and how it ended.
+/// Purpose of a call to the store and its outcome.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct StoreLabels {
     pub task: String,
     pub outcome: String,
 }
 
-/// What was ordered, and the reply.
+/// Kind of an order and its reply.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct OrderLabels {
     pub kind: OrderName,
@@ -64,25 +64,25 @@
     pub upstream: String,
 }
 
-/// How questions for slots ended.
+/// Outcome of requests for slots.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct SlotLabel {
     pub outcome: &'static str,
 }
 
-/// What other nodes knew of a holder that left a grant unanswered.
+/// State, according to other nodes, of a holder that has not answered a grant.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct UnansweredLabel {
     pub holder: &'static str,
 }
 
-/// What is known of requests under which upstreams ended.
+/// State of requests during which upstreams crashed.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct SuspectLabel {
     pub state: &'static str,
 }
 
-/// How a trial of a request ended under which upstreams had ended.
+/// Outcome of a trial of a request during which upstreams had crashed.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct TrialLabel {
     pub outcome: &'static str,
@@ -100,14 +100,14 @@
     pub view: String,
 }
 
-/// Entries below a prefix of the store, and what is wrong with them.
+/// Prefix of unusable store entries, and why they are unusable.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct EntryLabel {
     pub prefix: String,
     pub cause: &'static str,
 }
 
-/// What became of a permit for an upstream that names a rate.
+/// Use of permits for upstreams that announce a rate limit.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct PermitLabel {
     pub outcome: &'static str,
--- a/crates/router/src/shell/mod.rs
+++ b/crates/router/src/shell/mod.rs
@@ -1,4 +1,4 @@
-//! Carries bytes between sockets and the core. Decides nothing.
+//! Process and network I/O around the core. Takes no routing decisions.
 
 mod actor;
 mod answer;
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -1,4 +1,4 @@
-//! Tells what the process did and believed: a line and a count for each.
+//! Log lines and metrics of the events in the process.
 
 mod names;
 mod ownership;
@@ -25,14 +25,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Writes lines and counts.
+/// Writes log lines and updates metrics.
 pub(crate) struct Observer {
     pub log: Logger,
     pub metrics: Metrics,
     rate_limiter: LogRateLimiter,
 }
 
-/// The key and the assignment that a decision was made by.
+/// Log fields of the key and the assignment that a decision was based on.
 struct KeyFields {
     key: Option<ShardKey>,
     assignment: Option<AssignmentNumber>,
@@ -51,7 +51,8 @@
     }
 }
 
-/// What the request says, in short, where an upstream may have ended under it.
+/// Log fields of a request's fingerprints, for requests during which an upstream may have
+/// crashed.
 struct FingerprintFields(Option<Fingerprints>);
 
 impl slog::KV for FingerprintFields {
@@ -65,7 +66,7 @@
     }
 }
 
-/// How many lines of the same kind were left out before this one.
+/// Log field with the number of lines of the same kind suppressed before this one.
 struct SuppressedLines(u64);
 
 impl slog::KV for SuppressedLines {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether a line of that kind may be written.
+    /// Whether the rate limit admits a line of this kind.
     fn admit(&self, kind: LineKind) -> Option<SuppressedLines> {
         let suppressed = self.rate_limiter.admit(kind);
         if suppressed.is_none() {
@@ -95,7 +96,7 @@
         suppressed.map(SuppressedLines)
     }
 
-    /// A belief changed.
+    /// The node's view of the system changed.
     pub fn view_changed(&self, notice: &ViewNotice) {
         let log = &self.log;
         match notice {
@@ -185,7 +186,7 @@
         info!(self.log, "standby"; "state" => ?state);
     }
 
-    /// Another node did not give its copies.
+    /// Another node did not return its copies of views.
     pub fn peer_unanswered(&self, peer: SocketAddr, error: &str) {
         if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(self.log, "peer_unanswered"; "peer" => %peer, "error" => error, suppressed);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// An order ended, that long after it was decided on.
+    /// An order ended, `took` after it was decided on.
     pub fn order_ended(&self, task: &OrderTask, reply: &GrantReply, took: Duration) {
         let order = &task.order;
         let kind = match order.kind {
@@ -260,8 +261,8 @@
             "left_ms" => left.as_millis() as u64, fields, suppressed);
     }
 
-    /// The store has begun another era: it came back from an older copy, unless it is the first
-    /// one that this process sees.
+    /// The store has a new era. Unless it is the first one seen by this process, the store has
+    /// been restored from an older copy.
     pub fn store_era(&self, before: Option<StoreEra>, era: StoreEra) {
         self.metrics.store_era(era);
         match before {
@@ -272,7 +273,7 @@
         }
     }
 
-    /// An answer of the store names an era that can't be read.
+    /// An answer of the store has an unreadable era.
     pub fn era_unreadable(&self, text: &str) {
         const LONGEST: usize = 40;
         if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
@@ -281,7 +282,7 @@
         }
     }
 
-    /// An upstream's answer says something of itself that can't be read.
+    /// A header of an upstream's response is unreadable.
     pub fn header_unreadable(&self, upstream: &UpstreamId, subject: &str) {
         if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             warn!(self.log, "word_unreadable"; "upstream" => %upstream, "subject" => subject,
@@ -289,7 +290,7 @@
         }
     }
 
-    /// An upstream turned a request away and asked this node for rest.
+    /// An upstream rejected a request and asked this node to send it nothing for a while.
     pub fn backoff_requested(&self, upstream: &UpstreamId, rest: Duration) {
         if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             info!(self.log, "rest_asked"; "upstream" => %upstream,
@@ -328,7 +329,7 @@
         }
     }
 
-    /// A request got an upstream's answer.
+    /// A request was answered with an upstream's response.
     pub fn request_answered(&self, route: &str, took: Duration) {
         self.count_request(route, "answered", took);
     }
@@ -346,7 +347,7 @@
         histogram.observe(took.as_secs_f64());
     }
 
-    /// A request is not admitted.
+    /// A request was not admitted.
     pub fn request_denied(&self, id: &str, admission: Admission) {
         let labels = RequestLabels {
             route: String::new(),
@@ -358,7 +359,7 @@
         }
     }
 
-    /// A request got its final answer without one of an upstream.
+    /// A request was answered by the router itself.
     pub fn request_concluded(&self, id: &str, fingerprints: Fingerprints, ending: &Ending) {
         let (outcome, reason, retry_after) = match ending.conclusion {
             Conclusion::Refused {
@@ -405,7 +406,7 @@
         histogram.observe(ending.age.as_secs_f64());
     }
 
-    /// A client left before its answer.
+    /// A client disconnected before its response.
     pub fn client_disconnected(&self, id: &str, under_way: bool) {
         let labels = RequestLabels {
             route: String::new(),
--- a/crates/router/src/shell/observer/names.rs
+++ b/crates/router/src/shell/observer/names.rs
@@ -1,4 +1,4 @@
-//! Names of outcomes, in lines and labels.
+//! Names of outcomes in log lines and metric labels.
 
 use crate::core::StoreTask;
 use beamtray_dispatch::{AttemptOutcome, UnknownCause, Untouched};
--- a/crates/router/src/shell/observer/ownership.rs
+++ b/crates/router/src/shell/observer/ownership.rs
@@ -1,4 +1,4 @@
-//! Lines and counts of keys and of those who held them.
+//! Log lines and metrics of key ownership.
 
 use super::Observer;
 use super::names::loss_cause;
@@ -10,7 +10,7 @@
 use slog::info;
 
 impl Observer {
-    /// What became of keys, or of those who held them.
+    /// The state of keys or of their former holders changed.
     pub fn ownership_changed(&self, service: &ServiceName, notice: &OwnershipNotice) {
         match notice {
             OwnershipNotice::OwnedAgain(owned) => self.owned_again(service, owned),
--- a/crates/router/src/shell/observer/quarantine.rs
+++ b/crates/router/src/shell/observer/quarantine.rs
@@ -1,4 +1,4 @@
-//! Lines of requests that end upstreams, and of what is doubted.
+//! Log lines and metrics of requests that crash upstreams, of probes and of suspends.
 
 use super::Observer;
 use crate::core::Liveness;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Observer {
-    /// The machine was suspended.
+    /// The machine resumed after a suspend.
     pub fn resumed(&self, suspended_for: Duration) {
         self.metrics
             .suspended_seconds
@@ -18,7 +18,7 @@
         warn!(self.log, "woke"; "asleep_ms" => suspended_for.as_millis() as u64);
     }
 
-    /// It was tried whether an upstream to which a connection broke off still listens.
+    /// An upstream whose connection broke off was probed.
     pub fn upstream_probed(&self, upstream: &UpstreamId, liveness: Liveness) {
         if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(self.log, "upstream_probed"; "upstream" => %upstream,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// What is known of requests that end upstreams changed.
+    /// The state of a request that may crash upstreams changed.
     pub fn quarantine_changed(&self, notice: QuarantineNotice) {
         if let QuarantineNotice::Tried { outcome, .. } = notice {
             let label = TrialLabel {
@@ -34,7 +34,7 @@
             };
             self.metrics.trials.get_or_create(&label).inc();
         }
-        // A request that is kept off is the one to look for.
+        // Operators have to find a request that is kept off, so its line has a higher limit.
         let kind = match notice {
             QuarantineNotice::KeptOff { .. } => LineKind::Failure,
             _ => LineKind::Suspicion,
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Lines of the rates that upstreams name.
+//! Log lines of the rate limits that upstreams announce.
 
 use super::Observer;
 use crate::shell::log_rate::LineKind;
@@ -6,7 +6,7 @@
 use beamtray_dispatch::{LimitFacts, LimitNotice};
 use slog::{Record, info, warn};
 
-/// The rate that a request was refused for.
+/// Log fields of the rate limit for which a request was refused.
 pub(super) struct LimitFields(pub Option<LimitFacts>);
 
 impl slog::KV for LimitFields {
@@ -23,8 +23,8 @@
 }
 
 impl Observer {
-    /// What is known of an upstream's rate changed. `short` is the upstream's name in what
-    /// nodes tell each other, and in the lines of requests that were refused for its rate.
+    /// The known rate limit of an upstream changed. `short` is the hash that stands for the
+    /// upstream in messages between nodes and in the lines of requests refused for its limit.
     pub fn rate_limit_changed(&self, upstream: Option<&UpstreamId>, notice: LimitNotice) {
         let Some(suppressed) = self.admit(LineKind::RateLimit) else {
             return;
--- a/crates/router/src/shell/outputs.rs
+++ b/crates/router/src/shell/outputs.rs
@@ -1,4 +1,4 @@
-//! Does what the core asks for.
+//! Execution of the core's outputs.
 
 use crate::core::{Output, ViewNotice};
 use crate::shell::handle::{RequestAction, Shared};
@@ -6,7 +6,7 @@
 use beamtray_catalog::DirectoryChange;
 use std::rc::Rc;
 
-/// Does what the core asks for.
+/// Executes one output of the core.
 pub(crate) fn execute_output(shared: &Rc<Shared>, output: Output) {
     match output {
         Output::Deny(ticket, admission) => {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Closes the resting connections to an upstream that has started again: behind a cut they
-/// would take a request each before they show that their other side has ended.
+/// Closes the idle connections to an upstream that has restarted. Behind a network partition
+/// each would cost a request before it turns out to be dead.
 fn close_idle_to_restarted(shared: &Shared, notice: &ViewNotice) {
     if let ViewNotice::Directory(DirectoryChange::Restarted { address, .. }) = notice {
         shared.connections.close_idle(*address);
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -1,4 +1,4 @@
-//! Talk between nodes: reports in datagrams, copies of views over TCP.
+//! Communication between nodes: reports in datagrams, copies of views over TCP.
 
 use crate::core::{Datagram, Input, NodeCore, Snapshot, ViewRequest};
 use crate::shell::connections::configure_socket;
@@ -17,29 +17,29 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long a connection of another node is kept.
+/// Time limit for serving one connection of another node.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(5);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Key loads in one datagram, so that it fits a packet.
+/// Key loads per datagram, so that it fits into one packet.
 const MAX_KEYS_PER_DATAGRAM: usize = 200;
 const MAX_DATAGRAM_BYTES: usize = 2 * 1024;
 
-/// Why a talk with another node failed.
+/// Reasons why an exchange with another node failed.
 #[derive(Debug, Error)]
 enum PeerError {
     /// The connection failed.
     #[error("connection: {0}")]
     Connection(#[from] std::io::Error),
-    /// What came was no message.
+    /// The received bytes are not a valid message.
     #[error("message: {0}")]
     Frame(#[from] FrameError),
-    /// The connection ended before a whole message.
+    /// The connection ended before a complete message.
     #[error("connection ended early")]
     Ended,
 }
 
-/// Sends word to other nodes; what does not fit a packet goes in several.
+/// Sends a datagram to other nodes. Key reports that do not fit one packet are split.
 pub(crate) fn send(shared: &Shared, datagram: &Datagram, addresses: &[SocketAddr]) {
     let Datagram::Keys(report) = datagram else {
         return send_one(shared, datagram, addresses);
@@ -58,12 +58,12 @@
         return;
     };
     for address in addresses {
-        // What is lost is not missed.
+        // Datagrams may be lost; later ones replace them.
         let _ = shared.datagrams.try_send_to(&bytes, *address);
     }
 }
 
-/// Takes word of other nodes.
+/// Receives datagrams of other nodes.
 pub(crate) async fn receive(shared: Rc<Shared>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Asks another node for its copies and waits at most `wait`.
+/// Requests another node's copies of views and waits at most `wait`.
 pub(crate) fn request_snapshots(
     shared: &Rc<Shared>,
     address: SocketAddr,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Answers other nodes.
+/// Serves other nodes' requests for copies of views.
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -136,38 +136,38 @@
         };
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            // A node that fails to ask asks another.
+            // On failure the requesting node asks another one.
             let _ = timeout(SERVE_TIMEOUT, serve_request(&shared, stream)).await;
         });
     }
 }
 
-/// The last answer to other nodes, ready to be sent. After each change all nodes of a
-/// zone ask their relay for the same difference, and after a start for the same copies.
+/// Cache of the last encoded answer. After each change all nodes of a zone request the same
+/// difference from their relay, and after a start the same copies.
 #[derive(Default)]
 pub(crate) struct AnswerCache {
     last: RefCell<Option<CachedAnswer>>,
 }
 
-/// Tells one state of a copy from the others.
+/// Identifies one state of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReplicaState {
-    /// Up to which revision it is whole.
+    /// Revision up to which it is complete.
     at: Option<Revision>,
-    /// Newest change in it.
+    /// Revision of its latest change.
     latest: Revision,
 }
 
-/// An answer, and what it answers.
+/// An encoded answer with the request that it belongs to.
 struct CachedAnswer {
     request: ViewRequest,
-    /// The copies that it was made of.
+    /// States of the replicas that it was built from.
     replica_states: Vec<ReplicaState>,
     bytes: Bytes,
 }
 
 impl AnswerCache {
-    /// The bytes of the last answer, if it is this question's and still right.
+    /// The cached answer, if it is for the same request and still current.
     fn find(&self, request: &ViewRequest, replica_states: &[ReplicaState]) -> Option<Bytes> {
         let last = self.last.borrow();
         let last = last.as_ref()?;
@@ -180,7 +180,7 @@
     }
 }
 
-/// What an answer is made of, and the copies unless it stands ready.
+/// An answer from the cache, or the data from which to build one.
 enum PreparedAnswer {
     Cached(Bytes),
     Fresh(Vec<ReplicaState>, Vec<Snapshot>),
@@ -209,7 +209,7 @@
     let (sender, receiver) = oneshot::channel();
     let (for_core, for_answer) = (shared.clone(), request.clone());
     shared.inspect(move |core| {
-        // The asker may have left.
+        // The requesting node may have disconnected.
         let _ = sender.send(prepare_answer(&for_core, core, &for_answer));
     });
     let bytes = match receiver.await.map_err(|_| PeerError::Ended)? {
--- a/crates/router/src/shell/probe.rs
+++ b/crates/router/src/shell/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an upstream still listens.
+//! Connection probes that show whether an upstream still listens.
 
 use crate::core::{Input, Liveness};
 use crate::shell::connections::CONNECT_TIMEOUT;
@@ -11,17 +11,18 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How often a connection is tried before an upstream counts as silent: one opening packet
-/// in forty may get lost, and the system sends the next one after a second.
+/// Connection attempts before an upstream counts as silent: one initial packet (SYN) in forty
+/// may be lost, and the system retransmits it only after a second.
 const MAX_TRIES: u32 = 3;
-/// After this one that listened is tried once more. A process that ends closes its
-/// connections some milliseconds before it stops to listen where its machine is busy: taken
-/// for alive, it did not count as ended in 3 of 10 runs of real processes beside load.
+/// Delay before an upstream that listened is probed again. On a busy machine a process that
+/// ends closes its connections some milliseconds before it stops listening. Without the second
+/// probe it was taken for alive, and did not count as ended in 3 of 10 runs with real
+/// processes under load.
 const RECHECK_DELAY: Duration = Duration::from_millis(50);
-/// Between two tries.
+/// Delay between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Tries to connect to an upstream and tells the core what that showed. Nothing is sent: a
+/// Probes an upstream by connecting and reports the result to the core. Nothing is sent: a
 /// request would take one of its slots.
 pub(crate) fn probe_upstream(shared: &Rc<Shared>, doubted: DoubtedUpstream) {
     let shared = shared.clone();
--- a/crates/router/src/shell/process.rs
+++ b/crates/router/src/shell/process.rs
@@ -1,4 +1,4 @@
-//! The process: one thread, one loop.
+//! Start-up, main loop and shutdown of the process, all on one thread.
 
 use crate::core::{Input, NodeCore};
 use crate::settings::NodeSettings;
@@ -25,35 +25,36 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet};
 
-/// Between looks at resting connections.
+/// Interval at which idle connections are pruned.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// After the order to stop, clients may still be led here for so long.
+/// How long new connections are still accepted after the stop signal: load balancers may still
+/// route clients here.
 const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(3_000);
-/// Kept back from the time that a stop may take.
+/// Part of the shutdown grace period that is kept in reserve.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// Between looks at whether everything has ended.
+/// Interval at which shutdown checks whether all client requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the process could not start or go on.
+/// Reasons why the process could not start.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// An address can't be listened on.
-    #[error("listen for {purpose} on {address}: {cause}")]
+    /// A listening socket could not be bound.
+    #[error("cannot listen for {purpose} on {address}: {cause}")]
     Listen {
-        /// What for.
+        /// What the socket serves.
         purpose: &'static str,
-        /// The address.
+        /// The address to bind.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The runtime or the signals could not be set up.
-    #[error("start: {0}")]
+    /// The runtime or the signal handlers could not be set up.
+    #[error("cannot start the runtime: {0}")]
     Start(#[from] std::io::Error),
 }
 
-/// Runs a node until it is told to stop. `file` is where the settings came
-/// from; they are read again from there.
+/// Runs a node until SIGTERM or SIGINT. `file` is the path of `settings`; changed settings are
+/// read again from there.
 ///
 /// # Errors
 /// [`ProcessError`] when it can't start.
@@ -185,7 +186,7 @@
     stakker
 }
 
-/// Lets the actor work after each batch of events and when something is due.
+/// Runs the actor after each batch of inputs and whenever the core has work due.
 async fn run_core_loop(shared: Rc<Shared>, loop_state: Rc<LoopState>, mut stakker: Stakker) {
     let mut last_tick = None;
     let mut sleep_watch = SleepWatch::new(shared.clock.source());
@@ -218,9 +219,10 @@
     }
 }
 
-/// The machine was suspended: what was known before is as old as the boot clock says, and
-/// what hung on connections is doubted until something new is heard. Attempts whose time
-/// is over end, orders whose right is over are not written; both look at the boot clock.
+/// Called after the machine was suspended. Idle connections are closed, because the other
+/// sides may have dropped them, and the core learns that its data is as old as the boot clock
+/// says. Attempts past their deadline end and orders past their validity are not written; both
+/// are checked against the boot clock.
 fn handle_resume(shared: &Shared, suspended_for: Duration) {
     shared.observer.resumed(suspended_for);
     shared.connections.close_all_idle();
@@ -237,10 +239,11 @@
     }
 }
 
-/// Takes what is still led here, lets what is under way end, then closes.
+/// Goes on accepting connections for a while, lets running requests finish, then closes all
+/// connections.
 ///
-/// Invariant: once connections are being closed none is accepted. A connection
-/// accepted later would not hear of the stop, and be cut with its request.
+/// Invariant: no connection is accepted once connections are being closed. One accepted later
+/// would miss the shutdown notification and be cut together with its request.
 async fn shut_down(shared: &Rc<Shared>, grace: Duration, accept_task: &JoinHandle<()>) {
     let stop_requested_at = Instant::now();
     shared.stopping.set(true);
--- a/crates/router/src/shell/readiness.rs
+++ b/crates/router/src/shell/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells whoever asks whether the node is ready for clients, and its figures.
+//! Readiness and metrics endpoints.
 
 use crate::shell::answer::empty_response;
 use crate::shell::handle::{ResponseBody, Shared};
@@ -13,7 +13,7 @@
 
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// Serves the readiness address.
+/// Serves the readiness endpoint.
 pub(crate) async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     single_endpoint::serve(listener, move || readiness_response(shared.clone())).await;
 }
@@ -27,7 +27,7 @@
     })
 }
 
-/// Serves the metrics address.
+/// Serves the metrics endpoint.
 pub(crate) async fn serve_metrics(shared: Rc<Shared>, listener: TcpListener) {
     single_endpoint::serve(listener, move || metrics_response(shared.clone())).await;
 }
@@ -40,7 +40,7 @@
             .observer
             .metrics
             .update_gauges(observed.now(), core);
-        // Whoever asked may have left.
+        // The client may have disconnected.
         let _ = sender.send(());
     });
     if receiver.await.is_err() {
--- a/crates/router/src/shell/reload.rs
+++ b/crates/router/src/shell/reload.rs
@@ -1,5 +1,4 @@
-//! Reads the settings again when the process is told to, or when the file has
-//! changed.
+//! Reloads the settings on SIGHUP or when their file has changed.
 
 use crate::core::Input;
 use crate::settings::NodeSettings;
@@ -10,10 +9,10 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::Signal;
 
-/// Between looks at whether the file has changed.
+/// Interval at which the file's modification time is checked.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the settings file for the life of the process.
+/// Watches the settings file for the lifetime of the process.
 pub(crate) async fn watch_settings(
     shared: Rc<Shared>,
     file: String,
@@ -21,7 +20,7 @@
     mut hangup: Signal,
 ) {
     let mut in_force = settings;
-    // The file may have changed since it was read.
+    // The file may have changed since start-up, so the first check always reloads.
     let mut last_modified = None;
     loop {
         let signalled = tokio::select! {
@@ -41,8 +40,7 @@
     std::fs::metadata(Path::new(file)).ok()?.modified().ok()
 }
 
-/// Puts in force what can change in a running process. A file that is refused
-/// changes nothing.
+/// Applies the settings that can change in a running process. An invalid file changes nothing.
 fn reload(shared: &Shared, file: &str, in_force: &mut NodeSettings, signalled: bool) {
     let log = &shared.observer.log;
     let next = match NodeSettings::load(file) {
--- a/crates/router/src/shell/single_endpoint.rs
+++ b/crates/router/src/shell/single_endpoint.rs
@@ -1,4 +1,4 @@
-//! A server of one answer, for the platform and for whoever collects figures.
+//! HTTP server with a single endpoint, for health checks and metrics collection.
 
 use crate::shell::handle::ResponseBody;
 use hyper::body::Incoming;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long a connection may rest.
+/// How long a connection may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Gives the same answer to every request, whatever it asks for.
+/// Answers every request with the response of `answer`, whatever its path.
 pub(crate) async fn serve<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn() -> A + Clone + 'static,
@@ -36,7 +36,7 @@
             .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
         tokio::task::spawn_local(async move {
-            // Whoever asked and left needs no answer.
+            // The client may have disconnected.
             let _ = connection.await;
         });
     }
