--- a/crates/router/tests/foreign_entries.rs
+++ b/crates/router/tests/foreign_entries.rs
@@ -1,5 +1,5 @@
-//! Entries of other writers in the metadata store: fields that are missing or of another
-//! type, states and services that nobody named, bytes that can't be read.
+//! Entries of other writers in the metadata store: missing fields, fields of another type,
+//! unknown states and services, unreadable bytes.
 
 use beamtray_adapter::{Platform, reverse};
 use beamtray_catalog::{
@@ -52,7 +52,7 @@
     })
 }
 
-/// What an upstream that is ready writes.
+/// The entry of an upstream that is ready.
 fn registration(service: &str, port: u16) -> Vec<u8> {
     let record = UpstreamRecord {
         id: UpstreamId::from(String::new()),
@@ -73,7 +73,7 @@
     text.replace("ready", state).into_bytes()
 }
 
-/// A node that knows what others wrote, in the order in which they wrote it.
+/// A node's views, to which entries are written one after the other.
 struct Node {
     views: Views,
     revision: u64,
@@ -131,7 +131,7 @@
         self.write(ViewName::Upstreams, &key, value);
     }
 
-    /// Upstreams that are known.
+    /// Names of the known upstreams.
     fn known(&self) -> Vec<String> {
         let known = self.views.directory.iter();
         known.map(|known| known.record.id.name.0.clone()).collect()
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn an_unreadable_rewrite_takes_the_registration_out_of_force() {
+fn an_unreadable_update_removes_the_registration() {
     let whole = registration(SHOP, 81);
     let cut = &whole[..whole.len() / 2];
     for value in [b"".as_slice(), b"{", b"\0\x01", b"{}", b"[]", cut] {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn an_upstream_that_writes_a_readable_entry_again_is_back() {
+fn a_readable_entry_restores_the_upstream() {
     let mut node = Node::serving();
     node.register("i-1", b"{");
     node.register("i-1", &registration(SHOP, 81));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_unknown_state_names_no_upstream() {
+fn an_entry_with_an_unknown_state_is_ignored() {
     let mut node = Node::serving();
     node.register("i-2", &in_state(SHOP, 82, "paused"));
     node.register("i-1", &in_state(SHOP, 81, "Ready"));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn an_entry_of_no_service_says_nothing_about_the_holder_of_its_address() {
+fn an_entry_of_an_unknown_service_does_not_displace_the_upstream_at_its_address() {
     let mut node = Node::serving();
     node.register("i-2", &registration(ELSEWHERE, 81));
     assert_eq!(node.known(), ["i-1"]);
@@ -190,19 +190,20 @@
 }
 
 #[test]
-fn an_upstream_counts_once_a_configuration_names_its_service() {
+fn an_upstream_is_known_once_a_configuration_names_its_service() {
     let mut node = Node::new();
     node.register("i-1", &registration(SHOP, 81));
     node.register("i-2", &registration(ELSEWHERE, 81));
     node.configure(1, SHOP);
     assert_eq!(node.known(), ["i-1"]);
     node.configure(2, ELSEWHERE);
-    // A service that was named once keeps its upstreams: its keys would have to move.
+    // The upstreams of a service stay known after a configuration drops it: their removal
+    // would move its keys.
     assert_eq!(node.known(), ["i-1", "i-2"]);
 }
 
 #[test]
-fn an_entry_that_stays_unreadable_costs_one_line() {
+fn an_entry_that_stays_unreadable_is_reported_once() {
     let mut node = Node::serving();
     node.views.take_notices();
     for _ in 0..100 {
@@ -231,10 +232,10 @@
     }
 }
 
-/// Entries of a megabyte would take more memory than a node has, and the links to the
-/// nodes that have their copies from it.
+/// Guards against keeping entries of a megabyte, which would exceed a node's memory and
+/// overload the links to the nodes that get their copies from it.
 #[test]
-fn a_registration_of_a_megabyte_is_not_kept() {
+fn a_registration_of_a_megabyte_is_not_stored() {
     let mut node = Node::serving();
     let mut whole = registration(SHOP, 82);
     whole.extend(std::iter::repeat_n(b' ', 1 << 20));
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -1,4 +1,4 @@
-//! The router's own records when another writer has touched them.
+//! Behaviour when another writer has modified the router's own records.
 
 use beamtray_adapter::Platform;
 use beamtray_catalog::{DirectoryPolicy, UpstreamId, UpstreamRecord, UpstreamState};
@@ -17,13 +17,15 @@
 use std::time::Duration;
 
 const KEYED: &str = "keyed";
-/// Well within the hold of a grant.
+/// Less than the hold of a grant, in milliseconds.
 const WITHIN_HOLD: u64 = 1_500;
-/// Longer than any grant of the granter before may last.
+/// Longer than any grant of the previous granter may last.
 const AFTER_HOLD: u64 = 9_000;
-/// Less than a standby's word and the last hold that it may order.
+/// Less than the time for which a standby may prolong holds, plus the last hold that it may
+/// order.
 const WITHIN_STANDBY_SPAN: u64 = 11_000;
-/// More than that.
+/// More than the time for which a standby may prolong holds, plus the last hold that it may
+/// order.
 const AFTER_STANDBY_SPAN: u64 = 18_000;
 
 fn at(millis: u64) -> Time {
@@ -86,7 +88,7 @@
     store
 }
 
-/// Runs a node that becomes the granter; the orders it gives, none of which is answered.
+/// Runs a node that becomes the granter and returns its orders, none of which is answered.
 fn orders(store: &mut StoreEmulator, dialect: SimDialect, until: u64) -> Vec<GrantOrder> {
     let mut core = NodeCore::new(usual_settings(0).core_config(3), Rc::new(dialect));
     let mut orders = Vec::new();
@@ -112,7 +114,7 @@
     orders
 }
 
-/// Orders of a granter that takes over a record of which one part can't be read.
+/// Orders of a granter that takes over a record with one unreadable part.
 fn orders_with_unreadable(part: Part, until: u64) -> Vec<GrantOrder> {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn keys_of_an_unreadable_part_go_to_nobody_before_their_grants_have_run_out() {
+fn keys_of_an_unreadable_part_are_granted_to_nobody_else_before_their_grants_expire() {
     let part = Part::numbered(3).expect("a part");
     let orders = orders_with_unreadable(part, WITHIN_HOLD);
     let other = |order: &&GrantOrder| {
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn keys_of_an_unreadable_part_are_granted_once_their_grants_have_run_out() {
+fn keys_of_an_unreadable_part_are_granted_once_their_grants_have_expired() {
     let part = Part::numbered(3).expect("a part");
     let orders = orders_with_unreadable(part, AFTER_HOLD);
     let is_granted = |order: &GrantOrder| {
@@ -143,8 +145,9 @@
     assert!(orders.iter().any(is_granted));
 }
 
-/// Guards against a wait for unknown grants where the store never went back: the first granter
-/// was lost before it had written its record whole, so nobody was granted what is missing.
+/// Guards against waiting for unknown grants where the store was never rolled back: the first
+/// granter was lost before it had written its record completely, so the missing part was never
+/// granted.
 #[test]
 fn keys_that_no_record_of_the_first_era_names_are_granted_at_once() {
     let part = Part::numbered(3).expect("a part");
@@ -160,8 +163,8 @@
     assert!(orders.iter().any(is_granted));
 }
 
-/// Whether keys of a holder that is no upstream any more, and does not answer, are granted
-/// to another before `until`.
+/// Whether keys of a holder that is no longer registered and does not answer are granted to
+/// another upstream before `until`.
 fn regrants_keys(head: Option<&[u8]>, until: u64) -> bool {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
@@ -178,7 +181,7 @@
     orders.iter().any(is_other)
 }
 
-/// The head names the standbys, which may prolong the holds for 11 s after their last word.
+/// The head names the standbys, which may prolong the holds for 11 s after their last contact.
 #[test]
 fn without_a_readable_head_a_silent_holder_keeps_its_keys_while_a_standby_may_prolong_them() {
     assert!(regrants_keys(None, WITHIN_STANDBY_SPAN));
@@ -186,14 +189,14 @@
     assert!(regrants_keys(Some(b"no head"), AFTER_STANDBY_SPAN));
 }
 
-/// Tokens count upwards with the epoch: one that fell would let two upstreams hold a key.
+/// Tokens must rise with the epoch: a lower one would let two upstreams hold the same key.
 #[test]
 fn tokens_rise_although_the_epoch_is_unreadable() {
     for value in [b"".to_vec(), b"seven".to_vec(), vec![0xff; 8]] {
         let dialect = SimDialect::default();
         let mut store = store(&dialect);
         for _ in 0..50 {
-            // Writes of earlier terms.
+            // Writes of earlier epochs.
             store.put(
                 at(0),
                 OwnKeys::EPOCH,
@@ -253,7 +256,7 @@
     }
 }
 
-/// Keys of the router's own records, each with the view that takes it.
+/// Keys of the router's own records, each with the view that contains it.
 fn own_keys() -> Vec<(ViewName, String)> {
     let service = ServiceName::from(KEYED);
     let part = Part::numbered(3).expect("a part");
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn an_unreadable_record_is_told_of_and_counted() {
+fn an_unreadable_record_is_counted() {
     for (view, key) in own_keys().into_iter().take(6) {
         let mut views = views();
         write(&mut views, view, &key, b"?".to_vec(), 2);
@@ -279,7 +282,7 @@
 }
 
 #[test]
-fn an_unreadable_node_or_granter_is_none() {
+fn an_unreadable_node_or_granter_record_is_dropped() {
     let mut views = views();
     let record = node("other");
     let granter = GranterRecord {
@@ -310,7 +313,7 @@
 }
 
 #[test]
-fn speeds_that_are_no_numbers_are_not_taken() {
+fn invalid_speeds_are_rejected() {
     let record = |slowness: f32| beamtray_dispatch::SpeedRecord {
         upstreams: vec![beamtray_dispatch::UpstreamSpeed {
             upstream: beamtray_dispatch::UpstreamHash(1),
@@ -326,7 +329,7 @@
         (-1.0, false),
     ] {
         let mut views = views();
-        // The record's own encoder refuses what is no number.
+        // The record's encoder rejects NaN.
         let Ok(value) = borsh::to_vec(&record(slowness)) else {
             continue;
         };
@@ -336,8 +339,8 @@
 }
 
 quickcheck! {
-    /// Any bytes below any key, and a record of a node beside them.
-    fn any_record_leaves_the_others_alone(values: Vec<Vec<u8>>) -> bool {
+    /// Any bytes under any key leave the record of another node intact.
+    fn any_bytes_leave_other_records_intact(values: Vec<Vec<u8>>) -> bool {
         let mut views = views();
         let key = OwnKeys::node("third");
         let encoded = borsh::to_vec(&node("third")).expect("in memory");
@@ -352,8 +355,8 @@
         views.nodes.contains_key("third")
     }
 
-    /// A record that was cut, or in which one byte was changed.
-    fn a_damaged_assignment_ends_nothing(cut: usize, index: usize, mask: u8) -> bool {
+    /// A record that is truncated or has one changed byte.
+    fn a_damaged_assignment_leaves_consistent_state(cut: usize, index: usize, mask: u8) -> bool {
         let slices = Part::all().map(|part| SliceRecord {
             range: part.range(),
             state: SliceState::Held {
@@ -379,7 +382,7 @@
             let key = OwnKeys::assignment_part(&service, part.part);
             write(&mut views, ViewName::State, &key, value, 2 + number as u64);
         }
-        // Whatever was taken can be reckoned with.
+        // Whatever was accepted is consistent.
         let known = views.assignments.get(&service);
         known.is_none_or(|known| known.held_share() <= 1.0 && known.whole().is_some())
     }
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -1,4 +1,4 @@
-//! One node's core by itself.
+//! Behaviour of a single node's core.
 
 use beamtray_catalog::{UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
@@ -29,7 +29,7 @@
     NodeCore::new(config, dialect)
 }
 
-/// Whom the node tells of the newest changes it has seen.
+/// Recipients of the node's reports of the latest changes it has seen.
 fn heads_recipients(outputs: Vec<Output>) -> Vec<SocketAddr> {
     outputs
         .into_iter()
@@ -41,10 +41,10 @@
         .collect()
 }
 
-/// Found on a day: with 70 nodes each had to send a request to each of 15
-/// upstreams whose addresses had passed to others.
+/// Guards against repeated reports of a replaced upstream: in a system of 70 nodes, each node
+/// had to send a request to each of 15 upstreams whose addresses had passed to others.
 #[test]
-fn the_proof_that_an_upstream_is_gone_is_told_once() {
+fn proof_that_an_upstream_is_gone_is_sent_once() {
     let dialect = Rc::new(SimDialect::default());
     let mut core = core_with(dialect.clone());
     let upstream = UpstreamId::from("u-1".to_owned());
@@ -89,10 +89,10 @@
     assert!(views.directory.get(&upstream).is_none());
 }
 
-/// Found by an incident: half of the nodes lost the store, so their entries
-/// lapsed and the granter told them of no further assignment.
+/// Guards against an incident in which half of the nodes lost the store, so that their entries
+/// expired and the granter sent them no further assignments.
 #[test]
-fn a_node_without_an_entry_is_told_as_long_as_it_is_heard() {
+fn a_node_without_an_entry_gets_reports_while_it_sends_its_own() {
     let mut core = core();
     assert!(heads_recipients(core.handle(at(10), Input::Tick)).is_empty());
     let latest = [Revision::new(0); ViewName::ALL.len()];
@@ -108,7 +108,8 @@
     assert!(heads_recipients(core.handle(at(4_000), Input::Tick)).is_empty());
 }
 
-/// A copy of the nodes: this one, and so many others of its zone, the ablest last.
+/// A copy of the members view with `count` other nodes of this zone, in order of rising
+/// capacity.
 fn members(count: u16) -> Snapshot {
     let own = usual_settings(0).core_config(3).control.record;
     let others = (1..=count).map(|index| NodeRecord {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Whom the node asks for copies.
+/// Nodes from which the node requests copies of views.
 fn snapshot_sources(outputs: Vec<Output>) -> Vec<SocketAddr> {
     let addresses = outputs.into_iter().filter_map(|output| match output {
         Output::Ask(address, ..) => Some(address),
@@ -141,8 +142,8 @@
     addresses.collect()
 }
 
-/// Found on a day at 78 machines: after all had lost power each asked the first of the
-/// seeds, and had no configuration for a third of a second.
+/// Guards against an overload of the first seed: after 78 machines had lost power, every node
+/// requested its copies there and had no configuration for a third of a second.
 #[test]
 fn a_node_that_has_just_started_asks_its_own_zones_relays() {
     let mut core = core();
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Which nodes are relays.
+//! Choice of relays, and the age of the store contact that they report.
 
 use beamtray_router::core::{NodeRecord, Relays, RelaysHeard};
 use beamtray_types::Time;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_ablest_nodes_come_first() {
+fn nodes_with_the_most_capacity_come_first() {
     let records = nodes("a", 20, |index| if index >= 18 { 500 } else { 100 });
     let expected = [records[18].peers, records[19].peers];
     let relays = Relays::choose(&by_name(records));
@@ -58,10 +58,10 @@
     assert_eq!(after.of_zone("a")[..2], before.of_zone("a")[1..]);
 }
 
-/// One zone's relay follows the store for the site, in an order that all compute
-/// alike: the zone with the ablest node comes first.
+/// One zone's relay follows the store for the whole site. All nodes compute the same order of
+/// zones: the one whose best node has the most capacity comes first.
 #[test]
-fn zones_follow_the_store_in_one_order() {
+fn all_nodes_agree_on_the_order_of_zones() {
     let mut records = nodes("a", 20, |_| 200);
     records.extend(nodes("bb", 20, |_| 500));
     let relays = Relays::choose(&by_name(records));
@@ -70,10 +70,10 @@
     assert_eq!(before, relays.of_zone("bb"));
 }
 
-/// What a relay passes on of the store's answer only grows older, so two relays that
-/// hear only each other soon follow the store again.
+/// Guards against two relays that hear only each other and never follow the store again: the
+/// age of a relayed contact only grows.
 #[test]
-fn a_passed_on_answer_grows_old() {
+fn the_age_of_a_relayed_contact_only_grows() {
     let one = ([10, 0, 0, 1], 7_000).into();
     let other = ([10, 0, 0, 2], 7_000).into();
     let mut at_one = RelaysHeard::default();
--- a/crates/router/tests/removals_by_reading.rs
+++ b/crates/router/tests/removals_by_reading.rs
@@ -1,12 +1,10 @@
-//! Removals that a relay learns of by reading everything again.
+//! Removals that a relay learns of by reading a view again.
 //!
-//! Seen: eight of eleven nodes went on sending to an upstream for seconds after its entry was
-//! removed, while the three relays had dropped it within 16 ms. How: the store dropped its
-//! history right then, so each relay's watch was answered as history lost, and the reading
-//! that followed showed that the entry was gone. Cause: a removal that a reading shows has no
-//! revision of its own and did not count as a change that was seen, so no relay told of one.
-//! Proof: the relays' lines name the upstream as removed, the others' do not, and take later
-//! changes of other views in time.
+//! Guards against nodes that go on sending to a removed upstream. The store discarded its
+//! history right after the removal, so the relays' watches were answered with lost history,
+//! and only the new read showed that the entry was gone. Such a removal has no revision of its
+//! own and was not counted as a change, so the relays did not report it: three relays dropped
+//! the upstream within 16 ms, while the other eight of eleven nodes sent to it for seconds.
 
 use beamtray_catalog::{DirectoryPolicy, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_metastore::{Item, Revision, StoreOutcome};
@@ -62,10 +60,9 @@
     }
 }
 
-/// Guards against nodes that are never told of an upstream's removal which a relay learned of
-/// by a reading.
+/// A removal found by a read reaches the nodes that get their copies from the relay.
 #[test]
-fn nodes_are_told_of_a_removal_that_a_reading_showed() {
+fn nodes_receive_a_removal_that_a_read_showed() {
     let dialect = SimDialect::default();
     let (mut relay, mut other) = (views(&dialect), views(&dialect));
     let both: Vec<Item> = vec![
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! What a node does when an upstream starts again under its name.
+//! Behaviour when an upstream restarts under the same name.
 
 use beamtray_catalog::{Birth, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
@@ -35,7 +35,7 @@
 }
 
 impl Node {
-    /// A node that knows a configuration and the first incarnation.
+    /// A node with a configuration and the first incarnation of the upstream.
     fn new() -> Self {
         let dialect = Rc::new(SimDialect::default());
         let config = usual_settings(0).core_config(3);
@@ -84,7 +84,7 @@
         self.adopt(millis, ViewName::Upstreams, key, value)
     }
 
-    /// Sends a request that may not be repeated; to whom.
+    /// Sends a request that must not be repeated and returns the chosen upstream.
     fn send(&mut self, millis: u64) -> Option<UpstreamId> {
         let route = &World::usual_configuration().routes[1];
         let head = RequestHead {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Upstreams under whose ends the request is suspected by these outputs.
+/// Upstreams for whose end the request is suspected in these outputs.
 fn suspected(outputs: &[Output]) -> Vec<UpstreamHash> {
     let suspected = outputs.iter().filter_map(|output| match output {
         Output::Quarantine(QuarantineNotice::Suspected {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn requests_go_to_the_restart_at_once() {
+fn requests_go_to_the_new_incarnation_at_once() {
     let mut node = Node::new();
     assert_eq!(node.send(10), Some(born(1)));
     node.register(20, born(2));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_restart_proves_the_end_of_the_one_before() {
+fn a_restart_proves_the_end_of_the_previous_incarnation() {
     let mut node = Node::new();
     node.send(10);
     node.break_off(30, 10);
@@ -153,10 +153,10 @@
     assert_eq!(suspected(&again), []);
 }
 
-/// A restart may listen before it is registered: that something answers at the address
-/// does not show that it is the one before.
+/// A restarted upstream may listen before it is registered, so an answering probe does not
+/// show that the previous incarnation still runs.
 #[test]
-fn an_end_is_proved_also_where_the_restart_listens_already() {
+fn a_restart_proves_the_end_even_if_it_already_listens() {
     let mut node = Node::new();
     node.send(10);
     node.break_off(30, 10);
@@ -169,9 +169,9 @@
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
 }
 
-/// Another node's word of the end of the one before comes after the restart.
+/// Another node's report that the previous incarnation ended may arrive after the restart.
 #[test]
-fn late_word_of_the_one_before_does_not_touch_the_restart() {
+fn a_late_report_on_the_previous_incarnation_does_not_affect_the_new_one() {
     let mut node = Node::new();
     node.register(20, born(2));
     let upstream = born(1);
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: read, checked, refused with file, line and field.
+//! Parsing and validation of a node's settings.
 
 use beamtray_router::settings::{NodeSettings, NodeSettingsError};
 use beamtray_sharding::STANDBY_SPAN;
@@ -39,17 +39,17 @@
     let core = settings.core_config(7);
     let grants = core.control.grants;
     assert!(grants.hold <= Duration::from_secs(10));
-    // What is left of a hold outlasts the lease of a granter that is lost, and a
-    // standby an outage of the store of 9 s that begins with that loss.
+    // The remainder of a hold outlasts the lease of a lost granter, and a standby's span
+    // covers a store outage of 9 s that begins with that loss.
     let left = grants.hold - grants.renewal;
     let lease = core.control.granter_lease.ttl;
     assert!(left > lease);
     assert!(STANDBY_SPAN >= lease + Duration::from_secs(9));
     assert!(grants.hold > lease && grants.renewal * 3 < grants.hold);
-    // A leaver is let alone before the drain time is over.
+    // A leaving upstream receives no requests before the drain time is over.
     assert!(core.dispatch.leaver_grace < Duration::from_millis(2_000));
-    // Doubt about a missing registration ends before a node that was cut off
-    // counts as connected.
+    // Doubt about a missing registration ends before a node that was disconnected counts as
+    // connected.
     let noticed = Duration::from_millis(900);
     let doubt = noticed + core.directory.distrust + core.directory.patience;
     assert!(doubt <= Duration::from_millis(3_000));
@@ -101,20 +101,21 @@
     assert!(error.to_string().starts_with("/no/such/file: cannot read"));
 }
 
-/// Found by a hunt: a request that was sent 1.9 s after its upstream had said that
-/// it leaves took 0.8 s to get there.
+/// Guards against requests that reach a leaving upstream too late: one sent 1.9 s after the
+/// upstream had announced that it leaves took 0.8 s to arrive.
 #[test]
-fn half_of_the_drain_time_is_left_for_the_way_to_a_leaver() {
+fn half_of_the_drain_time_is_reserved_for_requests_in_transit() {
     let settings = NodeSettings::parse("file", VALID).expect("valid");
     let core = settings.core_config(1);
     let drain = Duration::from_millis(settings.bounds.drain_ms);
     assert!(core.dispatch.leaver_grace <= drain / 2);
 }
 
-/// A relay sends its zone copies of a hundred kilobytes and more: with a narrow link it
-/// kept nodes waiting for a second, however much processor time it had.
+/// Guards against relays with slow links. A relay sends its zone copies of a hundred kilobytes
+/// and more: with a slow link it delayed other nodes for a second, however much processor time
+/// it had.
 #[test]
-fn a_node_with_a_narrow_link_counts_as_less_able() {
+fn a_slow_link_reduces_the_capacity() {
     let capacity = |limits: &str| {
         let text = VALID.replace("memory_mb", &format!("{limits}\nmemory_mb"));
         let settings = NodeSettings::parse("file", &text).expect("valid");
--- a/crates/router/tests/short_lived_entries.rs
+++ b/crates/router/tests/short_lived_entries.rs
@@ -1,12 +1,10 @@
-//! Entries that are written and removed between two looks at the store.
+//! Entries that are written and removed between two answers of the store.
 //!
-//! Seen: two of 11 nodes, which followed the store for their zones, sent 42 and 9 requests to
-//! an upstream after its entry was gone, the last 5.6 s after, where 2 s are allowed. How: the
-//! upstream wrote its entry once more and removed it, and both came with one answer of the
-//! store. Cause: a node took removals before all else, so the write came last and stood, for
-//! as long as nothing else told of the upstream. Proof: both nodes' lines name the upstream
-//! as removed and then, at the same moment, as ready; the third one, whose watch told of the
-//! two one after the other, does not.
+//! Guards against requests to an upstream whose entry is gone. The upstream rewrote its entry
+//! and removed it, and both events came in one answer of the store. A node applied removals
+//! first, so the write was applied last and the upstream stayed known until something else
+//! removed it: two of 11 nodes, which followed the store for their zones, sent 42 and 9
+//! requests to it, the last 5.6 s after the removal, where 2 s are allowed.
 
 use beamtray_catalog::{DirectoryPolicy, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_metastore::{Item, Revision, StoreEvent, StoreOutcome};
@@ -20,7 +18,7 @@
     Time(millis * 1_000)
 }
 
-/// Has read a view that is empty at revision 10, and watches it.
+/// A node's views after reading the given view, empty at revision 10, and starting a watch.
 fn watching(dialect: &SimDialect, view: ViewName) -> Views {
     let policy = DirectoryPolicy {
         distrust: Duration::from_millis(500),
@@ -80,14 +78,14 @@
 
 const KEY: &str = "upstreams/u1";
 
-/// Whether the upstream may be sent requests, or its entry may be missing by mistake.
+/// Whether the upstream is known and its entry has not been missing since.
 fn is_confirmed(views: &Views) -> bool {
     let known = views.directory.get(&UpstreamId::from("u1".to_owned()));
     known.is_some_and(|known| known.unconfirmed_since.is_none())
 }
 
 #[test]
-fn an_upstream_that_writes_and_removes_its_entry_is_not_there() {
+fn an_upstream_that_writes_and_removes_its_entry_is_unconfirmed() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
@@ -105,7 +103,7 @@
 }
 
 #[test]
-fn one_that_removes_its_entry_and_writes_it_again_is() {
+fn an_upstream_that_removes_its_entry_and_writes_it_again_is_confirmed() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
@@ -122,7 +120,7 @@
 }
 
 #[test]
-fn an_evacuation_that_is_taken_back_at_once_is_over() {
+fn an_evacuation_that_is_cancelled_at_once_is_over() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Operator);
     let key = "operator/evacuation/a";
--- a/crates/router/tests/takeover.rs
+++ b/crates/router/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new granter tells of the assignments that it took over.
+//! What a new granter reports of the assignments that it took over.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_dialect::Dialect;
@@ -47,7 +47,8 @@
     }
 }
 
-/// Runs a node for 1.5 s, whose calls for those tasks get no answer; the orders it gave.
+/// Runs a node for 1.5 s, leaving its calls for the tasks in `silent` unanswered, and counts
+/// its orders.
 fn run(core: &mut NodeCore, mut store: StoreEmulator, silent: &[StoreTask]) -> usize {
     let is_silent = |task: &StoreTask| match task {
         StoreTask::View(view, _) => silent.contains(&StoreTask::View(*view, 0)),
@@ -76,11 +77,11 @@
     orders
 }
 
-/// A new granter may not have read the view of the assignments yet. It took the parts that
-/// it read for its term as if each were the newest change, so that it dropped those that
-/// were older than one before, and told all nodes that its copy was whole.
+/// Guards against an incomplete copy at a new granter that has not read the view of the
+/// assignments yet. It recorded each part that it read for its term as the newest change,
+/// dropped those that were older than one before, and reported its copy as complete.
 #[test]
-fn a_granter_that_knew_no_assignment_tells_all_that_it_took_over() {
+fn a_granter_that_had_read_no_assignment_sends_all_parts_that_it_took_over() {
     let dialect = Rc::new(SimDialect::default());
     let store = store(&dialect, &SliceState::Free);
     let mut core = NodeCore::new(usual_settings(0).core_config(3), dialect);
@@ -103,11 +104,11 @@
     assert_eq!(parts.count(), Part::all().count());
 }
 
-/// Found at 295 machines after all had lost power: the new granter had its place 0.3 s
-/// before it had read the registrations. To it all holders had left, and it took all keys
-/// back, three quarters of which had no holder for the rest of the day.
+/// Guards against revoking all keys after a restart. After 295 machines had lost power, the
+/// new granter took its role 0.3 s before it had read the registrations. It assumed that all
+/// holders had left and revoked all keys, three quarters of which had no holder from then on.
 #[test]
-fn a_granter_that_knows_no_upstream_yet_takes_nothing_back() {
+fn a_granter_that_has_not_read_the_upstreams_revokes_nothing() {
     let dialect = Rc::new(SimDialect::default());
     let held = SliceState::Held {
         holder: UpstreamId::from("one".to_owned()),
--- a/crates/router/tests/views.rs
+++ b/crates/router/tests/views.rs
@@ -1,4 +1,4 @@
-//! What a node knows, and how it notices that it does not hear.
+//! A node's views of the store, and how it detects that it is missing changes.
 
 use beamtray_catalog::DirectoryPolicy;
 use beamtray_metastore::{Item, Revision, StoreCall, StoreEvent, StoreOutcome};
@@ -26,13 +26,13 @@
     Views::new(dialect, policy, Duration::from_secs(8))
 }
 
-/// All views but the nodes, which are read first.
+/// All views but the members, which are read first.
 fn others() -> Vec<ViewName> {
     let others = ViewName::ALL.into_iter();
     others.filter(|view| *view != ViewName::Members).collect()
 }
 
-/// Reads every view at revision 10 and begins to watch, as a relay does.
+/// Views that were read at revision 10 and are being watched, as on a relay.
 fn watching() -> Views {
     let mut views = views();
     let [members, others] = [vec![ViewName::Members], others()];
@@ -63,10 +63,10 @@
     }
 }
 
-/// Found by a hunt: a granter that had been frozen waited 8 s on a watch that
-/// was dead, and sent to an upstream that drained meanwhile.
+/// Guards against dead watches: a granter that had been paused waited 8 s on one, and sent
+/// requests to an upstream that was draining meanwhile.
 #[test]
-fn a_watch_that_others_are_ahead_of_is_given_up() {
+fn a_watch_that_lags_behind_other_nodes_is_restarted() {
     let mut views = watching();
     views.heads(at(100), peer(), &heads(12));
     assert_eq!(views.poll(at(350), ViewName::Upstreams), None);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_answer_to_a_call_that_was_given_up_is_ignored() {
+fn an_answer_to_an_abandoned_call_is_ignored() {
     let mut views = watching();
     views.restart_all(at(100));
     let outcome = StoreOutcome::Events {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn lost_history_is_read_again() {
+fn the_store_is_read_again_after_lost_history() {
     let mut views = watching();
     views.handle(at(100), ViewName::Operator, 0, StoreOutcome::Compacted);
     let call = views.poll(at(101), ViewName::Operator);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn another_nodes_copies_help_only_forward() {
+fn copies_of_another_node_are_adopted_only_if_newer() {
     let mut ahead = watching();
     let item = Item {
         key: format!("{}x", OwnKeys::NODES),
@@ -170,8 +170,8 @@
     assert_eq!(other.replica(ViewName::State).mirror().items().count(), 2);
 }
 
-/// Found on a day: a node that had been frozen gave each new watch up before
-/// the slow store had answered it, and served by an old configuration for 4 s.
+/// Guards against restarting each watch before the slow store could answer it: a node that had
+/// been paused did so and used an outdated configuration for 4 s.
 #[test]
 fn a_node_with_a_dead_watch_asks_the_node_that_is_ahead() {
     let mut views = watching();
@@ -181,10 +181,11 @@
     assert_eq!(lacking, [ViewName::Upstreams]);
 }
 
-/// Found on a day: a version of 2170 routes took longer through a narrow link
-/// than the node waited before it asked again, so that none ever came whole.
+/// Guards against restarting a watch while its answer is in transfer: a configuration of 2170
+/// routes took longer over a slow link than the node waited before it asked again, so no
+/// answer ever arrived completely.
 #[test]
-fn a_new_watch_is_given_time() {
+fn a_new_watch_is_not_restarted_at_once() {
     let mut views = watching();
     views.heads(at(100), peer(), &heads(12));
     views.heads(at(450), peer(), &heads(12));
@@ -210,12 +211,12 @@
     views.heads(at(1_000), peer(), &relay_heads(10, 100));
     views.follow(at(1_010), false);
     assert!(!views.follows());
-    // The relay was last answered 0.1 s before it said so.
+    // The store last answered the relay 0.1 s before the relay's report.
     views.follow(at(1_890), false);
     assert!(!views.follows());
     views.follow(at(1_910), false);
     assert!(views.follows());
-    // A relay that is heard but has lost the store is not relied on.
+    // A relay that sends reports but has lost the store is not relied on.
     views.heads(at(2_000), peer(), &relay_heads(10, 1_200));
     views.follow(at(2_010), false);
     assert!(views.follows());
@@ -234,11 +235,11 @@
     assert_eq!(views.poll(at(1_200), ViewName::Upstreams), None);
 }
 
-/// Found by a hunt: while watches heard nothing a new configuration was written,
-/// and a watch that ended just then told a revision beyond it. From there on
-/// nothing was missing, and the node served by the old one.
+/// Guards against skipping revisions: while the watches received nothing, a new configuration
+/// was written, and a watch that ended just then reported a revision beyond it. From then on
+/// nothing seemed to be missing, and the node used the old configuration.
 #[test]
-fn a_watch_that_ends_without_events_proves_nothing() {
+fn a_watch_that_ends_without_events_does_not_advance_the_revision() {
     let mut views = watching();
     let outcome = StoreOutcome::Events {
         events: Vec::new(),
@@ -249,10 +250,10 @@
     assert!(matches!(call, Some(StoreCall::Watch { after, .. }) if after == Revision::new(10)));
 }
 
-/// Found on grown days: a slow node gave each watch up before it answered, and
-/// so never heard of anything.
+/// Guards against a slow node that abandons each watch before it answers, and so never learns
+/// of any change.
 #[test]
-fn the_late_answer_of_a_watch_that_was_given_up_on_is_taken() {
+fn a_late_answer_of_an_abandoned_watch_is_applied() {
     let mut views = watching();
     views.restart_all(at(400));
     let item = Item {
@@ -267,13 +268,13 @@
     views.handle(at(500), ViewName::Members, 0, late);
     let mirror = views.replica(ViewName::Members).mirror();
     assert_eq!(mirror.at(), Some(Revision::new(12)));
-    // The watch that was sent instead is still under way.
+    // The watch that replaced it is still in progress.
     assert!(views.poll(at(500), ViewName::Members).is_some());
     assert!(views.poll(at(510), ViewName::Members).is_none());
 }
 
-/// Where many nodes start together, each reading of who there is costs a call; the
-/// relay has it anyway.
+/// Guards against needless calls when many nodes start together: each read of the members
+/// costs a call, and the relay has them anyway.
 #[test]
 fn a_node_that_hears_a_relay_gets_the_nodes_from_it() {
     let mut views = views();
@@ -297,12 +298,12 @@
     }
 }
 
-/// Found on a day of weak machines (CONFIG), and by its symptoms in a hunt: a relay whose
-/// watch had lost its history read the store again, took another node's copy meanwhile,
-/// and dropped what it had read, but for its revision. It lacked a configuration then that
-/// it believed to have, until the next one came.
+/// Guards against an outdated configuration at a relay with little processor time. Its watch
+/// had lost its history, so it read the store again, adopted another node's copy meanwhile,
+/// and discarded what it had read but kept the revision. It lacked a configuration that it
+/// considered known until the next one arrived.
 #[test]
-fn a_reading_that_is_dropped_counts_for_nothing() {
+fn a_discarded_read_does_not_advance_the_revision() {
     let mut views = watching();
     views.handle(at(100), ViewName::Upstreams, 0, StoreOutcome::Compacted);
     let call = views.poll(at(200), ViewName::Upstreams);
@@ -327,7 +328,7 @@
 }
 
 #[test]
-fn the_first_page_of_a_reading_that_fails_counts_for_nothing() {
+fn the_first_page_of_a_failed_read_does_not_advance_the_revision() {
     let mut views = watching();
     views.handle(at(100), ViewName::Upstreams, 0, StoreOutcome::Compacted);
     views.poll(at(200), ViewName::Upstreams);
@@ -342,9 +343,10 @@
     assert!(views.replica(ViewName::Upstreams).lacks(Revision::new(15)));
 }
 
-/// Found by a hunt (CONFIG): watches heard nothing for a second in which a configuration
-/// was written, then the history was dropped and they were cut. The next watch from the
-/// same revision waited for 5 s, until the next configuration, to learn of that.
+/// Guards against an outdated configuration after lost history. The watches received nothing
+/// for a second in which a configuration was written; then the history was discarded and they
+/// were cut. The next watch from the same revision reported that only after 5 s, with the next
+/// configuration.
 #[test]
 fn after_a_watch_was_cut_the_store_is_read_again() {
     let mut views = watching();
@@ -353,9 +355,9 @@
     assert!(matches!(call, Some(StoreCall::Range { .. })), "{call:?}");
 }
 
-/// The answer to a lease renewal may tell of the dead path before the watch does.
+/// The answer to a lease renewal may reveal the broken path before the watch does.
 #[test]
-fn after_the_path_was_dead_the_store_is_read_again() {
+fn after_a_broken_path_the_store_is_read_again() {
     let mut views = watching();
     views.restart_all(at(100));
     let call = views.poll(at(110), ViewName::Operator);
@@ -370,11 +372,11 @@
     assert!(matches!(call, Some(StoreCall::Watch { .. })), "{call:?}");
 }
 
-/// Found by simulation: a granter stood still while its path to the store was cut, so no
-/// call of its own failed, and later took over as a relay with the watches from before. A
-/// configuration reached nobody for 4 s.
+/// Guards against relying on watches from before a pause: a granter was paused while its path
+/// to the store was cut, so no call of its own failed, and later took over as a relay with the
+/// old watches. A configuration reached no node for 4 s.
 #[test]
-fn a_node_that_follows_the_store_again_trusts_no_older_watch() {
+fn a_node_that_follows_the_store_again_starts_new_watches() {
     let mut views = watching();
     views.heads(at(100), peer(), &relay_heads(10, 0));
     views.follow(at(200), false);
@@ -386,10 +388,11 @@
     }
 }
 
-/// Found by a hunt: a watch that began just after the others were cut, while the store
-/// dropped its history, heard nothing for 25 s; 20 upstreams drained meanwhile.
+/// Guards against a long watch that receives nothing: it was started just after the others
+/// were cut, while the store discarded its history, and stayed silent for 25 s, in which 20
+/// upstreams drained.
 #[test]
-fn the_first_watches_after_a_reading_are_short() {
+fn the_first_watches_after_a_read_are_short() {
     let mut views = watching();
     let mut waits = Vec::new();
     views.restart_all(at(100));
