--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -143,7 +143,7 @@
     retry_window_s: f64,
 }
 
-/// Equal to the minimum for upstreams that leave by themselves.
+/// The shortest time that upstreams take which leave by themselves.
 fn default_evacuate_ms() -> u64 {
     2_000
 }
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -14,9 +14,9 @@
 /// Lease of the granter's role: how long keys are without a granter after it is lost.
 const GRANTER_TTL: Duration = Duration::from_millis(2_000);
 const GRANTER_RENEWAL: Duration = Duration::from_millis(500);
-/// Duration of a grant. After the loss of a granter the next one takes over within
-/// [`GRANTER_TTL`]; by then a hold has at least this less [`GRANT_RENEWAL`] left. Store
-/// outages are bridged by standbys.
+/// Duration of a grant. When a granter is lost, a hold has at least this less
+/// [`GRANT_RENEWAL`] left, which outlasts the [`GRANTER_TTL`] until the next granter takes
+/// over. Store outages are bridged by standbys.
 const GRANT_HOLD: Duration = Duration::from_millis(3_000);
 const GRANT_RENEWAL: Duration = Duration::from_millis(750);
 /// Average time between orders of a granter with a whole core. An estimate: if an order with
--- a/crates/router/src/shell/connections/progress.rs
+++ b/crates/router/src/shell/connections/progress.rs
@@ -25,7 +25,7 @@
 }
 
 /// Time after which a call must not be written. It is checked right before the write, since
-/// the process may have been stopped or the machine suspended while the connection was opened.
+/// the process may have been paused or the machine suspended while the connection was opened.
 #[derive(Debug)]
 struct WriteDeadline {
     clock: Rc<BootClock>,
