--- a/crates/router/src/shell/answer.rs
+++ b/crates/router/src/shell/answer.rs
@@ -18,14 +18,14 @@
 
 /// Removes hop-by-hop headers, also those named in `Connection`.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in [
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -104,8 +104,8 @@
 async fn deliver_order(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
     // The validity of the order is checked right before it is written: the process may have
     // been paused since the decision, and connecting may take long.
-    let right_left = task.until.since(shared.now());
-    if right_left.is_zero() {
+    let validity_left = task.until.since(shared.now());
+    if validity_left.is_zero() {
         return GrantReply::Undelivered;
     }
     let is_grant = matches!(task.order.kind, OrderKind::Grant { .. });
--- a/crates/router/src/shell/connections/socket.rs
+++ b/crates/router/src/shell/connections/socket.rs
@@ -7,15 +7,15 @@
 /// TCP_USER_TIMEOUT: how long written bytes may stay unacknowledged before the connection
 /// ends.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sets options by which a broken network path is detected within seconds.
 pub(crate) fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     // Without these options the socket still works but detects failures later.
     let _ = socket.set_tcp_nodelay(true);
--- a/crates/router/src/shell/readiness.rs
+++ b/crates/router/src/shell/readiness.rs
@@ -34,12 +34,12 @@
 
 async fn metrics_response(shared: Rc<Shared>) -> Response<ResponseBody> {
     let (sender, receiver) = oneshot::channel();
-    let observed = shared.clone();
+    let gauge_shared = shared.clone();
     shared.inspect(move |core| {
-        observed
+        gauge_shared
             .observer
             .metrics
-            .update_gauges(observed.now(), core);
+            .update_gauges(gauge_shared.now(), core);
         // The client may have disconnected.
         let _ = sender.send(());
     });
