--- a/crates/catalog/src/incarnations.rs
+++ b/crates/catalog/src/incarnations.rs
@@ -1,147 +1,156 @@
-//! Which incarnation of each upstream counts.
+//! Determines the current incarnation of each upstream.
 //!
-//! Births tell incarnations apart and don't order them, so the order in which their
-//! entries appeared does: one that was not seen before has replaced the one that was. The
-//! replaced one does not come back by a late write, which the store may carry out seconds
-//! after its writer ended. The living one writes over it with its next heartbeat.
+//! Start timestamps distinguish incarnations but do not order them, so incarnations are
+//! ordered by when their entries first appear: a new incarnation replaces the current one.
+//! A replaced incarnation does not return because of a late write, which the store may
+//! apply seconds after the writer has ended; the live incarnation overwrites it with its
+//! next heartbeat.
 //!
-//! A node that knows neither of two incarnations may see a late write of the dead one
-//! after the living one's entry, and take it for a restart. Then the living one's entry
-//! stands again soon and stays, which only a writer that lives can bring about: after
-//! [`CLAIM_STANDS`] it counts again. Meanwhile requests and orders reach it all the same
-//! where its address is the same, since they carry the name only.
+//! A node that knows neither of two incarnations may see a late write of the dead one after
+//! the entry of the live one, and mistake it for a restart. The live incarnation then soon
+//! overwrites the entry and keeps it, which only a live writer can do, so after
+//! [`REINSTATEMENT_DELAY`] it is current again. Until then requests and orders still reach
+//! it if its address is unchanged, since they carry only the name.
 
-use crate::upstream::{Birth, UpstreamId, UpstreamName, UpstreamRecord};
+use crate::upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long the entry of a replaced incarnation must stand in the store before it is
-/// believed. An entry goes after three heartbeats without a write, and heartbeats of up to
-/// 3 s are known; a late write is written over within one.
-pub const CLAIM_STANDS: Duration = Duration::from_secs(10);
-/// How long a replaced incarnation is remembered: its last write may be that late.
-const REMEMBER_REPLACED: Duration = Duration::from_secs(120);
+/// How long the entry of a replaced incarnation must stay in the store before the
+/// incarnation is reinstated. An entry expires after three heartbeats without a write, with
+/// heartbeats of up to 3 s in use; a late write is overwritten within one heartbeat.
+pub const REINSTATEMENT_DELAY: Duration = Duration::from_secs(10);
+/// How long a replaced incarnation is remembered, since its last write may arrive that late.
+const REPLACED_RETENTION: Duration = Duration::from_secs(120);
 
-/// What an entry says of its writer.
+/// How an observed entry relates to the known incarnations of its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Appearance {
-    /// It is the incarnation that counts, as before, or the first one of its name.
+pub(crate) enum Observation {
+    /// The entry is of the current incarnation, or of the first one of its name.
     Current,
-    /// It counts from now on in place of that one, which has ended.
+    /// The entry is of a new incarnation that replaces the given one, which has ended.
     RestartOf(UpstreamId),
-    /// It was replaced by another; the entry came late.
+    /// The entry is a late write of a replaced incarnation.
     Replaced,
 }
 
 #[derive(Clone, Debug)]
 struct Replaced {
     since: Time,
-    /// Its entry, if that is what stands in the store, and since when.
-    claim: Option<(Time, UpstreamRecord)>,
+    /// Its entry and when that appeared, if it is the one in the store.
+    reinstatement: Option<(Time, UpstreamRecord)>,
 }
 
 #[derive(Clone, Debug)]
-struct Succession {
-    current: Option<Birth>,
+struct NameHistory {
+    current: Option<StartTimestamp>,
     seen_at: Time,
-    replaced: BTreeMap<Option<Birth>, Replaced>,
+    replaced: BTreeMap<Option<StartTimestamp>, Replaced>,
 }
 
-/// The incarnations of each name that were seen of late.
+/// The recently seen incarnations of each name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Incarnations {
-    by_name: BTreeMap<UpstreamName, Succession>,
+    by_name: BTreeMap<UpstreamName, NameHistory>,
 }
 
 impl Incarnations {
-    /// Notes that an entry stands in the store.
-    pub fn appears(&mut self, now: Time, record: &UpstreamRecord) -> Appearance {
+    /// Records that an entry is present in the store.
+    pub fn observe_entry(&mut self, now: Time, record: &UpstreamRecord) -> Observation {
         let id = &record.id;
-        let Some(succession) = self.by_name.get_mut(&id.name) else {
-            let succession = Succession {
-                current: id.born,
+        let Some(history) = self.by_name.get_mut(&id.name) else {
+            let history = NameHistory {
+                current: id.started_at,
                 seen_at: now,
                 replaced: BTreeMap::new(),
             };
-            self.by_name.insert(id.name.clone(), succession);
-            return Appearance::Current;
+            self.by_name.insert(id.name.clone(), history);
+            return Observation::Current;
         };
-        if succession.current == id.born {
-            succession.seen_at = now;
-            succession.drop_claims();
-            return Appearance::Current;
+        if history.current == id.started_at {
+            history.seen_at = now;
+            history.cancel_reinstatements();
+            return Observation::Current;
         }
-        if let Some(replaced) = succession.replaced.get_mut(&id.born) {
-            let since = replaced.claim.as_ref().map_or(now, |(since, _)| *since);
-            replaced.claim = Some((since, record.clone()));
-            return Appearance::Replaced;
+        if let Some(replaced) = history.replaced.get_mut(&id.started_at) {
+            let since = replaced
+                .reinstatement
+                .as_ref()
+                .map_or(now, |(since, _)| *since);
+            replaced.reinstatement = Some((since, record.clone()));
+            return Observation::Replaced;
         }
-        Appearance::RestartOf(UpstreamId {
+        Observation::RestartOf(UpstreamId {
             name: id.name.clone(),
-            born: succession.replace(now, id.born),
+            started_at: history.replace(now, id.started_at),
         })
     }
 
-    /// Notes that no entry of a name stands in the store.
-    pub fn vanishes(&mut self, now: Time, name: &UpstreamName) {
-        if let Some(succession) = self.by_name.get_mut(name) {
-            succession.seen_at = now;
-            succession.drop_claims();
+    /// Records that the store has no entry for a name.
+    pub fn observe_absence(&mut self, now: Time, name: &UpstreamName) {
+        if let Some(history) = self.by_name.get_mut(name) {
+            history.seen_at = now;
+            history.cancel_reinstatements();
         }
     }
 
-    /// Forgets what is no longer of use; the entries of replaced incarnations that have
-    /// stood for long enough, each with the one that counted in its place.
+    /// Drops outdated records and reinstates replaced incarnations whose entries have stayed
+    /// in the store for [`REINSTATEMENT_DELAY`]. Returns the entry of each reinstated
+    /// incarnation, with the incarnation that it replaces.
     pub fn expire(
         &mut self,
         now: Time,
         is_registered: impl Fn(&UpstreamName) -> bool,
     ) -> Vec<(UpstreamId, UpstreamRecord)> {
-        let mut believed = Vec::new();
-        for (name, succession) in &mut self.by_name {
-            if let Some(record) = succession.take_standing(now) {
-                let born = succession.replace(now, record.id.born);
+        let mut reinstated = Vec::new();
+        for (name, history) in &mut self.by_name {
+            if let Some(record) = history.take_due_reinstatement(now) {
+                let started_at = history.replace(now, record.id.started_at);
                 let name = name.clone();
-                believed.push((UpstreamId { name, born }, record));
+                reinstated.push((UpstreamId { name, started_at }, record));
             }
-            succession.replaced.retain(|_, replaced| {
-                replaced.claim.is_some() || now.since(replaced.since) < REMEMBER_REPLACED
+            history.replaced.retain(|_, replaced| {
+                replaced.reinstatement.is_some() || now.since(replaced.since) < REPLACED_RETENTION
             });
         }
-        self.by_name.retain(|name, succession| {
-            now.since(succession.seen_at) < REMEMBER_REPLACED || is_registered(name)
+        self.by_name.retain(|name, history| {
+            now.since(history.seen_at) < REPLACED_RETENTION || is_registered(name)
         });
-        believed
+        reinstated
     }
 }
 
-impl Succession {
-    /// Lets another incarnation count; the one that did.
-    fn replace(&mut self, now: Time, born: Option<Birth>) -> Option<Birth> {
-        let before = std::mem::replace(&mut self.current, born);
+impl NameHistory {
+    /// Makes another incarnation the current one and returns the previous one.
+    fn replace(&mut self, now: Time, started_at: Option<StartTimestamp>) -> Option<StartTimestamp> {
+        let before = std::mem::replace(&mut self.current, started_at);
         self.seen_at = now;
-        self.replaced.remove(&born);
-        self.drop_claims();
+        self.replaced.remove(&started_at);
+        self.cancel_reinstatements();
         let replaced = Replaced {
             since: now,
-            claim: None,
+            reinstatement: None,
         };
         self.replaced.insert(before, replaced);
         before
     }
 
-    fn drop_claims(&mut self) {
+    fn cancel_reinstatements(&mut self) {
         for replaced in self.replaced.values_mut() {
-            replaced.claim = None;
+            replaced.reinstatement = None;
         }
     }
 
-    /// The entry of a replaced incarnation that has stood for long enough.
-    fn take_standing(&mut self, now: Time) -> Option<UpstreamRecord> {
-        let stands = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= CLAIM_STANDS;
+    /// Takes the entry of a replaced incarnation that is due for reinstatement.
+    fn take_due_reinstatement(&mut self, now: Time) -> Option<UpstreamRecord> {
+        let is_due = |(since, _): &(Time, UpstreamRecord)| now.since(*since) >= REINSTATEMENT_DELAY;
         let mut replaced = self.replaced.values_mut();
-        let claim = replaced.find_map(|replaced| replaced.claim.take_if(|claim| stands(claim)))?;
-        Some(claim.1)
+        let reinstatement = replaced.find_map(|replaced| {
+            replaced
+                .reinstatement
+                .take_if(|reinstatement| is_due(reinstatement))
+        })?;
+        Some(reinstatement.1)
     }
 }
--- a/crates/catalog/src/leaving.rs
+++ b/crates/catalog/src/leaving.rs
@@ -1,12 +1,12 @@
-//! What upstreams say in their answers of leaving.
+//! Leaving status that upstreams report in responses.
 
-/// What an answer of an upstream says of whether the upstream leaves.
+/// Whether an upstream's response reports that it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaveWord {
-    /// It says nothing of it, or that it does not.
-    Stays,
-    /// It leaves: it wants no more requests.
-    Leaves,
-    /// It says something that can't be read; nothing is learned of that.
+pub enum LeavingStatus {
+    /// The response does not mention it, or denies it.
+    NotLeaving,
+    /// The upstream is leaving and accepts no more requests.
+    Leaving,
+    /// The value is invalid and is ignored.
     Unreadable,
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators and upstreams declare: routes, services and live upstreams.
+//! Routes, services and upstreams, as declared by operators and upstreams.
 //!
-//! [`Configuration`] is one accepted version of what operators want,
-//! [`RouteTable`] finds the route of a request in it, [`Directory`] is a
-//! node's view of the upstreams that registered themselves. All pure.
+//! [`Configuration`] is one accepted version of the operators' configuration,
+//! [`RouteTable`] looks up the route of a request in it, and [`Directory`] is a node's view
+//! of the registered upstreams. Nothing in this crate performs I/O or reads a clock.
 
 mod configuration;
 mod directory;
@@ -10,7 +10,7 @@
 mod incarnations;
 mod leaving;
 mod rate;
-mod rest;
+mod retry_after;
 mod route_table;
 mod upstream;
 
@@ -19,9 +19,9 @@
     ServiceConfig, WeightedBackend,
 };
 pub use directory::{Directory, DirectoryChange, DirectoryPolicy, Registration};
-pub use incarnations::CLAIM_STANDS;
-pub use leaving::LeaveWord;
-pub use rate::{RateWord, RequestRate};
-pub use rest::RestWord;
+pub use incarnations::REINSTATEMENT_DELAY;
+pub use leaving::LeavingStatus;
+pub use rate::{AdvertisedRate, RequestRate};
+pub use retry_after::RetryAfter;
 pub use route_table::RouteTable;
-pub use upstream::{Birth, UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
+pub use upstream::{StartTimestamp, UpstreamId, UpstreamName, UpstreamRecord, UpstreamState};
--- a/crates/catalog/tests/directory.rs
+++ b/crates/catalog/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a missing registration proves.
+//! Handling of missing and late registrations.
 
 use beamtray_catalog::{
     Directory, DirectoryChange, DirectoryPolicy, UpstreamId, UpstreamName, UpstreamRecord,
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 const POLICY: DirectoryPolicy = DirectoryPolicy {
-    distrust: Duration::from_millis(500),
-    patience: Duration::from_millis(1_600),
+    outage_grace: Duration::from_millis(500),
+    reregistration_timeout: Duration::from_millis(1_600),
 };
 
 fn id(number: u16) -> UpstreamId {
@@ -41,18 +41,18 @@
 }
 
 #[test]
-fn one_that_vanishes_from_a_sound_store_is_gone() {
+fn missing_registration_is_removed_when_the_store_is_healthy() {
     let mut directory = directory(10);
-    let changes = directory.vanish(at(10_000), &[id(3).name]);
+    let changes = directory.handle_missing(at(10_000), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
     assert!(directory.get(&id(3)).is_none());
 }
 
 #[test]
-fn many_that_vanish_together_are_kept_for_a_while() {
+fn registrations_lost_together_stay_unconfirmed() {
     let mut directory = directory(10);
     let names: Vec<UpstreamName> = (0..8).map(|number| id(number).name).collect();
-    directory.vanish(at(10_000), &names);
+    directory.handle_missing(at(10_000), &names);
     assert_eq!(directory.iter().count(), 10);
     directory.register(at(11_000), record(0, 8_000));
     directory.expire(at(11_599));
@@ -62,46 +62,46 @@
 }
 
 #[test]
-fn right_after_trouble_one_that_vanishes_is_kept_for_a_while() {
+fn registration_missing_after_a_store_failure_stays_unconfirmed() {
     let mut directory = directory(10);
-    directory.store_troubled(at(10_000));
-    let changes = directory.vanish(at(10_400), &[id(3).name]);
+    directory.note_store_failure(at(10_000));
+    let changes = directory.handle_missing(at(10_400), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Unconfirmed(id(3))]);
     directory.expire(at(12_000));
     assert!(directory.get(&id(3)).is_none());
 }
 
-/// Found by a hunt: an upstream that left got requests 2.4 s later from a node
-/// whose store call had failed some seconds before.
+/// Guards against a node that still sends requests to an upstream 2.4 s after that left,
+/// because a store call of the node failed some seconds before.
 #[test]
-fn doubt_ends_before_a_node_counts_as_connected_again() {
+fn unconfirmed_period_ends_before_the_node_counts_as_connected() {
     let contact = Duration::from_millis(3_000);
-    let noticed_late = Duration::from_millis(900);
+    let detection_delay = Duration::from_millis(900);
     let mut directory = directory(10);
     let outage_end = at(10_000);
-    directory.store_troubled(outage_end + noticed_late);
-    let last_doubt = outage_end + noticed_late + POLICY.distrust - Duration::from_millis(1);
-    directory.vanish(last_doubt, &[id(3).name]);
+    directory.note_store_failure(outage_end + detection_delay);
+    let last_inconclusive =
+        outage_end + detection_delay + POLICY.outage_grace - Duration::from_millis(1);
+    directory.handle_missing(last_inconclusive, &[id(3).name]);
     directory.expire(outage_end + contact);
     assert!(directory.get(&id(3)).is_none());
 }
 
 #[test]
-fn one_that_drains_is_gone_even_in_doubt() {
+fn draining_upstream_is_removed_even_after_a_store_failure() {
     let mut directory = directory(10);
     let mut draining = record(3, 8_003);
     draining.state = UpstreamState::Draining;
     directory.register(at(1_000), draining);
-    directory.store_troubled(at(10_000));
-    let changes = directory.vanish(at(10_100), &[id(3).name]);
+    directory.note_store_failure(at(10_000));
+    let changes = directory.handle_missing(at(10_100), &[id(3).name]);
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
 }
 
-/// Found by a day of our own: a late write of an upstream that had ended made
-/// the one that had its address since look replaced, and its keys were given
-/// away while it worked on them.
+/// Guards against a late write of an ended upstream that makes the current user of its
+/// address look replaced: its keys were reassigned while it was still working on them.
 #[test]
-fn a_newcomer_at_an_address_proves_nothing_by_itself() {
+fn registration_at_the_same_address_does_not_replace_another() {
     let mut directory = directory(3);
     directory.register(at(5_000), record(77, 8_001));
     assert!(directory.get(&id(1)).is_some());
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn who_was_found_gone_does_not_come_back_by_a_late_write() {
+fn late_write_does_not_restore_an_upstream_found_gone() {
     let mut directory = directory(3);
-    let change = directory.proved_gone(at(5_000), &id(1));
+    let change = directory.confirm_gone(at(5_000), &id(1));
     assert_eq!(change, Some(DirectoryChange::Removed(id(1))));
     assert!(directory.register(at(9_000), record(1, 8_001)).is_empty());
     assert!(directory.get(&id(1)).is_none());
 }
 
-/// An entry that was written before they went cold may be heard after that.
+/// An entry written before the upstreams went cold may be received afterwards.
 #[test]
-fn upstreams_of_a_readmitted_zone_count_as_cold_whatever_their_entries_say() {
+fn upstreams_of_a_readmitted_zone_are_cold_whatever_their_entries_say() {
     let mut directory = directory(2);
     let warm_up = |_: &_| Duration::from_millis(3_000);
     assert_eq!(directory.readmit(at(900), "zone".into(), warm_up), None);
@@ -137,15 +137,15 @@
     }
 }
 
-/// Guards against an upstream that leaves and is ready again by an older entry, to which the
-/// store has gone back, or which was written before an answer told of its leaving.
+/// Guards against a leaving upstream that becomes ready again because of an older entry: one
+/// that the store has reverted to, or one written before the response that reported leaving.
 #[test]
-fn one_that_said_it_leaves_is_not_ready_again_by_an_older_entry() {
+fn older_entry_does_not_make_a_leaving_upstream_ready() {
     let mut directory = directory(3);
     let mut leaving = record(0, 8_000);
     leaving.state = UpstreamState::Draining;
     directory.register(at(1_000), leaving);
-    directory.says_it_leaves(at(1_000), &id(1));
+    directory.mark_leaving(at(1_000), &id(1));
     for number in 0..3 {
         directory.register(at(2_000), record(number, 8_000 + number));
     }
@@ -155,12 +155,12 @@
     assert_eq!(state(2), Some(UpstreamState::Ready));
 }
 
-/// The same after its entry was gone for a while.
+/// As above, after the upstream's entry was missing for a while.
 #[test]
-fn nor_after_its_entry_was_gone() {
+fn leaving_upstream_stays_draining_after_its_entry_was_missing() {
     let mut directory = directory(3);
-    directory.says_it_leaves(at(1_000), &id(1));
-    directory.vanish(at(2_000), &[id(1).name]);
+    directory.mark_leaving(at(1_000), &id(1));
+    directory.handle_missing(at(2_000), &[id(1).name]);
     directory.expire(at(4_000));
     directory.register(at(5_000), record(1, 8_001));
     let state = directory.get(&id(1)).map(|one| one.record.state);
--- a/crates/clock/tests/clocks.rs
+++ b/crates/clock/tests/clocks.rs
@@ -1,109 +1,112 @@
-//! The process's clock where the steady one stands still.
+//! The process clock and the suspend detector across suspensions of the machine.
 
-use beamtray_clock::{BootClock, ClockSource, SleepWatch, SystemClocks};
+use beamtray_clock::{BootClock, ClockSource, SuspendDetector, SystemClocks};
 use beamtray_types::Time;
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A machine that runs and is suspended as told.
+/// A simulated machine with explicit running and suspended time.
 #[derive(Default)]
 struct Machine {
-    steady: Cell<Duration>,
-    asleep: Cell<Duration>,
+    monotonic: Cell<Duration>,
+    suspended: Cell<Duration>,
 }
 
 impl Machine {
     fn run(&self, millis: u64) {
-        let steady = self.steady.get() + Duration::from_millis(millis);
-        self.steady.set(steady);
+        let monotonic = self.monotonic.get() + Duration::from_millis(millis);
+        self.monotonic.set(monotonic);
     }
 
     fn suspend(&self, millis: u64) {
-        let asleep = self.asleep.get() + Duration::from_millis(millis);
-        self.asleep.set(asleep);
+        let suspended = self.suspended.get() + Duration::from_millis(millis);
+        self.suspended.set(suspended);
     }
 }
 
 impl ClockSource for &Machine {
     fn boot(&self) -> Duration {
-        self.steady.get() + self.asleep.get()
+        self.monotonic.get() + self.suspended.get()
     }
 
-    fn steady(&self) -> Duration {
-        self.steady.get()
+    fn monotonic(&self) -> Duration {
+        self.monotonic.get()
     }
 }
 
 #[test]
-fn time_asleep_counts() {
+fn suspended_time_is_counted() {
     let machine = Machine::default();
     machine.run(5_000);
     let clock = BootClock::start(&machine);
     let lease_ends = Time(2_000_000);
     machine.run(500);
-    assert_eq!(clock.until(lease_ends), Duration::from_millis(1_500));
+    assert_eq!(clock.time_until(lease_ends), Duration::from_millis(1_500));
     machine.suspend(6_000);
     assert_eq!(clock.now(), Time(6_500_000));
-    assert!(clock.until(lease_ends).is_zero());
+    assert!(clock.time_until(lease_ends).is_zero());
 }
 
 #[test]
-fn a_suspension_is_noticed_once() {
+fn suspension_is_reported_once() {
     let machine = Machine::default();
-    let mut watch = SleepWatch::new(&&machine);
+    let mut detector = SuspendDetector::new(&&machine);
     machine.run(10_000);
-    assert_eq!(watch.asleep(&&machine), None);
+    assert_eq!(detector.suspended_for(&&machine), None);
     machine.suspend(6_000);
     machine.run(10);
-    assert_eq!(watch.asleep(&&machine), Some(Duration::from_secs(6)));
-    assert_eq!(watch.asleep(&&machine), None);
+    assert_eq!(
+        detector.suspended_for(&&machine),
+        Some(Duration::from_secs(6))
+    );
+    assert_eq!(detector.suspended_for(&&machine), None);
 }
 
-/// A machine that gives its process no processor after some readings.
+/// A machine that preempts the process after each clock reading while `preempts` is set.
 #[derive(Default)]
-struct Interrupted {
+struct Preempted {
     machine: Machine,
-    pauses: Cell<bool>,
+    preempts: Cell<bool>,
 }
 
-impl Interrupted {
+impl Preempted {
     fn read(&self, clock: impl Fn(&Machine) -> Duration) -> Duration {
         let reading = clock(&self.machine);
-        if self.pauses.get() {
+        if self.preempts.get() {
             self.machine.run(80);
         }
         reading
     }
 }
 
-impl ClockSource for Interrupted {
+impl ClockSource for Preempted {
     fn boot(&self) -> Duration {
         self.read(|machine| machine.boot())
     }
 
-    fn steady(&self) -> Duration {
-        self.read(|machine| machine.steady())
+    fn monotonic(&self) -> Duration {
+        self.read(|machine| machine.monotonic())
     }
 }
 
 #[test]
-fn a_pause_between_two_readings_is_no_suspension() {
-    let source = Interrupted::default();
+fn preemption_between_readings_is_not_a_suspension() {
+    let source = Preempted::default();
     source.machine.run(1_000);
-    let mut watch = SleepWatch::new(&source);
-    for pauses in [false, true, false, true, true, false] {
-        source.pauses.set(pauses);
-        assert_eq!(watch.asleep(&source), None);
+    let mut detector = SuspendDetector::new(&source);
+    for preempts in [false, true, false, true, true, false] {
+        source.preempts.set(preempts);
+        assert_eq!(detector.suspended_for(&source), None);
     }
 }
 
 #[test]
-fn the_system_has_both_clocks() {
+fn system_clocks_are_readable() {
     let clocks = SystemClocks::new().expect("both clocks can be read");
-    let watch = &mut SleepWatch::new(&clocks);
+    let detector = &mut SuspendDetector::new(&clocks);
     let clock = BootClock::start(clocks);
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(clock.now().since(before) >= Duration::from_millis(20));
-    assert_eq!(watch.asleep(clock.source()), None);
+    assert_eq!(detector.suspended_for(clock.source()), None);
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,34 +1,33 @@
-//! The requests of one node and what is decided about them.
+//! The requests of one node and the decisions about them.
 
-mod absences;
 mod choice;
 mod cold_starts;
 mod decide;
-mod faults;
+mod failures;
 mod limits;
 mod outcome;
 mod pools;
 mod reports;
 mod resting;
 mod slots;
+mod unheld_keys;
 
-use crate::budget::{BudgetConfig, RetryBudget};
+use crate::budget::{RetryBudget, RetryBudgetConfig};
 use crate::fingerprint::{Fingerprint, Fingerprints};
 use crate::occupancy::Occupancy;
-use crate::quarantine::{Quarantine, RunHash};
+use crate::quarantine::{AttemptHash, Quarantine};
 use crate::rate_limit::RateLimits;
 use crate::report::{NodeHash, UpstreamHash};
-use crate::request::{Admission, AssignmentNumber, RequestHead, Ticket, UnknownCause};
+use crate::request::{AdmissionError, AssignmentNumber, RequestHead, Ticket, UnknownCause};
 use crate::rests::Rests;
 use crate::speed::SpeedTable;
-use absences::Absences;
 use beamtray_catalog::{ColdStart, UpstreamState, WeightedBackend};
 use beamtray_catalog::{Configuration, Directory, Route, RouteTable, UpstreamId};
 use beamtray_sharding::{Assignment, ShardKey};
 use beamtray_types::{ServiceName, Time, Zone};
 pub use cold_starts::ColdStartBound;
 use cold_starts::ColdStarts;
-use faults::Faults;
+use failures::FailurePenalties;
 use pools::Pools;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -38,62 +37,65 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use unheld_keys::UnheldKeys;
 
-/// Fixed values of a dispatcher.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// This node's name, in reports.
+    /// Name of this node, hashed into reports.
     pub node: String,
-    /// This node's run.
+    /// Identifies this process among all processes that ran under the node's name.
     pub run: u64,
-    /// This node's zone.
+    /// Zone of this node.
     pub zone: Zone,
-    /// Bound on repeats.
-    pub budget: BudgetConfig,
-    /// Most requests that wait here.
+    /// Limits on retries.
+    pub budget: RetryBudgetConfig,
+    /// Maximum number of requests that wait in this node.
     pub queue_limit: usize,
-    /// Most requests beyond its slots that an upstream is sent: it may answer
-    /// nothing to what it can't queue.
-    pub most_queued: u32,
-    /// What another zone costs, as time.
+    /// Maximum number of requests sent to an upstream beyond its slots: an upstream may not
+    /// respond at all to requests that it can't queue.
+    pub max_queued: u32,
+    /// Added to the estimated response time of upstreams in other zones.
     pub zone_cost: Duration,
-    /// How long a leaving holder of keys still gets requests.
-    pub leaver_grace: Duration,
-    /// How long a holder of keys in a zone that is evacuated still gets requests: its keys
-    /// go to others meanwhile.
+    /// How long the holder of a key still gets requests after it starts to drain.
+    pub drain_grace: Duration,
+    /// How long the holder of a key in an evacuated zone still gets requests while its keys
+    /// move to other upstreams.
     pub evacuation_grace: Duration,
-    /// What a cold upstream may be sent.
+    /// Limit on requests to cold upstreams.
     pub cold_start: ColdStartBound,
-    /// Whether requests to upstreams that name a rate need permits. Only a test that shows
-    /// why turns it off.
-    pub keeps_named_rates: bool,
-    /// Whether nothing is sent to upstreams that asked for rest. Only a test that shows why
-    /// turns it off.
-    pub keeps_rests: bool,
-    /// Whether what may not be repeated is sent again only on proof that it
-    /// has not run. Only a test that shows why turns it off.
-    pub proves_before_repeat: bool,
+    /// Whether requests to upstreams that advertise a rate limit need permits. Disabled only by
+    /// tests that demonstrate the need for it.
+    pub honors_rate_limits: bool,
+    /// Whether an upstream that asked for a rest is sent nothing until the rest is over.
+    /// Disabled only by tests that demonstrate the need for it.
+    pub honors_rests: bool,
+    /// Whether a request that is not repeatable is retried only on proof that it was not
+    /// executed. Disabled only by tests that demonstrate the need for it.
+    pub requires_proof_before_retry: bool,
 }
 
-/// Part of a route's target latency that a request may wait here.
-const WAIT_SHARE: u32 = 5;
-/// A client that waits less than this part of the longest wait seen on its
-/// route has been here before.
-const RETURNED_SHARE: f64 = 0.93;
-/// Time kept back from a deadline for the answer's way.
-const ANSWER_MARGIN: Duration = Duration::from_millis(15);
+/// A request waits at most its route's target latency divided by this.
+const WAIT_DIVISOR: u32 = 5;
+/// A client whose timeout is below this fraction of the longest one seen on its route is taken
+/// to be retrying after a refusal.
+const CLIENT_RETRY_RATIO: f64 = 0.93;
+/// Time reserved before the deadline for delivering the response to the client.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+
 #[derive(Clone, Debug)]
 struct Attempt {
     upstream: UpstreamId,
     address: SocketAddr,
     hash: UpstreamHash,
     sent: Time,
-    /// Rounds of its slots up to its end, as far as known: one if there was a free slot.
+    /// Number of service rounds, over all slots of the upstream, until this attempt completes,
+    /// as far as known: 1 if a slot was free.
     rounds: f64,
-    /// Whether the upstream was warm then.
+    /// Whether the upstream was warm when the attempt was sent.
     is_warm: bool,
-    run: RunHash,
-    /// The fingerprint of whose permit it was sent, if it needed one.
+    id: AttemptHash,
+    /// The fingerprint whose trial permit was used, if one was needed.
     permit: Option<Fingerprint>,
 }
 
@@ -105,39 +107,39 @@
     fingerprints: Fingerprints,
     arrived: Time,
     deadline: Time,
-    /// Latest sending, once it has been told to wait.
+    /// The request is refused if it is still waiting for an upstream at this time.
     wait_until: Time,
-    /// Earliest next attempt.
+    /// Time of the next attempt at the earliest.
     not_before: Time,
     arrivals: u32,
     tried: Vec<UpstreamHash>,
     slot: SlotState,
     attempt: Option<Attempt>,
     unknown: Option<UnknownCause>,
-    /// Whether its client seems to have been refused before.
-    returned: bool,
-    /// The holder that denied the key, and the assignment that named it.
+    /// Whether the client seems to be retrying after a refusal.
+    is_client_retry: bool,
+    /// The holder that rejected the key, and the assignment that named this holder.
     denied: Option<Denial>,
-    /// Whose rate it last waited for.
-    limited_by: Option<LimitWait>,
-    /// When the upstreams that could take it have rested, the first of them.
+    /// The rate-limited upstream that the request last waited for.
+    limited_by: Option<PermitWait>,
+    /// Earliest end of a rest among the upstreams that could take the request.
     rests_until: Option<Time>,
 }
 
-/// A request waits for a permit to be sent to an upstream that names a rate.
+/// A request that waits for a permit to be sent to a rate-limited upstream.
 #[derive(Clone, Copy, Debug)]
-struct LimitWait {
+struct PermitWait {
     upstream: UpstreamHash,
-    /// When there may be one; none while a lender's answer is waited for.
+    /// When a permit may become available; `None` while a lender's reply is pending.
     until: Option<Time>,
 }
 
-/// A holder said that it does not hold a key.
+/// A holder responded that it does not hold a key.
 #[derive(Clone, Debug)]
 struct Denial {
     holder: UpstreamId,
     assignment: Option<AssignmentNumber>,
-    /// After this it is asked again all the same: it may have got the key.
+    /// From this time on the holder is tried again: it may have received the key.
     until: Time,
 }
 
@@ -148,68 +150,70 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Shares {
+struct BackendCredits {
     version: u64,
     credit: Vec<i64>,
 }
 
-/// An upstream to which a connection broke off or fell silent: it may have ended.
+/// An upstream that may have terminated: a connection to it was closed or a response timed out.
+/// The caller is to check whether it still listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DoubtedUpstream {
-    /// The upstream.
+pub struct ProbeTarget {
+    /// The upstream to probe.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
 }
 
-/// Decides for all requests of one node.
+/// Makes the dispatch decisions for all requests of one node.
 pub struct Dispatcher {
     config: DispatchConfig,
     configured: bool,
     routes: RouteTable,
     divided: HashMap<ServiceName, bool>,
-    /// What cold upstreams of each service take, where that is bounded.
+    /// Rates that cold upstreams handle, for services with a cold-start limit.
     cold_rates: HashMap<ServiceName, ColdStart>,
     cold_starts: ColdStarts,
     assignments: BTreeMap<ServiceName, Rc<Assignment>>,
-    absences: Absences,
+    unheld_keys: UnheldKeys,
     requests: HashMap<Ticket, Request>,
     waiting: Vec<Ticket>,
-    shares: HashMap<String, Shares>,
-    /// Longest time that clients of each route begin with.
-    patience: HashMap<String, Duration>,
+    backend_credits: HashMap<String, BackendCredits>,
+    /// Longest client timeout seen on each route.
+    max_client_timeouts: HashMap<String, Duration>,
     version: u64,
     budgets: HashMap<ServiceName, RetryBudget>,
     health: HashMap<UpstreamHash, Health>,
     pools: Pools,
-    /// State of the directory that was followed last.
-    followed: Option<u64>,
+    /// Change counter of the directory that was applied last.
+    directory_changes: Option<u64>,
     draining_since: HashMap<UpstreamId, Time>,
     occupancy: Occupancy,
     slots: SlotTracker,
-    faults: Faults,
+    failures: FailurePenalties,
     speeds: SpeedTable,
     quarantine: Quarantine,
-    /// Upstreams to which connections broke off, and where they listen.
-    doubted: Vec<DoubtedUpstream>,
-    /// When each upstream was last doubted.
-    doubted_at: HashMap<UpstreamHash, Time>,
-    /// When each upstream last answered a request of any node.
-    heard: HashMap<UpstreamHash, Time>,
+    /// Upstreams to probe, since the last [`Dispatcher::take_probe_targets`].
+    probe_targets: Vec<ProbeTarget>,
+    /// When a probe of each upstream was last requested.
+    probed_at: HashMap<UpstreamHash, Time>,
+    /// When each upstream last responded to a request of any node.
+    last_answers: HashMap<UpstreamHash, Time>,
     limits: RateLimits,
     rests: Rests,
-    /// Upstreams that asked some node for rest: their keys are better held by others.
-    rests_of_any: Rests,
+    /// Upstreams that asked some node for a rest: other upstreams are better holders for their
+    /// keys.
+    rests_at_any_node: Rests,
     key_loads: HashMap<ServiceName, HashMap<ShardKey, u16>>,
-    nodes: usize,
+    node_count: usize,
     sequence: u32,
-    /// Attempts that were begun.
+    /// Number of attempts started.
     attempts: u32,
     random: ChaCha8Rng,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no configuration yet.
+    /// Creates a dispatcher without a configuration.
     pub fn new(config: DispatchConfig) -> Self {
         let random = ChaCha8Rng::seed_from_u64(config.run);
         let own = NodeHash::of(&config.node);
@@ -222,37 +226,37 @@
             cold_rates: HashMap::new(),
             cold_starts,
             assignments: BTreeMap::new(),
-            absences: Absences::default(),
+            unheld_keys: UnheldKeys::default(),
             requests: HashMap::new(),
             waiting: Vec::new(),
-            shares: HashMap::new(),
-            patience: HashMap::new(),
+            backend_credits: HashMap::new(),
+            max_client_timeouts: HashMap::new(),
             version: 0,
             budgets: HashMap::new(),
             health: HashMap::new(),
             pools: Pools::default(),
-            followed: None,
+            directory_changes: None,
             draining_since: HashMap::new(),
             occupancy: Occupancy::default(),
             slots: SlotTracker::default(),
-            faults: Faults::default(),
+            failures: FailurePenalties::default(),
             speeds: SpeedTable::default(),
-            quarantine: Quarantine::numbered_from(random.clone().random()),
-            doubted: Vec::new(),
-            doubted_at: HashMap::new(),
-            heard: HashMap::new(),
+            quarantine: Quarantine::with_first_number(random.clone().random()),
+            probe_targets: Vec::new(),
+            probed_at: HashMap::new(),
+            last_answers: HashMap::new(),
             limits: RateLimits::new(own, random.clone().random()),
             rests: Rests::default(),
-            rests_of_any: Rests::default(),
+            rests_at_any_node: Rests::default(),
             key_loads: HashMap::new(),
-            nodes: 1,
+            node_count: 1,
             sequence: 0,
             attempts: 0,
             random,
         }
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, configuration: &Configuration) {
         self.configured = true;
         self.version = configuration.version.0;
@@ -260,7 +264,7 @@
         self.divided = configuration
             .services
             .iter()
-            .map(|service| (service.name.clone(), service.divided))
+            .map(|service| (service.name.clone(), service.sharded))
             .collect();
         let services = configuration.services.iter();
         let bounded =
@@ -268,37 +272,43 @@
         self.cold_rates = bounded.collect();
     }
 
-    /// Puts other bounds in force: of repeats, and of leavers.
+    /// Changes the limits on retries, draining, evacuation and cold starts.
     pub fn set_bounds(&mut self, config: &DispatchConfig) {
         self.config.budget = config.budget;
-        self.config.leaver_grace = config.leaver_grace;
+        self.config.drain_grace = config.drain_grace;
         self.config.evacuation_grace = config.evacuation_grace;
         self.cold_starts.set_bound(config.cold_start);
     }
 
-    /// Takes the newest assignment of a divided service.
-    pub fn assign(&mut self, now: Time, service: ServiceName, assignment: Rc<Assignment>) {
-        self.absences.follow(now, &service, &assignment);
+    /// Applies the newest assignment of a sharded service.
+    pub fn apply_assignment(
+        &mut self,
+        now: Time,
+        service: ServiceName,
+        assignment: Rc<Assignment>,
+    ) {
+        self.unheld_keys.update(now, &service, &assignment);
         self.assignments.insert(service, assignment);
     }
 
-    /// States which nodes there are, this one included if it is registered.
+    /// Sets the registered nodes, including this one once it is registered.
     pub fn set_members(&mut self, now: Time, members: Vec<NodeHash>) {
         self.limits.set_nodes(now, &members);
         self.cold_starts.set_nodes(now, members);
     }
 
-    /// States how many nodes share the retry allowance.
-    pub fn set_nodes(&mut self, nodes: usize) {
-        self.nodes = nodes.max(1);
+    /// Sets the number of nodes that share the retry allowance.
+    pub fn set_node_count(&mut self, nodes: usize) {
+        self.node_count = nodes.max(1);
     }
 
-    /// Follows the directory: forgets who is gone, notes who begins to leave.
-    pub fn follow(&mut self, now: Time, directory: &Directory) {
-        if self.followed == Some(directory.changes()) {
+    /// Applies the directory: drops the state of upstreams that are gone and records when
+    /// upstreams start to drain.
+    pub fn apply_directory(&mut self, now: Time, directory: &Directory) {
+        if self.directory_changes == Some(directory.change_count()) {
             return;
         }
-        self.followed = Some(directory.changes());
+        self.directory_changes = Some(directory.change_count());
         self.draining_since
             .retain(|id, _| directory.get(id).is_some());
         let known: std::collections::HashSet<UpstreamHash> = directory
@@ -307,8 +317,8 @@
             .collect();
         self.health.retain(|hash, _| known.contains(hash));
         self.speeds.retain(|hash| known.contains(&hash));
-        self.heard.retain(|hash, _| known.contains(hash));
-        self.doubted_at.retain(|hash, _| known.contains(hash));
+        self.last_answers.retain(|hash, _| known.contains(hash));
+        self.probed_at.retain(|hash, _| known.contains(hash));
         self.limits.retain(|hash| known.contains(&hash));
         for registration in directory.iter() {
             let record = &registration.record;
@@ -318,42 +328,42 @@
         }
     }
 
-    /// Takes in a request. It is then decided on by [`Dispatcher::poll`].
+    /// Adds a request to the queue. [`Dispatcher::poll`] decides about it.
     ///
     /// # Errors
-    /// [`Admission`] when it can't be served at all.
+    /// [`AdmissionError`] if the request can't be served at all.
     pub fn admit(
         &mut self,
         now: Time,
         ticket: Ticket,
         head: &RequestHead,
-    ) -> Result<(), Admission> {
+    ) -> Result<(), AdmissionError> {
         if !self.configured {
-            return Err(Admission::NoConfiguration);
+            return Err(AdmissionError::NoConfiguration);
         }
         let route = self.routes.find(&head.host, &head.path);
-        let route = route.ok_or(Admission::NoRoute)?.clone();
+        let route = route.ok_or(AdmissionError::NoRoute)?.clone();
         let service = self.choose_backend(&route);
         let divided = self.divided.get(&service).copied().unwrap_or_default();
         if divided && head.key.is_none() {
-            return Err(Admission::NoKey);
+            return Err(AdmissionError::NoKey);
         }
         if self.waiting.len() >= self.config.queue_limit {
-            return Err(Admission::Overloaded);
+            return Err(AdmissionError::Overloaded);
         }
         let budget = self.budgets.entry(service.clone()).or_default();
-        budget.request(&self.config.budget, now);
+        budget.record_request(&self.config.budget, now);
         let key = head.key.filter(|_| divided);
         if let Some(key) = key {
             let loads = self.key_loads.entry(service.clone()).or_default();
             let count = loads.entry(key).or_default();
             *count = count.saturating_add(1);
         }
-        let patience = head.patience.unwrap_or(route.timeout);
-        let returned = self.has_returned(&route, patience);
-        let time = patience.min(route.timeout);
-        let deadline = now + time.saturating_sub(ANSWER_MARGIN);
-        let wait = (route.target_latency / WAIT_SHARE).min(time / 3);
+        let client_timeout = head.client_timeout.unwrap_or(route.timeout);
+        let is_client_retry = self.detect_client_retry(&route, client_timeout);
+        let time = client_timeout.min(route.timeout);
+        let deadline = now + time.saturating_sub(RESPONSE_MARGIN);
+        let wait = (route.target_latency / WAIT_DIVISOR).min(time / 3);
         self.requests.insert(
             ticket,
             Request {
@@ -369,7 +379,7 @@
                 slot: SlotState::default(),
                 attempt: None,
                 unknown: None,
-                returned,
+                is_client_retry,
                 denied: None,
                 limited_by: None,
                 rests_until: None,
@@ -380,24 +390,26 @@
         Ok(())
     }
 
-    /// Whether a client seems to have been here before: it has less time left
-    /// than clients of that route begin with.
-    fn has_returned(&mut self, route: &Route, patience: Duration) -> bool {
-        let longest = self.patience.entry(route.name.clone()).or_default();
-        *longest = (*longest).max(patience);
-        patience.as_secs_f64() < longest.as_secs_f64() * RETURNED_SHARE
+    /// Whether a client seems to be retrying: it has less time left than clients of that route
+    /// have at first.
+    fn detect_client_retry(&mut self, route: &Route, client_timeout: Duration) -> bool {
+        let longest = self
+            .max_client_timeouts
+            .entry(route.name.clone())
+            .or_default();
+        *longest = (*longest).max(client_timeout);
+        client_timeout.as_secs_f64() < longest.as_secs_f64() * CLIENT_RETRY_RATIO
     }
 
-    /// The service that gets the next request of a route: each in proportion
-    /// to its weight, spread evenly.
+    /// Selects the backend of a route for the next request by smooth weighted round-robin.
     fn choose_backend(&mut self, route: &Route) -> ServiceName {
         if let [backend] = route.backends.as_slice() {
             return backend.service.clone();
         }
         let version = self.version;
-        let shares = self.shares.entry(route.name.clone()).or_default();
-        if shares.version != version || shares.credit.len() != route.backends.len() {
-            *shares = Shares {
+        let credits = self.backend_credits.entry(route.name.clone()).or_default();
+        if credits.version != version || credits.credit.len() != route.backends.len() {
+            *credits = BackendCredits {
                 version,
                 credit: vec![0; route.backends.len()],
             };
@@ -405,12 +417,12 @@
         let total: i64 = route.backends.iter().map(|b| i64::from(b.weight)).sum();
         let mut best = 0;
         for (index, WeightedBackend { weight, .. }) in route.backends.iter().enumerate() {
-            shares.credit[index] += i64::from(*weight);
-            if shares.credit[index] > shares.credit[best] {
+            credits.credit[index] += i64::from(*weight);
+            if credits.credit[index] > credits.credit[best] {
                 best = index;
             }
         }
-        shares.credit[best] -= total;
+        credits.credit[best] -= total;
         route.backends[best].service.clone()
     }
 }
--- a/crates/dispatch/src/dispatcher/decide.rs
+++ b/crates/dispatch/src/dispatcher/decide.rs
@@ -1,32 +1,32 @@
-//! What becomes of a request that waits: it is sent, waits on, or has its final answer.
+//! Decides whether a waiting request is sent, keeps waiting, or is refused.
 
 use super::choice::Choice;
 use super::slots::SlotState;
 use super::{Dispatcher, Request};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Standing, TrialRequest, TrialStep};
+use crate::quarantine::{RequestStatus, TrialRequest, TrialStep};
 use crate::report::NodeHash;
-use crate::request::{Conclusion, Decision, Ending, RefusalReason, Ticket};
+use crate::request::{ConcludedRequest, Conclusion, Decision, RefusalReason, Ticket};
 use beamtray_catalog::{Directory, Registration};
 use beamtray_types::Time;
 use rand::RngExt;
 use std::time::Duration;
 
-/// Least time to come back in.
-pub(super) const LEAST_RETRY_AFTER: Duration = Duration::from_millis(120);
-/// Least spread of the time to come back in.
-pub(super) const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(200);
-/// Spread as a part of the time to come back in: the longer keys are without a holder,
-/// the more clients come back for them.
-const RETRY_AFTER_SPREAD_SHARE: f64 = 0.5;
+/// Lower bound on the Retry-After time.
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(120);
+/// Lower bound on the jitter added to the Retry-After time.
+pub(super) const MIN_RETRY_AFTER_JITTER: Duration = Duration::from_millis(200);
+/// Jitter relative to the Retry-After time: the longer keys are without a holder, the more
+/// clients retry for them.
+const RETRY_AFTER_JITTER_RATIO: f64 = 0.5;
 
 impl Dispatcher {
-    /// Decisions that are due.
+    /// Returns the decisions that are due now, in order of route priority and arrival.
     pub fn poll(&mut self, now: Time, directory: &Directory) -> Vec<Decision> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        self.pools.follow(directory);
+        self.pools.update(directory);
         let mut order = std::mem::take(&mut self.waiting);
         order.sort_by_key(|ticket| {
             let request = self.requests.get(ticket);
@@ -38,17 +38,18 @@
                 continue;
             };
             let decision = self.decide(now, directory, ticket, &mut request);
-            let (waits, ended) = match &decision {
-                None | Some(Decision::Ask(_) | Decision::AskTrial(_) | Decision::AskPermit(_)) => {
+            let (is_waiting, is_concluded) = match &decision {
+                None
+                | Some(Decision::AskSlot(_) | Decision::AskTrial(_) | Decision::AskPermit(_)) => {
                     (true, false)
                 }
                 Some(Decision::Forward(..)) => (false, false),
                 Some(Decision::Conclude(..)) => (false, true),
             };
-            if !ended {
+            if !is_concluded {
                 self.requests.insert(ticket, request);
             }
-            if waits {
+            if is_waiting {
                 self.waiting.push(ticket);
             }
             decisions.extend(decision);
@@ -56,7 +57,7 @@
         decisions
     }
 
-    /// What is to happen with a request now; it waits if nothing is.
+    /// Decides about one request; `None` keeps it waiting.
     fn decide(
         &mut self,
         now: Time,
@@ -68,28 +69,30 @@
             let ending = self.conclude(now, request, RefusalReason::TimeUp);
             return Some(Decision::Conclude(ticket, ending));
         }
-        // Here, not at admission alone: a request may wait while others that say the same
-        // end upstreams.
-        let standing = self.quarantine.standing(now, request.fingerprints);
-        if matches!(standing, Standing::KeptOff(_)) {
+        // Checked here and not only on admission: while a request waits, others with the same
+        // content may terminate upstreams.
+        let status = self.quarantine.status(now, request.fingerprints);
+        if matches!(status, RequestStatus::Quarantined(_)) {
             let ending = self.conclude(now, request, RefusalReason::Quarantined);
             return Some(Decision::Conclude(ticket, ending));
         }
-        let wanted = if now < request.not_before {
+        let choice = if now < request.not_before {
             Err(RefusalReason::Busy)
         } else {
             self.choose(now, directory, request)
         };
-        match wanted {
+        match choice {
             Ok(Choice::Send(registration)) => {
-                let Standing::OnTrial(fingerprint) = standing else {
+                let RequestStatus::OnTrial(fingerprint) = status else {
                     let forward = self.forward(now, ticket, request, &registration, None);
                     return Some(Decision::Forward(ticket, forward));
                 };
-                self.try_alone(now, ticket, request, &registration, fingerprint)
+                self.decide_trial(now, ticket, request, &registration, fingerprint)
             }
-            Ok(Choice::Ask) => Some(Decision::Ask(self.slot_request(now, ticket, request))),
-            Ok(Choice::AskPermit(asked)) => Some(Decision::AskPermit(asked)),
+            Ok(Choice::AskRelay) => {
+                Some(Decision::AskSlot(self.slot_request(now, ticket, request)))
+            }
+            Ok(Choice::AskPermit(permit_request)) => Some(Decision::AskPermit(permit_request)),
             Ok(Choice::Wait) => None,
             Err(reason) if now >= request.wait_until || self.is_futile(now, request, reason) => {
                 let ending = self.conclude(now, request, reason);
@@ -99,12 +102,13 @@
         }
     }
 
-    /// What is to happen with a request that is under suspicion and could be sent now: a
-    /// permit that is held while nobody could take the request would keep others waiting.
+    /// Decides about a suspected request that could be sent now. The permit is requested only
+    /// at this point, since a permit held while no upstream can take the request would block
+    /// the requests of other nodes.
     ///
-    /// It waits for its trial, or for that of another that says the same, as long as others
-    /// wait for a slot: mostly the outcome is there before.
-    fn try_alone(
+    /// The request waits for its own trial, or for that of a request with the same content, as
+    /// long as requests may wait for a slot. Usually the outcome is known by then.
+    fn decide_trial(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -119,8 +123,8 @@
                 Some(Decision::Forward(ticket, forward))
             }
             TrialStep::Ask(number) => {
-                let asked = self.trial_request(request, fingerprint, number);
-                Some(Decision::AskTrial(asked))
+                let trial_request = self.trial_request(request, fingerprint, number);
+                Some(Decision::AskTrial(trial_request))
             }
             TrialStep::Wait if now < request.wait_until => None,
             TrialStep::Wait => {
@@ -137,15 +141,15 @@
         number: u32,
     ) -> TrialRequest {
         let node = NodeHash::of(&self.config.node);
-        let lasts = request.route.timeout;
+        let timeout = request.route.timeout;
         self.quarantine
-            .trial_request(fingerprint, node, number, lasts)
+            .trial_request(fingerprint, node, number, timeout)
     }
 
-    /// Whether waiting is of no use: the key will not have a holder in time, or the upstream
-    /// takes no more before. One that a
-    /// holder denied waits for the assignment that names the next, which may be on its
-    /// way.
+    /// Whether the reason for waiting can't pass before the request's time to wait is over: the
+    /// key gets no holder, or the upstream accepts nothing, until then. A request that a holder
+    /// rejected keeps waiting, since the assignment that names the next holder may already be
+    /// on its way.
     fn is_futile(&self, now: Time, request: &Request, reason: RefusalReason) -> bool {
         if reason == RefusalReason::Limited {
             let until = request.limited_by.and_then(|wait| wait.until);
@@ -159,7 +163,8 @@
             return false;
         };
         let is_unheld = reason == RefusalReason::KeyUnheld && request.denied.is_none();
-        is_unheld && now + self.absences.remaining(now, &request.service, key) > request.wait_until
+        is_unheld
+            && now + self.unheld_keys.remaining(now, &request.service, key) > request.wait_until
     }
 
     pub(super) fn conclude(
@@ -167,7 +172,7 @@
         now: Time,
         request: &Request,
         reason: RefusalReason,
-    ) -> Ending {
+    ) -> ConcludedRequest {
         let conclusion = match request.unknown {
             Some(cause) => Conclusion::Unknown(cause),
             None => Conclusion::Refused {
@@ -175,21 +180,21 @@
                 retry_after: self.retry_after(now, request, reason),
             },
         };
-        Ending {
+        ConcludedRequest {
             conclusion,
             route: request.route.name.clone(),
             service: request.service.clone(),
             key: request.key,
             assignment: self.assignment(request),
-            limited_by: self.limit_facts(now, request, reason),
+            limited_by: self.rate_limit_state(now, request, reason),
             arrivals: request.arrivals,
             age: now.since(request.arrived),
             left: request.deadline.since(now),
         }
     }
 
-    /// When a client is to come back: when its key is likely to have a holder again, or
-    /// soon. Clients of the same keys are spread.
+    /// Returns the time after which a client should retry: when its key is expected to have a
+    /// holder again, or shortly. Jitter spreads the clients of the same keys.
     fn retry_after(&mut self, now: Time, request: &Request, reason: RefusalReason) -> Duration {
         if let Some(remaining) = self.quarantine.remaining(now, request.fingerprints) {
             return remaining;
@@ -199,16 +204,16 @@
         }
         let expected = match request.key {
             Some(key) if reason == RefusalReason::KeyUnheld => {
-                self.absences.remaining(now, &request.service, key)
+                self.unheld_keys.remaining(now, &request.service, key)
             }
             _ => self.rest_left(now, request, reason),
         };
-        let spread = RETRY_AFTER_SPREAD + expected.mul_f64(RETRY_AFTER_SPREAD_SHARE);
-        let least = expected.max(LEAST_RETRY_AFTER);
+        let spread = MIN_RETRY_AFTER_JITTER + expected.mul_f64(RETRY_AFTER_JITTER_RATIO);
+        let least = expected.max(MIN_RETRY_AFTER);
         least + spread.mul_f64(self.random.random())
     }
 
-    /// When the next decision is due if nothing else happens.
+    /// Returns when the next decision is due if nothing else happens.
     pub fn next_due(&self) -> Option<Time> {
         self.waiting
             .iter()
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -1,106 +1,112 @@
-//! Requests to upstreams that name the rate that they take.
+//! Requests to upstreams that advertise a rate limit.
 //!
-//! One without a key goes elsewhere as long as another upstream has room; what is named is
-//! used by the lenders, which have permits at hand. Only where nobody else has room are
-//! lenders asked. A request whose key has its holder there has no choice but to ask, and is
-//! refused at once where no permit can come in time. The upstream does not count as slow or
-//! failing for any of it.
-
-use super::choice::{Choice, TARGET_SHARE};
-use super::decide::{LEAST_RETRY_AFTER, RETRY_AFTER_SPREAD};
+//! A request without a key goes to another upstream as long as one has room; the advertised
+//! rate is then used by the lenders themselves, which have permits at hand. Lenders are asked
+//! only if no other upstream has room. A request whose key is held by a rate-limited upstream
+//! always needs a permit, and is refused at once if none can arrive in time. None of this makes
+//! the upstream count as slow or failing.
+
+use super::choice::{Choice, TIME_LEFT_FRACTION};
+use super::decide::{MIN_RETRY_AFTER, MIN_RETRY_AFTER_JITTER};
 use super::pools::PoolMember;
 use super::slots::SlotState;
-use super::{Dispatcher, LimitWait, Request};
+use super::{Dispatcher, PermitWait, Request};
 use crate::rate_limit::{
-    ANSWER_WAIT, LimitNotice, LimitWord, PermitCounts, PermitReply, PermitRequest, PermitStep,
+    PermitCounts, PermitReply, PermitRequest, PermitStep, REPLY_TIMEOUT, RateLimitEvent,
+    RateLimitUpdate,
 };
 use crate::report::UpstreamHash;
-use crate::request::{LimitFacts, RefusalReason, Ticket};
-use beamtray_catalog::{RateWord, Registration, RequestRate};
+use crate::request::{RateLimitState, RefusalReason, Ticket};
+use beamtray_catalog::{AdvertisedRate, Registration, RequestRate};
 use beamtray_types::Time;
 use rand::RngExt;
 use std::time::Duration;
 
-/// Over which clients that were refused come back at most: rates and loads change.
-const LONGEST_SPREAD: Duration = Duration::from_secs(3);
+/// Upper bound on the Retry-After jitter of rate-limited requests: rates and loads change.
+const MAX_RETRY_AFTER_JITTER: Duration = Duration::from_secs(3);
 
-/// Part of a route's target latency that a request waits for permits at most.
-const LONGEST_WAIT_SHARE: f64 = 0.75;
+/// Fraction of a route's target latency that a request waits for permits at most.
+const MAX_PERMIT_WAIT_FRACTION: f64 = 0.75;
 
-/// What a request has to do for a permit.
-enum PermitWay {
+/// How a request can get a permit.
+enum PermitAction {
     Send,
     Ask(PermitRequest),
-    Wait(LimitWait),
+    Wait(PermitWait),
 }
 
 impl Dispatcher {
-    /// Takes what the answer to a request said of its upstream's rate, before its end.
-    pub fn rate_named(&mut self, now: Time, ticket: Ticket, word: RateWord) {
-        if !self.config.keeps_named_rates {
+    /// Applies the rate limit advertised in the response to a request. Called before the
+    /// attempt ends.
+    pub fn observe_rate(&mut self, now: Time, ticket: Ticket, word: AdvertisedRate) {
+        if !self.config.honors_rate_limits {
             return;
         }
         let request = self.requests.get(&ticket);
         let Some(attempt) = request.and_then(|request| request.attempt.as_ref()) else {
             return;
         };
-        self.limits.named(now, attempt.hash, attempt.sent, word);
+        self.limits.observe(now, attempt.hash, attempt.sent, word);
     }
 
-    /// Takes another node's word of a rate; whether it was news.
-    pub fn limit_told(&mut self, now: Time, word: &LimitWord) -> bool {
-        self.limits.told(now, word)
+    /// Applies a rate limit update from another node. Returns whether it was new.
+    pub fn apply_rate_limit_update(&mut self, now: Time, update: &RateLimitUpdate) -> bool {
+        self.limits.apply_update(now, update)
     }
 
-    /// What is known of an upstream's rate, for another node.
-    pub fn limit_word(&mut self, now: Time, upstream: UpstreamHash) -> Option<LimitWord> {
-        self.limits.known().word(now, upstream)
+    /// What is known of an upstream's rate limit, for another node.
+    pub fn rate_limit_update(
+        &mut self,
+        now: Time,
+        upstream: UpstreamHash,
+    ) -> Option<RateLimitUpdate> {
+        self.limits.known().update(now, upstream)
     }
 
-    /// All rates that are known to be named, for another node.
-    pub fn limit_words(&mut self, now: Time) -> Vec<LimitWord> {
-        self.limits.known().words(now)
+    /// All known rate limits, for another node.
+    pub fn rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
+        self.limits.known().updates(now)
     }
 
-    /// What other nodes were not told of rates.
-    pub fn take_untold_limits(&mut self, now: Time) -> Vec<LimitWord> {
-        self.limits.known().take_untold(now)
+    /// Takes the rate limit updates that have not been sent to other nodes.
+    pub fn take_rate_limit_updates(&mut self, now: Time) -> Vec<RateLimitUpdate> {
+        self.limits.known().take_unsent_updates(now)
     }
 
-    /// What became known of rates since the last call.
-    pub fn take_limit_notices(&mut self) -> Vec<LimitNotice> {
-        self.limits.known().take_notices()
+    /// Takes the rate limit events since the last call.
+    pub fn take_rate_limit_events(&mut self) -> Vec<RateLimitEvent> {
+        self.limits.known().take_events()
     }
 
-    /// How many upstreams name a rate.
-    pub fn limited_count(&self) -> usize {
+    /// Number of upstreams that advertise a rate limit.
+    pub fn rate_limited_count(&self) -> usize {
         self.limits.count()
     }
 
-    /// What became of permits.
+    /// Counts of permits requested, used, lent and denied.
     pub fn permit_counts(&self) -> PermitCounts {
         self.limits.counts()
     }
 
-    /// The rate that an upstream names.
-    pub fn named_rate(&self, upstream: UpstreamHash) -> Option<RequestRate> {
+    /// The rate limit that an upstream advertises.
+    pub fn advertised_rate(&self, upstream: UpstreamHash) -> Option<RequestRate> {
         self.limits.rate(upstream)
     }
 
-    /// As a lender: answers a question for permits.
+    /// As a lender: handles a request for permits.
     pub fn lend_permits(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
         self.limits.lend(now, request)
     }
 
-    /// Takes a lender's answer.
-    pub fn permits_lent(&mut self, now: Time, reply: &PermitReply) {
-        self.limits.answered(now, reply);
+    /// Handles a lender's reply.
+    pub fn handle_permit_reply(&mut self, now: Time, reply: &PermitReply) {
+        self.limits.handle_reply(now, reply);
     }
 
-    fn permit_way(&mut self, now: Time, upstream: UpstreamHash) -> PermitWay {
-        let wait = |until| PermitWay::Wait(LimitWait { upstream, until });
+    fn permit_action(&mut self, now: Time, upstream: UpstreamHash) -> PermitAction {
+        let wait = |until| PermitAction::Wait(PermitWait { upstream, until });
         match self.limits.step(now, upstream) {
-            PermitStep::Send => PermitWay::Send,
+            PermitStep::Send => PermitAction::Send,
             PermitStep::Asked => wait(None),
             PermitStep::Empty { until } => wait(Some(until)),
             PermitStep::Ask {
@@ -109,34 +115,34 @@
                 wanted,
             } => {
                 let request = self.limits.request(now, upstream, lender, number, wanted);
-                request.map_or(PermitWay::Send, PermitWay::Ask)
+                request.map_or(PermitAction::Send, PermitAction::Ask)
             }
         }
     }
 
-    /// Sends a request to the upstream that it must go to, once there is a permit for it.
-    pub(super) fn with_permit(
+    /// Sends a request to the only upstream that can take it, once there is a permit.
+    pub(super) fn send_with_permit(
         &mut self,
         now: Time,
         request: &mut Request,
         hash: UpstreamHash,
         registration: &Registration,
     ) -> Result<Choice, RefusalReason> {
-        match self.permit_way(now, hash) {
-            PermitWay::Send => Ok(Choice::Send(registration.clone())),
-            PermitWay::Ask(asked) => {
+        match self.permit_action(now, hash) {
+            PermitAction::Send => Ok(Choice::Send(registration.clone())),
+            PermitAction::Ask(permit_request) => {
                 wait_for_lender(now, request);
-                Ok(Choice::AskPermit(asked))
+                Ok(Choice::AskPermit(permit_request))
             }
-            PermitWay::Wait(wait) => {
+            PermitAction::Wait(wait) => {
                 request.limited_by = Some(wait);
                 Err(RefusalReason::Limited)
             }
         }
     }
 
-    /// An upstream that names a rate and for which there is a permit here, or, where the
-    /// relay has found all others full, a lender to ask.
+    /// Selects a rate-limited upstream for which this node has a permit, or, if the relay found
+    /// all other upstreams full, a lender to ask.
     pub(super) fn choose_limited_early(
         &mut self,
         now: Time,
@@ -147,18 +153,18 @@
         }
         let pool = self.pools.of(&request.service);
         let query = self.query(now, request);
-        let takes = |member: &&PoolMember| {
+        let has_permit_and_room = |member: &&PoolMember| {
             let registration = &member.registration;
             let is_free = self.occupancy.total(member.hash) < registration.record.slots;
-            let expected = self.expected(now, query.work, registration, member.hash);
+            let expected = self.expected_time(now, query.work, registration, member.hash);
             self.limits.rate(member.hash).is_some()
                 && self.limits.has_permit(now, member.hash)
                 && self.cold_rate(now, registration).is_none()
                 && self.is_usable(now, &query, member)
                 && is_free
-                && expected <= query.left * TARGET_SHARE
+                && expected <= query.time_left * TIME_LEFT_FRACTION
         };
-        if let Some(member) = pool.iter().find(takes) {
+        if let Some(member) = pool.iter().find(has_permit_and_room) {
             return Some(Choice::Send(member.registration.clone()));
         }
         if request.slot != SlotState::Refused {
@@ -167,8 +173,8 @@
         self.choose_limited(now, request).ok()
     }
 
-    /// An upstream that names a rate, where no other has room: one for which there is a
-    /// permit, or the first whose lenders may have one.
+    /// Selects a rate-limited upstream when no other has room: one for which there is a permit,
+    /// or the first one whose lenders may have one.
     pub(super) fn choose_limited(
         &mut self,
         now: Time,
@@ -186,55 +192,57 @@
         let is_limited = |member: &&&PoolMember| self.limits.rate(member.hash).is_some();
         let limited: Vec<&PoolMember> = usable.iter().filter(is_limited).copied().collect();
         let is_only_limited = limited.len() == usable.len();
-        let mut soonest: Option<LimitWait> = None;
+        let mut earliest: Option<PermitWait> = None;
         for member in limited {
             if self.cold_rate(now, &member.registration).is_some() {
                 continue;
             }
-            match self.permit_way(now, member.hash) {
-                PermitWay::Send => return Ok(Choice::Send(member.registration.clone())),
-                PermitWay::Ask(asked) => {
+            match self.permit_action(now, member.hash) {
+                PermitAction::Send => return Ok(Choice::Send(member.registration.clone())),
+                PermitAction::Ask(permit_request) => {
                     wait_for_lender(now, request);
-                    return Ok(Choice::AskPermit(asked));
+                    return Ok(Choice::AskPermit(permit_request));
                 }
-                PermitWay::Wait(wait) => {
-                    if soonest.is_none_or(|soonest| wait.until < soonest.until) {
-                        soonest = Some(wait);
+                PermitAction::Wait(wait) => {
+                    if earliest.is_none_or(|earliest| wait.until < earliest.until) {
+                        earliest = Some(wait);
                     }
                 }
             }
         }
-        request.limited_by = soonest;
-        match soonest {
+        request.limited_by = earliest;
+        match earliest {
             Some(_) if is_only_limited => Err(RefusalReason::Limited),
             _ => Err(RefusalReason::Busy),
         }
     }
 
-    /// When a client that was refused for a rate is to come back: when there is room for it
-    /// and for those who were refused before, but not all at one moment.
+    /// Returns when a rate-limited client should retry: when there is room for it and for those
+    /// that were refused before, with jitter so that they don't all retry at once.
     pub(super) fn retry_after_limit(&mut self, now: Time, request: &Request) -> Duration {
-        let Some(facts) = self.limit_facts(now, request, RefusalReason::Limited) else {
-            return LEAST_RETRY_AFTER;
+        let Some(state) = self.rate_limit_state(now, request, RefusalReason::Limited) else {
+            return MIN_RETRY_AFTER;
         };
-        let least = facts.next_in.max(LEAST_RETRY_AFTER);
-        let spread = facts.room_in.clamp(RETRY_AFTER_SPREAD, LONGEST_SPREAD);
+        let least = state.next_in.max(MIN_RETRY_AFTER);
+        let spread = state
+            .room_in
+            .clamp(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER);
         least + spread.mul_f64(self.random.random())
     }
 
-    /// The rate that a request is refused for.
-    pub(super) fn limit_facts(
+    /// State of the rate limit that a request is refused for.
+    pub(super) fn rate_limit_state(
         &self,
         now: Time,
         request: &Request,
         reason: RefusalReason,
-    ) -> Option<LimitFacts> {
+    ) -> Option<RateLimitState> {
         let wait = request.limited_by?;
         if reason != RefusalReason::Limited {
             return None;
         }
         let in_time = |time: Option<Time>| time.map_or(Duration::ZERO, |time| time.since(now));
-        Some(LimitFacts {
+        Some(RateLimitState {
             upstream: wait.upstream,
             rate: self.limits.rate(wait.upstream),
             next_in: in_time(wait.until),
@@ -243,10 +251,14 @@
     }
 }
 
-/// Has a request wait for the lender that is asked for it, as long as it could then still be
-/// served in time: a permit that comes after its refusal is lost.
+/// Lets a request wait for the lender that is asked on its behalf, as long as it could still be
+/// served in time afterwards: a permit that arrives after the refusal is lost.
 fn wait_for_lender(now: Time, request: &mut Request) {
-    let latest = request.arrived + request.route.target_latency.mul_f64(LONGEST_WAIT_SHARE);
-    let answered = (now + ANSWER_WAIT).min(latest);
-    request.wait_until = request.wait_until.max(answered).min(request.deadline);
+    let latest = request.arrived
+        + request
+            .route
+            .target_latency
+            .mul_f64(MAX_PERMIT_WAIT_FRACTION);
+    let reply_by = (now + REPLY_TIMEOUT).min(latest);
+    request.wait_until = request.wait_until.max(reply_by).min(request.deadline);
 }
--- a/crates/dispatch/src/dispatcher/outcome.rs
+++ b/crates/dispatch/src/dispatcher/outcome.rs
@@ -1,31 +1,30 @@
-//! Attempts: how they begin, and what becomes of a request when one ends.
+//! Starts attempts and handles their outcomes.
 
 use super::choice::rounds;
 use super::slots::SlotState;
-use super::{Attempt, Denial, Dispatcher, DoubtedUpstream, Request};
+use super::{Attempt, Denial, Dispatcher, ProbeTarget, Request};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Quarantine, RunHash, RunOfRequest, TrialOutcome};
+use crate::quarantine::{AttemptHash, Quarantine, SuspectAttempt, TrialOutcome};
 use crate::report::UpstreamHash;
 use crate::request::{
-    AttemptOutcome, Ending, Forward, RefusalReason, Ticket, UnknownCause, Untouched,
+    AttemptOutcome, ConcludedRequest, Forward, NotExecuted, RefusalReason, Ticket, UnknownCause,
 };
 use beamtray_catalog::Registration;
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Pause before a holder that denied a key is asked again under the same
-/// assignment.
-const DENIED_PAUSE: Duration = Duration::from_millis(120);
-/// Pause before an upstream that said it is full is asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
-/// First pause after a failure; doubles with each further one.
-const FAILURE_PAUSE: Duration = Duration::from_millis(150);
-/// Between two doubts of an upstream that leaves requests unanswered. Each has a connection
-/// opened, which takes one of its slots for a moment, and where it is only full there are
-/// many such requests.
-const SILENCE_PAUSE: Duration = Duration::from_secs(1);
-/// Longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+/// Delay before a holder that rejected a key is tried again under the same assignment.
+const DENIAL_BACKOFF: Duration = Duration::from_millis(120);
+/// Delay before an upstream that reported to be at capacity is tried again.
+const FULL_BACKOFF: Duration = Duration::from_millis(30);
+/// Delay after the first failure; doubles with each further one.
+const INITIAL_FAILURE_BACKOFF: Duration = Duration::from_millis(150);
+/// Minimum time between two probes of an upstream that leaves requests unanswered. A probe
+/// opens a connection, which takes one of the upstream's slots for a moment, and an upstream
+/// that is merely overloaded has many unanswered requests.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Upper bound on the delay after failures.
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(3);
 
 impl Dispatcher {
     pub(super) fn forward(
@@ -38,13 +37,13 @@
     ) -> Forward {
         let record = &registration.record;
         let hash = UpstreamHash::of(&record.id);
-        self.cold_starts.sent(now, hash);
-        self.limits.sent(now, hash);
+        self.cold_starts.record_send(now, hash);
+        self.limits.record_send(now, hash);
         let occupied = self.occupancy.total(hash);
         self.occupancy.begin(hash);
         if request.arrivals > 0 {
             let budget = self.budgets.entry(request.service.clone()).or_default();
-            budget.repeat(&self.config.budget, now);
+            budget.record_retry(&self.config.budget, now);
         }
         request.arrivals += 1;
         if let Some(permit) = permit {
@@ -59,7 +58,7 @@
             sent: now,
             rounds: rounds(occupied, record.slots),
             is_warm: now >= registration.warm_at,
-            run: RunHash::of(node, process, ticket, self.attempts),
+            id: AttemptHash::of(node, process, ticket, self.attempts),
             permit,
         });
         Forward {
@@ -76,24 +75,31 @@
         }
     }
 
-    /// Takes the end of an attempt. A request that is to be tried again waits
-    /// for the next poll; the conclusion of one that is not comes back.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, outcome: AttemptOutcome) -> Option<Ending> {
+    /// Handles the end of an attempt. A request that is to be retried goes back to the queue;
+    /// otherwise its conclusion is returned.
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        outcome: AttemptOutcome,
+    ) -> Option<ConcludedRequest> {
         let mut request = self.requests.remove(&ticket)?;
         let attempt = request.attempt.take()?;
         self.occupancy.end(attempt.hash);
-        self.judge(now, &request, &attempt, outcome);
-        self.suspect(now, &request, &attempt, outcome);
+        self.record_health(now, &request, &attempt, outcome);
+        self.update_quarantine(now, &request, &attempt, outcome);
         match outcome {
             AttemptOutcome::Answered { .. } => return None,
-            AttemptOutcome::Untouched(proof) => self.untouched(now, &mut request, &attempt, proof),
+            AttemptOutcome::NotExecuted(proof) => {
+                self.handle_not_executed(now, &mut request, &attempt, proof)
+            }
             AttemptOutcome::Unknown(cause) => {
                 request.unknown = Some(cause);
                 request.tried.push(attempt.hash);
             }
         }
         request.slot = SlotState::default();
-        if !self.may_repeat(now, &request, outcome) {
+        if !self.may_retry(now, &request, outcome) {
             return Some(self.conclude(now, &request, RefusalReason::Refused));
         }
         self.requests.insert(ticket, request);
@@ -101,8 +107,8 @@
         None
     }
 
-    /// Learns from an attempt how its upstream does.
-    pub(super) fn judge(
+    /// Updates the health, failure and speed records of the attempt's upstream.
+    pub(super) fn record_health(
         &mut self,
         now: Time,
         request: &Request,
@@ -112,47 +118,51 @@
         let health = self.health.entry(attempt.hash).or_default();
         match outcome {
             AttemptOutcome::Answered { success } => {
-                self.heard.insert(attempt.hash, now);
+                self.last_answers.insert(attempt.hash, now);
                 health.failures = 0;
                 if !success {
-                    self.faults.note(now, attempt.hash, 1);
-                    self.speeds.fail(attempt.hash);
+                    self.failures.record(now, attempt.hash, 1);
+                    self.speeds.record_failure(attempt.hash);
                 }
                 if success && attempt.is_warm {
                     self.learn_speed(now, request, attempt);
                 }
             }
-            AttemptOutcome::Untouched(Untouched::Full) => {
-                health.paused_until = now + FULL_PAUSE;
+            AttemptOutcome::NotExecuted(NotExecuted::Full) => {
+                health.paused_until = now + FULL_BACKOFF;
             }
-            AttemptOutcome::Untouched(Untouched::Misdirected | Untouched::Unsent) => {}
+            AttemptOutcome::NotExecuted(NotExecuted::Misdirected | NotExecuted::Unsent) => {}
             AttemptOutcome::Unknown(UnknownCause::WrongAnswer | UnknownCause::BrokenOff) => {}
-            AttemptOutcome::Untouched(Untouched::Unconnected | Untouched::ConnectionRefused)
+            AttemptOutcome::NotExecuted(
+                NotExecuted::Unconnected | NotExecuted::ConnectionRefused,
+            )
             | AttemptOutcome::Unknown(UnknownCause::TimedOut) => {
-                let pause = FAILURE_PAUSE * 2u32.saturating_pow(health.failures.min(6));
+                let pause = INITIAL_FAILURE_BACKOFF * 2u32.saturating_pow(health.failures.min(6));
                 health.failures += 1;
-                health.paused_until = now + pause.min(LONGEST_PAUSE);
+                health.paused_until = now + pause.min(MAX_FAILURE_BACKOFF);
             }
         }
     }
 
-    /// Learns from an answer how fast its upstream is. What queued there tells that as well,
-    /// less its time in the queue: a holder of a busy key has a queue whenever a request
-    /// comes, and would never be found slow.
+    /// Updates the speed of an upstream from a response. A request that queued counts too, with
+    /// its time in the queue taken off: the holder of a busy key has a queue whenever a request
+    /// arrives, and would otherwise never be found slow.
     fn learn_speed(&mut self, now: Time, request: &Request, attempt: &Attempt) {
         let seconds = now.since(attempt.sent).as_secs_f64();
         let route = &request.route.name;
         if attempt.rounds > 1.0 {
             let seconds = seconds / attempt.rounds;
-            self.speeds.learn_queued(attempt.hash, route, seconds);
+            self.speeds
+                .record_queued_response(attempt.hash, route, seconds);
             return;
         }
-        self.speeds.learn(attempt.hash, route, seconds);
-        self.speeds.learn_service(&request.service, seconds);
+        self.speeds.record_response(attempt.hash, route, seconds);
+        self.speeds
+            .record_service_response(&request.service, seconds);
     }
 
-    /// Learns from an attempt whether its request ends upstreams.
-    fn suspect(
+    /// Updates the quarantine: whether the request terminates upstreams.
+    fn update_quarantine(
         &mut self,
         now: Time,
         request: &Request,
@@ -163,22 +173,22 @@
         match outcome {
             AttemptOutcome::Answered { success } => {
                 if success {
-                    self.quarantine.succeeded(now, request.fingerprints);
+                    self.quarantine.request_succeeded(now, request.fingerprints);
                 }
                 self.quarantine.end_trial(permit, TrialOutcome::Answered);
             }
-            AttemptOutcome::Untouched(_) => {
+            AttemptOutcome::NotExecuted(_) => {
                 self.quarantine.end_trial(permit, TrialOutcome::Unused);
             }
             AttemptOutcome::Unknown(UnknownCause::BrokenOff) => {
-                self.doubt(now, request, attempt);
+                self.request_probe(now, request, attempt);
             }
-            // The end of a connection may get lost on the way, and shows as silence then.
+            // The end of a connection may get lost in the network and then shows as a timeout.
             AttemptOutcome::Unknown(UnknownCause::TimedOut) => {
-                let last = self.doubted_at.get(&attempt.hash);
-                let is_due = last.is_none_or(|last| now.since(*last) >= SILENCE_PAUSE);
+                let last = self.probed_at.get(&attempt.hash);
+                let is_due = last.is_none_or(|last| now.since(*last) >= PROBE_INTERVAL);
                 if is_due || permit.is_some() {
-                    self.doubt(now, request, attempt);
+                    self.request_probe(now, request, attempt);
                 }
             }
             AttemptOutcome::Unknown(UnknownCause::WrongAnswer) => {
@@ -187,64 +197,67 @@
         }
     }
 
-    /// Notes that the upstream of an attempt may have ended.
-    fn doubt(&mut self, now: Time, request: &Request, attempt: &Attempt) {
-        self.doubted_at.insert(attempt.hash, now);
-        let run = RunOfRequest {
+    /// Records that the upstream of an attempt may have terminated.
+    fn request_probe(&mut self, now: Time, request: &Request, attempt: &Attempt) {
+        self.probed_at.insert(attempt.hash, now);
+        let suspect = SuspectAttempt {
             upstream: attempt.hash,
-            run: attempt.run,
+            id: attempt.id,
             fingerprints: request.fingerprints,
             permit: attempt.permit,
         };
-        self.quarantine.broke_off(now, run);
-        let doubted = DoubtedUpstream {
+        self.quarantine.connection_lost(now, suspect);
+        let target = ProbeTarget {
             upstream: attempt.upstream.clone(),
             address: attempt.address,
         };
-        if !self.doubted.contains(&doubted) {
-            self.doubted.push(doubted);
+        if !self.probe_targets.contains(&target) {
+            self.probe_targets.push(target);
         }
     }
 
-    /// Upstreams to which connections broke off, or fell silent, since the last call.
-    /// Whether they ended decides whether their requests are suspected.
-    pub fn take_doubted(&mut self) -> Vec<DoubtedUpstream> {
-        std::mem::take(&mut self.doubted)
+    /// Returns the upstreams to probe since the last call: those to which connections were
+    /// closed, or that did not respond. Their requests become suspected if the upstreams turn
+    /// out to have terminated.
+    pub fn take_probe_targets(&mut self) -> Vec<ProbeTarget> {
+        std::mem::take(&mut self.probe_targets)
     }
 
-    /// Requests that end upstreams, as known here.
+    /// Requests known here to terminate upstreams.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// The same, to add what others know.
+    /// Mutable access to the quarantine, for merging what other nodes report.
     pub fn quarantine_mut(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
 
-    pub(super) fn untouched(
+    pub(super) fn handle_not_executed(
         &self,
         now: Time,
         request: &mut Request,
         attempt: &Attempt,
-        proof: Untouched,
+        proof: NotExecuted,
     ) {
         match proof {
-            Untouched::Unconnected | Untouched::ConnectionRefused | Untouched::Unsent => {
-                // It never arrived, so it costs no budget.
+            NotExecuted::Unconnected | NotExecuted::ConnectionRefused | NotExecuted::Unsent => {
+                // The request did not reach the upstream, so it does not count against the
+                // retry budget.
                 request.arrivals -= 1;
             }
-            // What is to be done about a request whose upstream rests is known at once.
-            Untouched::Full if self.is_resting(now, attempt.hash) => {}
-            Untouched::Full => request.not_before = now + FULL_PAUSE,
-            Untouched::Misdirected if request.key.is_some() => {
+            // No backoff while the upstream rests: whether the request waits or is refused can
+            // be decided at once.
+            NotExecuted::Full if self.is_resting(now, attempt.hash) => {}
+            NotExecuted::Full => request.not_before = now + FULL_BACKOFF,
+            NotExecuted::Misdirected if request.key.is_some() => {
                 request.denied = Some(Denial {
                     holder: attempt.upstream.clone(),
                     assignment: self.assignment(request),
-                    until: now + DENIED_PAUSE,
+                    until: now + DENIAL_BACKOFF,
                 });
             }
-            Untouched::Misdirected => {}
+            NotExecuted::Misdirected => {}
         }
         if request.key.is_none() {
             request.tried.push(attempt.hash);
@@ -255,15 +268,16 @@
         request.wait_until = request.wait_until.max(now + half).min(request.deadline);
     }
 
-    pub(super) fn may_repeat(
+    pub(super) fn may_retry(
         &mut self,
         now: Time,
         request: &Request,
         outcome: AttemptOutcome,
     ) -> bool {
-        let proved = matches!(outcome, AttemptOutcome::Untouched(_)) && request.unknown.is_none();
-        let must_prove = self.config.proves_before_repeat && !request.route.repeatable;
-        if !proved && must_prove {
+        let is_proven =
+            matches!(outcome, AttemptOutcome::NotExecuted(_)) && request.unknown.is_none();
+        let requires_proof = self.config.requires_proof_before_retry && !request.route.repeatable;
+        if !is_proven && requires_proof {
             return false;
         }
         if request.arrivals >= request.route.max_attempts || now >= request.deadline {
@@ -272,12 +286,12 @@
         if request.arrivals == 0 {
             return true;
         }
-        let nodes = self.nodes.max(self.occupancy.peer_count() + 1);
+        let nodes = self.node_count.max(self.occupancy.peer_count() + 1);
         let budget = self.budgets.entry(request.service.clone()).or_default();
         budget.allows(&self.config.budget, now, nodes)
     }
 
-    /// Forgets a request whose client left; whether an attempt is under way.
+    /// Drops a request whose client disconnected. Returns whether an attempt is in flight.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(request) = self.requests.remove(&ticket) else {
             return false;
--- a/crates/dispatch/src/dispatcher/reports.rs
+++ b/crates/dispatch/src/dispatcher/reports.rs
@@ -1,38 +1,39 @@
-//! What the dispatcher tells, and takes from, other nodes and processes.
+//! Exchange of load, responses and speeds with other nodes and with earlier processes of this
+//! node.
 
 use super::Dispatcher;
 use crate::occupancy::Occupancy;
 use crate::occupancy::SumSource;
 use crate::report::{
-    Answers, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
+    AnswerStats, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
 };
 use crate::speed::{SpeedRecord, SpeedTable};
 use beamtray_types::Time;
 
 impl Dispatcher {
-    /// Takes another node's report.
-    pub fn report(&mut self, now: Time, report: &LoadReport) {
-        self.occupancy.report(now, report);
-        self.take_others_answers(now, &report.answers);
+    /// Applies another node's load report.
+    pub fn apply_load_report(&mut self, now: Time, report: &LoadReport) {
+        self.occupancy.apply_load_report(now, report);
+        self.apply_answers(now, &report.answers);
     }
 
-    /// When an upstream last answered a request of any node, as far as known.
-    pub fn heard(&self, upstream: UpstreamHash) -> Option<Time> {
-        self.heard.get(&upstream).copied()
+    /// When an upstream last responded to a request of any node, as far as known.
+    pub fn last_answer_at(&self, upstream: UpstreamHash) -> Option<Time> {
+        self.last_answers.get(&upstream).copied()
     }
 
-    /// Forgets peers that fell silent.
+    /// Drops expired state: peers that stopped reporting, rests, suspicions and cold starts.
     pub fn expire(&mut self, now: Time) {
         self.quarantine.expire(now);
         self.rests.expire(now);
-        self.rests_of_any.expire(now);
+        self.rests_at_any_node.expire(now);
         self.occupancy.expire(now);
         self.cold_starts.expire(now);
     }
 
-    /// This node's requests under way, for other nodes. `answers` tells them
-    /// also of the answers since the last such report.
-    pub fn load_report(&mut self, answers: Vec<Answers>) -> LoadReport {
+    /// Builds a report of this node's requests in flight. `answers` adds the responses since
+    /// the last report that had any.
+    pub fn load_report(&mut self, answers: Vec<AnswerStats>) -> LoadReport {
         self.sequence += 1;
         let own = self.occupancy.own_all();
         let in_flight: Vec<InFlight> = own
@@ -41,7 +42,8 @@
                 requests: requests.min(u16::from(u8::MAX)) as u8,
             })
             .collect();
-        self.occupancy.reported(self.sequence, in_flight.clone());
+        self.occupancy
+            .record_own_report(self.sequence, in_flight.clone());
         LoadReport {
             node: NodeHash::of(&self.config.node),
             run: self.config.run as u32,
@@ -51,47 +53,47 @@
         }
     }
 
-    /// Takes a relay's sum of requests under way.
-    pub fn take_sum(&mut self, now: Time, source: SumSource, sum: &LoadSum) {
+    /// Applies a relay's sum of requests in flight.
+    pub fn apply_load_sum(&mut self, now: Time, source: SumSource, sum: &LoadSum) {
         let own = NodeHash::of(&self.config.node);
-        self.occupancy.take_sum(now, own, source, sum);
+        self.occupancy.apply_load_sum(now, own, source, sum);
     }
 
-    /// Requests under way of this node and of those that report to it, for the
-    /// relays of other zones, or with `all_zones` for the nodes of its own.
+    /// Sums the requests in flight of this node and of the nodes that report to it, for the
+    /// relays of other zones; with `all_zones` over all zones, for the nodes of its own zone.
     pub fn load_sum(&mut self, all_zones: bool) -> Vec<LoadSum> {
         self.sequence += 1;
         self.occupancy.sum(self.sequence, all_zones)
     }
 
-    /// Takes answers that other nodes had.
-    pub fn take_others_answers(&mut self, now: Time, answers: &[Answers]) {
+    /// Applies response statistics of other nodes.
+    pub fn apply_answers(&mut self, now: Time, answers: &[AnswerStats]) {
         for answers in answers {
-            self.heard.insert(answers.upstream, now);
+            self.last_answers.insert(answers.upstream, now);
             if answers.failures > 0 {
                 let failures = u32::from(answers.failures);
-                self.faults.note(now, answers.upstream, failures);
+                self.failures.record(now, answers.upstream, failures);
             }
             let count = f64::from(answers.samples);
             self.speeds
-                .add(answers.upstream, count, f64::from(answers.sum));
+                .add_samples(answers.upstream, count, f64::from(answers.sum));
         }
     }
 
-    /// Answers that other nodes were not told of.
-    pub fn take_answers(&mut self) -> Vec<Answers> {
-        let untold = self.speeds.take_untold().into_iter();
-        untold
-            .map(|(upstream, untold)| Answers {
+    /// Takes the response statistics that have not been reported to other nodes.
+    pub fn take_answers(&mut self) -> Vec<AnswerStats> {
+        let unreported = self.speeds.take_unreported().into_iter();
+        unreported
+            .map(|(upstream, unreported)| AnswerStats {
                 upstream,
-                samples: untold.count.min(u32::from(u8::MAX)) as u8,
-                sum: untold.sum as f32,
-                failures: untold.failures.min(u32::from(u8::MAX)) as u8,
+                samples: unreported.count.min(u32::from(u8::MAX)) as u8,
+                sum: unreported.sum as f32,
+                failures: unreported.failures.min(u32::from(u8::MAX)) as u8,
             })
             .collect()
     }
 
-    /// This node's requests by key since the last such report.
+    /// Takes the number of requests per key at this node since the last call.
     pub fn key_report(&mut self) -> KeyReport {
         let mut report = KeyReport::default();
         for (service, loads) in self.key_loads.drain() {
@@ -108,9 +110,9 @@
         report
     }
 
-    /// Takes speeds that an earlier process learned.
-    pub fn adopt_speeds(&mut self, record: &SpeedRecord) {
-        self.speeds.adopt(record);
+    /// Restores speeds learned by an earlier process.
+    pub fn restore_speeds(&mut self, record: &SpeedRecord) {
+        self.speeds.restore(record);
     }
 
     /// Learned speeds.
@@ -118,13 +120,13 @@
         &self.speeds
     }
 
-    /// Requests under way over all nodes.
+    /// Requests in flight at each upstream, over all nodes.
     pub fn occupancy(&self) -> &Occupancy {
         &self.occupancy
     }
 
-    /// Requests that wait here, and all that are not answered yet.
-    pub fn counts(&self) -> (usize, usize) {
+    /// Number of waiting requests, and of all requests that have no response yet.
+    pub fn request_counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.requests.len())
     }
 }
--- a/crates/dispatch/src/dispatcher/slots.rs
+++ b/crates/dispatch/src/dispatcher/slots.rs
@@ -1,14 +1,13 @@
-//! Slots of upstreams that one node of a zone gives out to the others.
+//! Allocation of upstream slots to the nodes of a zone by its relay.
 //!
-//! Where there are many nodes, each hears of the others' requests by sums that are
-//! about as old as a request lasts. All of them then send to the same upstreams,
-//! which looked idle a while ago, and fill their queues. So a node that has a
-//! request without a key asks its zone's relay, which hears of every request of the
-//! zone, where to send it. The relay counts what it gave out until the node reports
-//! it.
+//! In large deployments a node learns of the others' requests from sums that are about as old
+//! as a request lasts. All nodes would then send to the same upstreams, which were idle a
+//! moment ago, and fill their queues. A node with a request without a key therefore asks its
+//! zone's relay, which learns of every request of the zone, where to send it. The relay counts
+//! each allocated slot until the node's own report covers it.
 //!
-//! A node that gets no answer within [`SLOT_WAIT`] chooses by itself: a relay that
-//! is lost costs its zone that wait, and no request.
+//! A node that gets no reply within [`RELAY_TIMEOUT`] chooses by itself: the loss of a relay
+//! costs its zone that delay, and no request.
 
 use super::choice::Query;
 use super::{Dispatcher, Request};
@@ -20,137 +19,138 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long the relay's answer is waited for: some round trips within a zone, and a
-/// turn of a relay that has little processor time.
-pub(super) const SLOT_WAIT: Duration = Duration::from_millis(40);
-/// Answers that stay out one after the other until a relay is not asked for a while.
-const MOST_UNANSWERED: u32 = 2;
-/// How long that while is.
-const ASK_NOBODY: Duration = Duration::from_millis(300);
-/// Pause before the relay is asked again when it had no slot.
-pub(super) const NO_SLOT_PAUSE: Duration = Duration::from_millis(30);
-/// How long an upstream that a node could not reach is given to others only if
-/// they are much busier.
-const SUSPECT: Duration = Duration::from_millis(400);
-
-/// Asks a relay which upstream a request is to be sent to.
+/// How long a node waits for the relay's reply: a few round trips within a zone, plus the
+/// scheduling delay of a relay with little CPU time.
+pub(super) const RELAY_TIMEOUT: Duration = Duration::from_millis(40);
+/// Number of consecutive requests without a reply after which the relay is not asked for
+/// [`RELAY_BACKOFF`].
+const MAX_UNANSWERED: u32 = 2;
+/// How long an unresponsive relay is not asked.
+const RELAY_BACKOFF: Duration = Duration::from_millis(300);
+/// Delay before the relay is asked again after it had no slot.
+pub(super) const NO_SLOT_BACKOFF: Duration = Duration::from_millis(30);
+/// How long an upstream that a node could not reach is allocated to others only if the
+/// alternatives are much busier.
+const UNREACHABLE_FOR: Duration = Duration::from_millis(400);
+
+/// Asks a relay to select the upstream for a request.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SlotRequest {
-    /// The request at the asking node.
+    /// The request, as known to the asking node.
     pub ticket: Ticket,
-    /// What the asking node has under way now.
+    /// The asking node's requests in flight.
     pub report: LoadReport,
-    /// The service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// Microseconds that such a request takes on average.
+    /// Average duration of such a request in microseconds.
     pub work_us: u32,
-    /// Milliseconds within which it is to be answered.
+    /// Milliseconds within which the request should be answered.
     pub left_ms: u32,
-    /// Upstreams that it is not to be sent to.
+    /// Upstreams to exclude.
     pub excluded: Vec<UpstreamHash>,
-    /// Those of them that the asking node can't reach.
+    /// Upstreams among the excluded ones that the asking node can't reach.
     pub unreachable: Vec<UpstreamHash>,
 }
 
-/// A relay's answer.
+/// A relay's reply to a [`SlotRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SlotReply {
-    /// The request that asked.
+    /// The request that the slot is for.
     pub ticket: Ticket,
-    /// The upstream; none if all are busy.
+    /// The selected upstream; `None` if all are busy.
     pub upstream: Option<UpstreamHash>,
 }
 
-/// How a request stands with the relay that gives out slots.
+/// State of a request's slot allocation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum SlotState {
-    /// The relay was not asked.
+    /// The relay has not been asked.
     #[default]
-    Unasked,
-    /// It was, and is waited for until then.
+    NotAsked,
+    /// The relay was asked; its reply is awaited until then.
     Asked(Time),
-    /// It named an upstream.
-    Given(UpstreamHash),
-    /// It had none.
+    /// The relay selected this upstream.
+    Allocated(UpstreamHash),
+    /// The relay had no slot.
     Refused,
-    /// It did not answer: this node chooses by itself.
+    /// The relay did not reply; this node chooses by itself.
     Unanswered,
 }
 
-/// How questions for slots ended, since the process began.
+/// Outcomes of slot requests since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotCounts {
-    /// The relay named an upstream.
+    /// The relay selected an upstream.
     pub given: u64,
-    /// It had none.
+    /// The relay had no slot.
     pub refused: u64,
-    /// It did not answer in time.
+    /// The relay did not reply in time.
     pub unanswered: u64,
-    /// As the relay: questions of other nodes.
+    /// Requests of other nodes that this node handled as the relay.
     pub asked_here: u64,
 }
 
-/// Whether the relay answers, and whom other nodes can't reach.
+/// Tracks whether the relay replies, and which upstreams other nodes can't reach.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotTracker {
-    /// Whether there is a relay to ask.
+    /// Whether the zone has a relay to ask.
     pub has_relay: bool,
     pub counts: SlotCounts,
     unanswered: u32,
     ask_from: Time,
-    suspects: HashMap<UpstreamHash, Time>,
+    unreachable_until: HashMap<UpstreamHash, Time>,
 }
 
 impl SlotTracker {
-    fn is_asked(&self, now: Time) -> bool {
+    fn may_ask(&self, now: Time) -> bool {
         self.has_relay && now >= self.ask_from
     }
 
     fn note_unanswered(&mut self, now: Time) {
         self.counts.unanswered += 1;
         self.unanswered += 1;
-        if self.unanswered >= MOST_UNANSWERED {
+        if self.unanswered >= MAX_UNANSWERED {
             self.unanswered = 0;
-            self.ask_from = now + ASK_NOBODY;
+            self.ask_from = now + RELAY_BACKOFF;
         }
     }
 
-    /// Whether another node could not reach the upstream of late.
-    pub fn is_suspect(&self, now: Time, upstream: UpstreamHash) -> bool {
-        self.suspects
+    /// Whether another node recently failed to reach the upstream.
+    pub fn is_reported_unreachable(&self, now: Time, upstream: UpstreamHash) -> bool {
+        self.unreachable_until
             .get(&upstream)
             .is_some_and(|until| now < *until)
     }
 
-    fn suspect(&mut self, now: Time, upstreams: &[UpstreamHash]) {
-        self.suspects.retain(|_, until| now < *until);
-        let until = now + SUSPECT;
-        self.suspects
+    fn note_unreachable(&mut self, now: Time, upstreams: &[UpstreamHash]) {
+        self.unreachable_until.retain(|_, until| now < *until);
+        let until = now + UNREACHABLE_FOR;
+        self.unreachable_until
             .extend(upstreams.iter().map(|upstream| (*upstream, until)));
     }
 }
 
-/// What the relay says to a request now.
+/// Next step of a request's slot allocation.
 pub(super) enum SlotStep {
-    /// Ask it.
+    /// Ask the relay.
     Ask,
-    /// Wait for its answer.
+    /// Wait for the relay's reply.
     Wait,
-    /// Send the request there.
+    /// Send the request to this upstream.
     Use(UpstreamHash),
-    /// Choose without it.
+    /// Choose without the relay.
     Choose,
-    /// Give up: it has had no slot for as long as the request may wait.
+    /// Give up: the relay has had no slot for as long as the request may wait.
     GiveUp,
 }
 
 impl Dispatcher {
-    /// States whether there is a relay that gives out slots.
+    /// Sets whether the zone has a relay that allocates slots.
     pub fn set_slot_relay(&mut self, has_relay: bool) {
         self.slots.has_relay = has_relay;
     }
 
-    /// How questions for slots ended.
+    /// Outcomes of slot requests.
     pub fn slot_counts(&self) -> SlotCounts {
         self.slots.counts
     }
@@ -158,8 +158,8 @@
     pub(super) fn slot_step(&mut self, now: Time, request: &mut Request) -> SlotStep {
         match request.slot {
             SlotState::Refused if now >= request.wait_until => SlotStep::GiveUp,
-            SlotState::Unasked | SlotState::Refused if self.slots.is_asked(now) => {
-                request.slot = SlotState::Asked(now + SLOT_WAIT);
+            SlotState::NotAsked | SlotState::Refused if self.slots.may_ask(now) => {
+                request.slot = SlotState::Asked(now + RELAY_TIMEOUT);
                 SlotStep::Ask
             }
             SlotState::Asked(until) if now < until => SlotStep::Wait,
@@ -168,12 +168,12 @@
                 request.slot = SlotState::Unanswered;
                 SlotStep::Choose
             }
-            SlotState::Given(upstream) => SlotStep::Use(upstream),
-            SlotState::Unasked | SlotState::Refused | SlotState::Unanswered => SlotStep::Choose,
+            SlotState::Allocated(upstream) => SlotStep::Use(upstream),
+            SlotState::NotAsked | SlotState::Refused | SlotState::Unanswered => SlotStep::Choose,
         }
     }
 
-    /// The question to the relay for a request.
+    /// Builds the slot request for a request.
     pub(super) fn slot_request(
         &mut self,
         now: Time,
@@ -195,33 +195,34 @@
             report: self.load_report(Vec::new()),
             service: request.service.clone(),
             work_us: (query.work * 1e6) as u32,
-            left_ms: (query.left * 1e3) as u32,
+            left_ms: (query.time_left * 1e3) as u32,
             excluded,
             unreachable,
         }
     }
 
-    /// As the relay: chooses an upstream for another node's request and counts it.
-    pub fn give_slot(
+    /// As the relay: selects an upstream for another node's request and counts the slot.
+    pub fn allocate_slot(
         &mut self,
         now: Time,
         directory: &Directory,
         request: &SlotRequest,
     ) -> SlotReply {
-        self.pools.follow(directory);
+        self.pools.update(directory);
         self.slots.counts.asked_here += 1;
-        self.slots.suspect(now, &request.unreachable);
+        self.slots.note_unreachable(now, &request.unreachable);
         let query = Query {
             work: f64::from(request.work_us) / 1e6,
-            left: f64::from(request.left_ms) / 1e3,
+            time_left: f64::from(request.left_ms) / 1e3,
             tried: &request.excluded,
-            is_others: true,
+            is_for_peer: true,
         };
         let pool = self.pools.of(&request.service);
         let member = self.least_cost(now, &query, &pool);
         let upstream = member.map(|member| member.hash);
         if let Some(upstream) = upstream {
-            self.occupancy.given(now, request.report.node, upstream);
+            self.occupancy
+                .slot_allocated(now, request.report.node, upstream);
         }
         SlotReply {
             ticket: request.ticket,
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Takes the relay's answer.
-    pub fn slot_given(&mut self, now: Time, reply: SlotReply) {
+    /// Handles the relay's reply.
+    pub fn handle_slot_reply(&mut self, now: Time, reply: SlotReply) {
         self.slots.unanswered = 0;
         let Some(request) = self.requests.get_mut(&reply.ticket) else {
             return;
@@ -241,12 +242,12 @@
         match reply.upstream {
             Some(upstream) => {
                 self.slots.counts.given += 1;
-                request.slot = SlotState::Given(upstream);
+                request.slot = SlotState::Allocated(upstream);
             }
             None => {
                 self.slots.counts.refused += 1;
                 request.slot = SlotState::Refused;
-                request.not_before = now + NO_SLOT_PAUSE;
+                request.not_before = now + NO_SLOT_BACKOFF;
             }
         }
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decides which upstream gets a request, when, and what becomes of a request
-//! that failed there.
+//! Request dispatching: selects the upstream for each request and decides whether and when a
+//! failed attempt is retried.
 //!
-//! [`Dispatcher`] is pure: requests, answers and views go in with the time,
-//! decisions come out. What other nodes send to the same upstreams is known
-//! from [`LoadReport`]s; without them a node acts on its own counts alone.
+//! [`Dispatcher`] performs no I/O and reads no clock: requests, responses and cluster state are
+//! passed in together with the current time, and it returns decisions. The load that other
+//! nodes put on the same upstreams is learned from [`LoadReport`]s; without them a node uses
+//! only its own counts.
 
 mod budget;
 mod dispatcher;
@@ -17,22 +18,23 @@
 mod rests;
 mod speed;
 
-pub use budget::{BudgetConfig, RetryBudget};
+pub use budget::{RetryBudget, RetryBudgetConfig};
 pub use dispatcher::{
-    ColdStartBound, DispatchConfig, Dispatcher, DoubtedUpstream, SlotCounts, SlotReply, SlotRequest,
+    ColdStartBound, DispatchConfig, Dispatcher, ProbeTarget, SlotCounts, SlotReply, SlotRequest,
 };
 pub use fingerprint::{Fingerprint, Fingerprints, RequestContent};
 pub use occupancy::{Occupancy, SumSource};
 pub use quarantine::{
-    Quarantine, QuarantineNotice, RunHash, Suspicion, SuspicionRecord, TrialOutcome, TrialReply,
-    TrialReport, TrialRequest, UPSTREAMS_ENDED,
+    AttemptHash, Quarantine, QuarantineEvent, Suspicion, SuspicionRecord, TrialOutcome, TrialReply,
+    TrialReport, TrialRequest, UPSTREAMS_BEFORE_QUARANTINE,
 };
-pub use rate_limit::{LimitNotice, LimitWord, PermitCounts, PermitReply, PermitRequest};
+pub use rate_limit::{PermitCounts, PermitReply, PermitRequest, RateLimitEvent, RateLimitUpdate};
 pub use report::{
-    Answers, Contained, InFlight, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash, UpstreamHash,
+    AnswerStats, InFlight, IncludedReport, KeyLoad, KeyReport, LoadReport, LoadSum, NodeHash,
+    UpstreamHash,
 };
 pub use request::{
-    Admission, AssignmentNumber, AttemptOutcome, Conclusion, Decision, Ending, Forward, LimitFacts,
-    RefusalReason, RequestHead, Ticket, UnknownCause, Untouched,
+    AdmissionError, AssignmentNumber, AttemptOutcome, ConcludedRequest, Conclusion, Decision,
+    Forward, NotExecuted, RateLimitState, RefusalReason, RequestHead, Ticket, UnknownCause,
 };
-pub use speed::{MeanWork, SpeedRecord, SpeedTable, UpstreamSpeed};
+pub use speed::{MeanResponseTime, SpeedRecord, SpeedTable, UpstreamSpeed};
--- a/crates/dispatch/src/occupancy.rs
+++ b/crates/dispatch/src/occupancy.rs
@@ -1,48 +1,50 @@
-//! How many requests are under way at each upstream, over all nodes.
+//! Number of requests in flight at each upstream, over all nodes.
 //!
-//! Where there are few nodes, each hears every other one's report. Where there
-//! are many, a node reports to the relays of its zone. A relay sums what it
-//! hears, tells the relays of other zones, and tells the nodes of its own zone
-//! the sum over all zones. Such a sum has the node's own earlier report in it,
-//! which is taken out again by its number.
+//! In small deployments each node receives every other node's report. In large ones a node
+//! reports to the relays of its zone. A relay sums the reports it receives, sends the sum to
+//! the relays of other zones, and sends the sum over all zones to the nodes of its own zone.
+//! Such a sum includes an earlier report of the receiving node, which is subtracted again,
+//! identified by its sequence number.
 
-use crate::report::{Contained, InFlight, LoadReport, LoadSum, NodeHash, UpstreamHash, divide};
+use crate::report::{
+    InFlight, IncludedReport, LoadReport, LoadSum, NodeHash, UpstreamHash, divide,
+};
 use beamtray_types::Time;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 use std::time::Duration;
 
-/// What has not been reported again for this long no longer counts.
-const FORGET: Duration = Duration::from_millis(1_500);
-/// Between looks for nodes and sums that fell silent.
-const EXPIRE_PAUSE: Duration = Duration::from_millis(100);
-/// A report that comes sooner than this after a slot was given out may not tell of
-/// the request that it was for.
-const GIVEN_UNSEEN: Duration = Duration::from_millis(8);
-/// Own reports that may come back within a sum.
-const OWN_REPORTS: usize = 24;
+/// Reports and sums that have not been renewed for this long are dropped.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
+/// Minimum time between two searches for expired reports and sums.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
+/// A report that arrives sooner than this after a slot was allocated may not include the
+/// request that the slot is for.
+const ALLOCATION_GRACE: Duration = Duration::from_millis(8);
+/// Number of own reports kept, since any of them may be part of a sum.
+const MAX_OWN_REPORTS: usize = 24;
 
 #[derive(Clone, Debug)]
 struct Peer {
     run: u32,
     sequence: u32,
-    heard: Time,
+    received_at: Time,
     in_flight: Vec<InFlight>,
-    /// Slots that were given to this node and that it has not reported yet.
-    given: Vec<(Time, UpstreamHash)>,
+    /// Slots that were allocated to this node and that it has not reported yet.
+    allocated: Vec<(Time, UpstreamHash)>,
 }
 
 #[derive(Clone, Debug)]
 struct SumPart {
     parts: u8,
-    heard: Time,
+    received_at: Time,
     in_flight: Vec<InFlight>,
 }
 
-/// Who gave a sum.
+/// Sender of a sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SumSource {
-    /// A relay of another zone, by the zone's number.
+    /// A relay of another zone, identified by the zone's number.
     Zone(u32),
     /// A relay of this node's zone.
     OwnRelay,
@@ -54,14 +56,14 @@
     in_flight: Vec<InFlight>,
 }
 
-/// Requests under way at each upstream.
+/// Requests in flight at each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Occupancy {
     own: HashMap<UpstreamHash, u16>,
     own_reports: VecDeque<OwnReport>,
     peers: HashMap<NodeHash, Peer>,
     sums: HashMap<(SumSource, u8), SumPart>,
-    /// Everything but the own requests, summed.
+    /// Sum over all other nodes.
     others: HashMap<UpstreamHash, u32>,
     expire_at: Time,
 }
@@ -72,7 +74,7 @@
         *self.own.entry(upstream).or_default() += 1;
     }
 
-    /// Counts the end of one.
+    /// Counts the end of a request of this node.
     pub fn end(&mut self, upstream: UpstreamHash) {
         if let Some(count) = self.own.get_mut(&upstream) {
             *count = count.saturating_sub(1);
@@ -82,79 +84,78 @@
         }
     }
 
-    /// Requests of this node under way.
+    /// Requests of this node in flight.
     pub fn own(&self, upstream: UpstreamHash) -> u32 {
         self.own.get(&upstream).copied().unwrap_or_default().into()
     }
 
-    /// Upstreams with requests of this node.
+    /// Upstreams with requests of this node in flight.
     pub fn own_all(&self) -> impl Iterator<Item = (UpstreamHash, u16)> + '_ {
         self.own.iter().map(|(upstream, count)| (*upstream, *count))
     }
 
-    /// Requests of all nodes under way, as far as known.
+    /// Requests of all nodes in flight, as far as known.
     pub fn total(&self, upstream: UpstreamHash) -> u32 {
         let others = self.others.get(&upstream).copied().unwrap_or_default();
         self.own(upstream) + others
     }
 
-    /// Keeps what this node reported, so that it can be told from a sum.
-    pub fn reported(&mut self, sequence: u32, in_flight: Vec<InFlight>) {
+    /// Keeps a report of this node, so that it can be subtracted from a sum.
+    pub fn record_own_report(&mut self, sequence: u32, in_flight: Vec<InFlight>) {
         self.own_reports.push_back(OwnReport {
             sequence,
             in_flight,
         });
-        if self.own_reports.len() > OWN_REPORTS {
+        if self.own_reports.len() > MAX_OWN_REPORTS {
             self.own_reports.pop_front();
         }
     }
 
-    /// Takes another node's report.
-    pub fn report(&mut self, now: Time, report: &LoadReport) {
+    /// Applies another node's report.
+    pub fn apply_load_report(&mut self, now: Time, report: &LoadReport) {
         let peer = self.peers.entry(report.node).or_insert(Peer {
             run: report.run,
             sequence: 0,
-            heard: now,
+            received_at: now,
             in_flight: Vec::new(),
-            given: Vec::new(),
+            allocated: Vec::new(),
         });
-        let older = peer.run == report.run && report.sequence <= peer.sequence;
-        if older {
+        let is_stale = peer.run == report.run && report.sequence <= peer.sequence;
+        if is_stale {
             return;
         }
         peer.run = report.run;
         peer.sequence = report.sequence;
-        peer.heard = now;
+        peer.received_at = now;
         let before = std::mem::replace(&mut peer.in_flight, report.in_flight.clone());
         subtract(&mut self.others, &before);
         add(&mut self.others, &report.in_flight);
         let others = &mut self.others;
-        peer.given.retain(|(at, upstream)| {
-            let unseen = now.since(*at) < GIVEN_UNSEEN;
-            if !unseen {
-                take_one(others, *upstream);
+        peer.allocated.retain(|(at, upstream)| {
+            let is_unreported = now.since(*at) < ALLOCATION_GRACE;
+            if !is_unreported {
+                subtract_one(others, *upstream);
             }
-            unseen
+            is_unreported
         });
     }
 
-    /// Counts a slot that was given to another node until that node reports.
-    pub fn given(&mut self, now: Time, node: NodeHash, upstream: UpstreamHash) {
+    /// Counts a slot that was allocated to another node until that node's report includes it.
+    pub fn slot_allocated(&mut self, now: Time, node: NodeHash, upstream: UpstreamHash) {
         if let Some(peer) = self.peers.get_mut(&node) {
-            peer.given.push((now, upstream));
+            peer.allocated.push((now, upstream));
             *self.others.entry(upstream).or_default() += 1;
         }
     }
 
-    /// Takes a relay's sum. `own` is this node's name, whose report is taken
-    /// out of it. Two relays of a zone may both tell for a while; the one heard
-    /// last counts.
-    pub fn take_sum(&mut self, now: Time, own: NodeHash, source: SumSource, sum: &LoadSum) {
+    /// Applies a relay's sum, without the share of this node, which is `own`. Two relays of a
+    /// zone may both send sums for a while; the newest one counts.
+    pub fn apply_load_sum(&mut self, now: Time, own: NodeHash, source: SumSource, sum: &LoadSum) {
         self.drop_parts(|(from, _), part| from == source && part.parts != sum.parts);
         let in_flight = self.without_own(own, sum);
         let part = SumPart {
             parts: sum.parts,
-            heard: now,
+            received_at: now,
             in_flight,
         };
         let key = (source, sum.part);
@@ -187,8 +188,8 @@
         in_flight
     }
 
-    /// Sums what this node and the nodes that report to it have under way; with
-    /// `all_zones` also what relays of other zones told.
+    /// Sums the requests in flight of this node and of the nodes that report to it; with
+    /// `all_zones` also those that relays of other zones reported.
     pub fn sum(&self, sequence: u32, all_zones: bool) -> Vec<LoadSum> {
         let mut counts: HashMap<UpstreamHash, u32> = HashMap::new();
         for (upstream, count) in &self.own {
@@ -196,7 +197,7 @@
         }
         for peer in self.peers.values() {
             add(&mut counts, &peer.in_flight);
-            for (_, upstream) in &peer.given {
+            for (_, upstream) in &peer.allocated {
                 *counts.entry(*upstream).or_default() += 1;
             }
         }
@@ -206,32 +207,32 @@
                 add(&mut counts, &part.in_flight);
             }
         }
-        let peers = self.peers.iter().map(|(node, peer)| Contained {
+        let peers = self.peers.iter().map(|(node, peer)| IncludedReport {
             node: *node,
             sequence: peer.sequence,
         });
-        let contains: Vec<Contained> = peers.filter(|_| all_zones).collect();
+        let contains: Vec<IncludedReport> = peers.filter(|_| all_zones).collect();
         divide(sequence, counts.into_iter().collect(), &contains)
     }
 
-    /// Forgets nodes and sums that fell silent.
+    /// Drops expired reports and sums.
     pub fn expire(&mut self, now: Time) {
         if now < self.expire_at {
             return;
         }
-        self.expire_at = now + EXPIRE_PAUSE;
+        self.expire_at = now + EXPIRY_INTERVAL;
         let others = &mut self.others;
         self.peers.retain(|_, peer| {
-            let keep = now.since(peer.heard) < FORGET;
+            let keep = now.since(peer.received_at) < REPORT_LIFETIME;
             if !keep {
                 subtract(others, &peer.in_flight);
-                for (_, upstream) in &peer.given {
-                    take_one(others, *upstream);
+                for (_, upstream) in &peer.allocated {
+                    subtract_one(others, *upstream);
                 }
             }
             keep
         });
-        self.drop_parts(|_, part| now.since(part.heard) >= FORGET);
+        self.drop_parts(|_, part| now.since(part.received_at) >= REPORT_LIFETIME);
     }
 
     fn drop_parts(&mut self, drops: impl Fn((SumSource, u8), &SumPart) -> bool) {
@@ -245,7 +246,7 @@
         });
     }
 
-    /// How many other nodes reported of late.
+    /// Number of other nodes that reported recently.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
@@ -269,7 +270,7 @@
     }
 }
 
-fn take_one(sums: &mut HashMap<UpstreamHash, u32>, upstream: UpstreamHash) {
+fn subtract_one(sums: &mut HashMap<UpstreamHash, u32>, upstream: UpstreamHash) {
     let one = InFlight {
         upstream,
         requests: 1,
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -1,18 +1,18 @@
-//! Requests that end the upstreams which run them are kept off.
+//! Quarantine of requests that terminate the upstreams that run them (poison requests).
 //!
-//! An upstream that ends takes all requests with it that it runs, so each of them is
-//! suspected and none is blamed. From the first such end on a request is tried by one run at
-//! a time among all nodes, as in a circuit breaker that is half open: [`lender`] says by
-//! whom. One that was merely beside the cause is cleared by its next success. One whose
-//! trials end upstreams too is taken for the cause: it is refused for a while, by every
-//! node, and an upstream is risked for it again only after that.
+//! When an upstream terminates, all requests that it was running are suspected, and none is
+//! blamed yet. From the first termination on, all nodes together run at most one attempt of a
+//! suspected request at a time, as in a half-open circuit breaker; [`lender`] decides which
+//! node runs it. A request that merely ran beside the cause is cleared by its next success. One
+//! whose trials terminate upstreams too is taken for the cause: every node refuses it for some
+//! time, and only after that is another upstream risked for it.
 //!
-//! What is known of a fingerprint is a set of runs, each with its upstream and marked as
-//! cleared or not. Sets of different nodes are joined: the order in which nodes hear of
-//! things, or hear them twice, makes no difference.
+//! What is known of a fingerprint is a set of attempts, each with its upstream and a flag for
+//! whether it was cleared. Sets of different nodes are merged by a union in which cleared
+//! flags win, so neither the order nor the repetition of updates makes a difference.
 
 mod lender;
-mod standing;
+mod status;
 mod suspect;
 mod trials;
 
@@ -22,66 +22,67 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use lender::Lender;
 pub use lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
-pub(crate) use standing::Standing;
+pub(crate) use status::RequestStatus;
 use std::collections::HashMap;
 use std::time::Duration;
-use suspect::{Learned, Suspect};
-pub use suspect::{RunHash, Suspicion, UPSTREAMS_ENDED};
-use trials::OwnTrials;
+pub use suspect::{AttemptHash, Suspicion, UPSTREAMS_BEFORE_QUARANTINE};
+use suspect::{MergeOutcome, Suspect};
+use trials::LocalTrials;
 pub(crate) use trials::TrialStep;
 
-/// Most fingerprints that are remembered, some 300 bytes each. The least suspected ones
-/// give way: one that ends upstreams is told of again with each further end, and comes back
-/// with all of them as soon as a node that remembers it tells.
-const MOST_SUSPECTS: usize = 1_024;
-/// Between two looks for what is too old. Each goes through all suspects, which a node is not
-/// to do at every tick (30 ms) while there are many. What is remembered for a second more
-/// than its time harms nobody.
-const EXPIRE_PAUSE: Duration = Duration::from_secs(1);
-/// Suspects that are kept in the store have ended with their upstreams so often. What one
-/// end tells is lost with the processes that saw it, and most of what it tells is of
-/// bystanders.
-const RECORDED_FROM: usize = 2;
-/// Most suspects in the store's record.
-const MOST_RECORDED: usize = 256;
-/// How long it may take to learn whether an upstream ended when a connection to it broke
-/// off: the time after which its registration lapses at the latest.
-const PROOF_WAIT: Duration = Duration::from_secs(10);
-/// Suspicions as they outlive the processes that found them.
+/// Maximum number of fingerprints kept, some 300 bytes each. The least suspected ones are
+/// evicted: a request that terminates upstreams is reported again with each further
+/// termination, and comes back with all of them as soon as a node that still knows it reports
+/// it.
+const MAX_SUSPECTS: usize = 1_024;
+/// Minimum time between two searches for expired entries. Each goes through all suspects, which
+/// would be too expensive at every tick (30 ms). Entries that stay up to a second longer do no
+/// harm.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of terminations from which a suspect is kept in the store. What is known of single
+/// terminations is lost with the processes that saw them, and most of it concerns bystanders.
+const MIN_RECORDED_ATTEMPTS: usize = 2;
+/// Maximum number of suspects in the store's record.
+const MAX_RECORDED: usize = 256;
+/// How long it may take to learn whether an upstream terminated after a connection to it was
+/// closed: at the latest its registration lapses within this time.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Suspicions, as kept in the store across processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspicionRecord {
-    /// Sorted.
+    /// In ascending order.
     pub suspicions: Vec<Suspicion>,
 }
 
-/// What became known of a fingerprint.
+/// A change of what is known of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuarantineNotice {
-    /// An upstream ended under the request.
+pub enum QuarantineEvent {
+    /// An upstream terminated while it ran the request.
     Suspected {
         /// The request.
         fingerprint: Fingerprint,
-        /// The upstream, by its short name.
+        /// The upstream that terminated.
         upstream: UpstreamHash,
-        /// Its runs that ended with their upstreams so far.
+        /// Number of the request's attempts that ended with the termination of their upstream.
         ended: usize,
-        /// Whether this one was a trial.
+        /// Whether this attempt was a trial.
         is_trial: bool,
     },
-    /// The request is kept off.
-    KeptOff {
+    /// The request is quarantined.
+    Quarantined {
         /// The request.
         fingerprint: Fingerprint,
-        /// Its runs that ended with their upstreams so far.
+        /// Number of the request's attempts that ended with the termination of their upstream.
         ended: usize,
-        /// For how long.
+        /// Duration of the quarantine.
         lasts: Duration,
     },
-    /// A trial of it ended at this node.
-    Tried {
+    /// A trial of the request ended at this node.
+    TrialEnded {
         /// The request.
         fingerprint: Fingerprint,
-        /// How.
+        /// Outcome of the trial.
         outcome: TrialOutcome,
     },
     /// The request was answered, so it is not the cause.
@@ -91,171 +92,174 @@
     },
 }
 
-/// One attempt, as far as it matters here.
+/// The facts about an attempt that the quarantine needs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RunOfRequest {
+pub(crate) struct SuspectAttempt {
     pub upstream: UpstreamHash,
-    pub run: RunHash,
+    pub id: AttemptHash,
     pub fingerprints: Fingerprints,
-    /// The fingerprint of whose permit it was sent.
+    /// The fingerprint whose permit was used.
     pub permit: Option<Fingerprint>,
 }
 
-impl RunOfRequest {
-    /// Whether no other run of that fingerprint was under way. One that is alone with its
-    /// content is alone with its caller, too.
+impl SuspectAttempt {
+    /// Whether no other attempt with that fingerprint was in flight. An attempt that is the
+    /// only one with its content is also the only one of its caller.
     fn is_trial_of(&self, fingerprint: Fingerprint) -> bool {
         let permit = self.permit;
         permit == Some(fingerprint) || permit == Some(self.fingerprints.content)
     }
 }
 
-/// A connection broke off; whether its upstream ended is not known yet.
+/// A connection was closed or timed out; whether its upstream terminated is not known yet.
 #[derive(Clone, Copy, Debug)]
-struct Unproved {
-    run: RunOfRequest,
+struct UnconfirmedTermination {
+    attempt: SuspectAttempt,
     at: Time,
 }
 
-/// A suspicion told something new.
-struct News {
-    /// What a line is written of, if of anything.
-    notice: Option<QuarantineNotice>,
+/// Result of merging a suspicion that was new.
+struct Merged {
+    /// Event to log, if any.
+    event: Option<QuarantineEvent>,
 }
 
-/// What one node knows of requests that end upstreams.
+/// What one node knows of requests that terminate upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     /// The oldest first.
-    unproved: Vec<Unproved>,
-    trials: OwnTrials,
+    unconfirmed: Vec<UnconfirmedTermination>,
+    trials: LocalTrials,
     lender: Lender,
-    untold: Vec<Suspicion>,
-    /// All that was news here, whoever found it.
-    news: Vec<Suspicion>,
-    notices: Vec<QuarantineNotice>,
+    local_suspicions: Vec<Suspicion>,
+    /// All suspicions that were new here, whichever node found them.
+    new_suspicions: Vec<Suspicion>,
+    events: Vec<QuarantineEvent>,
     expire_at: Time,
 }
 
 impl Quarantine {
-    /// A quarantine that knows nothing. Questions of different processes of one node are
-    /// told apart by numbers that go on from different ones.
-    pub(crate) fn numbered_from(number: u32) -> Self {
+    /// Creates an empty quarantine whose trial requests are numbered after `number`. Different
+    /// processes of a node use different numbers, which tells their trial requests apart.
+    pub(crate) fn with_first_number(number: u32) -> Self {
         let mut quarantine = Self::default();
-        quarantine.trials.begin_after(number);
+        quarantine.trials.set_last_number(number);
         quarantine
     }
 
-    /// The connection of a request to an upstream broke off, or fell silent.
-    pub(crate) fn broke_off(&mut self, now: Time, run: RunOfRequest) {
-        if self.unproved.len() >= MOST_SUSPECTS {
-            self.unproved.remove(0);
+    /// Records that the connection of a request to an upstream was closed or timed out.
+    pub(crate) fn connection_lost(&mut self, now: Time, attempt: SuspectAttempt) {
+        if self.unconfirmed.len() >= MAX_SUSPECTS {
+            self.unconfirmed.remove(0);
         }
-        self.unproved.push(Unproved { run, at: now });
+        self.unconfirmed
+            .push(UnconfirmedTermination { attempt, at: now });
     }
 
-    /// An upstream has ended. Requests whose connections to it broke off are suspected.
-    pub fn upstream_ended(&mut self, now: Time, upstream: UpstreamHash) {
-        for run in self.take_unproved(upstream) {
-            for fingerprint in run.fingerprints.both() {
+    /// Records that an upstream terminated. Requests whose connections to it were closed become
+    /// suspected.
+    pub fn upstream_terminated(&mut self, now: Time, upstream: UpstreamHash) {
+        for attempt in self.take_unconfirmed(upstream) {
+            for fingerprint in attempt.fingerprints.both() {
                 let suspicion = Suspicion {
                     fingerprint,
                     upstream,
-                    run: run.run,
-                    is_trial: run.is_trial_of(fingerprint),
+                    attempt: attempt.id,
+                    is_trial: attempt.is_trial_of(fingerprint),
                     is_cleared: false,
                 };
-                self.find(now, suspicion);
+                self.record_local(now, suspicion);
             }
-            self.end_trial(run.permit, TrialOutcome::Ended);
+            self.end_trial(attempt.permit, TrialOutcome::UpstreamTerminated);
         }
     }
 
-    /// An upstream lives: connections to it broke off for another reason.
-    pub fn upstream_lives(&mut self, upstream: UpstreamHash) {
-        for run in self.take_unproved(upstream) {
-            self.end_trial(run.permit, TrialOutcome::Unknown);
+    /// Records that an upstream is alive: connections to it were closed for another reason.
+    pub fn upstream_alive(&mut self, upstream: UpstreamHash) {
+        for attempt in self.take_unconfirmed(upstream) {
+            self.end_trial(attempt.permit, TrialOutcome::Unknown);
         }
     }
 
-    fn take_unproved(&mut self, upstream: UpstreamHash) -> Vec<RunOfRequest> {
-        let is_meant = |unproved: &mut Unproved| unproved.run.upstream == upstream;
-        let taken = self.unproved.extract_if(.., is_meant);
-        taken.map(|unproved| unproved.run).collect()
+    fn take_unconfirmed(&mut self, upstream: UpstreamHash) -> Vec<SuspectAttempt> {
+        let is_at_upstream =
+            |unconfirmed: &mut UnconfirmedTermination| unconfirmed.attempt.upstream == upstream;
+        let taken = self.unconfirmed.extract_if(.., is_at_upstream);
+        taken.map(|unconfirmed| unconfirmed.attempt).collect()
     }
 
-    /// An upstream ran a request to a good end: it is no cause of ends.
-    pub(crate) fn succeeded(&mut self, now: Time, fingerprints: Fingerprints) {
+    /// Records that an upstream ran a request successfully: the request does not terminate
+    /// upstreams.
+    pub(crate) fn request_succeeded(&mut self, now: Time, fingerprints: Fingerprints) {
         for fingerprint in fingerprints.both() {
             self.clear(now, fingerprint);
         }
     }
 
     fn clear(&mut self, now: Time, fingerprint: Fingerprint) {
-        for suspicion in self.known_of(fingerprint) {
+        for suspicion in self.suspicions_of(fingerprint) {
             let cleared = Suspicion {
                 is_cleared: true,
                 ..suspicion
             };
-            self.find(now, cleared);
+            self.record_local(now, cleared);
         }
     }
 
-    /// Joins what this node found itself, and has it told.
-    fn find(&mut self, now: Time, suspicion: Suspicion) {
-        let Some(news) = self.join(now, suspicion) else {
+    /// Merges a suspicion found by this node and queues it for other nodes.
+    fn record_local(&mut self, now: Time, suspicion: Suspicion) {
+        let Some(merged) = self.merge_suspicion(now, suspicion) else {
             return;
         };
-        self.notices.extend(news.notice);
-        self.untold.push(suspicion);
+        self.events.extend(merged.event);
+        self.local_suspicions.push(suspicion);
     }
 
-    /// Joins what another node, or the store, tells. Whoever found it wrote the line about
-    /// it: with one at each node that hears of it, the ends of one zone's upstreams filled
-    /// the log of every node.
-    pub fn learn(&mut self, now: Time, suspicion: Suspicion) {
-        let Some(news) = self.join(now, suspicion) else {
+    /// Merges a suspicion from another node or from the store. Only the node that found it logs
+    /// it: when every node did, the loss of one zone's upstreams filled the logs of all nodes.
+    pub fn merge(&mut self, now: Time, suspicion: Suspicion) {
+        let Some(merged) = self.merge_suspicion(now, suspicion) else {
             return;
         };
-        let is_kept_off =
-            |notice: &QuarantineNotice| matches!(notice, QuarantineNotice::KeptOff { .. });
-        self.notices.extend(news.notice.filter(is_kept_off));
+        let is_quarantined =
+            |event: &QuarantineEvent| matches!(event, QuarantineEvent::Quarantined { .. });
+        self.events.extend(merged.event.filter(is_quarantined));
     }
 
-    /// Joins a suspicion; none if it told nothing new.
-    fn join(&mut self, now: Time, suspicion: Suspicion) -> Option<News> {
+    /// Merges a suspicion; `None` if it was already known.
+    fn merge_suspicion(&mut self, now: Time, suspicion: Suspicion) -> Option<Merged> {
         let fingerprint = suspicion.fingerprint;
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_if_full();
         }
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let learned = suspect.learn(now, &suspicion);
-        let notice = match learned {
-            Learned::Nothing => return None,
-            Learned::Ended => Some(suspect.notice(&suspicion)),
-            Learned::Cleared { is_wholly } => {
-                is_wholly.then_some(QuarantineNotice::Cleared { fingerprint })
+        let outcome = suspect.merge(now, &suspicion);
+        let event = match outcome {
+            MergeOutcome::Unchanged => return None,
+            MergeOutcome::NewTermination => Some(suspect.event(&suspicion)),
+            MergeOutcome::Cleared { is_complete } => {
+                is_complete.then_some(QuarantineEvent::Cleared { fingerprint })
             }
         };
-        self.news.push(suspicion);
-        Some(News { notice })
+        self.new_suspicions.push(suspicion);
+        Some(Merged { event })
     }
 
-    /// Forgets the least suspected one, of these the one known longest, when there are too
-    /// many.
-    fn make_room(&mut self) {
-        if self.suspects.len() < MOST_SUSPECTS {
+    /// Evicts the least suspected fingerprint if there are too many; among equals the one that
+    /// has not changed for longest.
+    fn evict_if_full(&mut self) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let suspects = self.suspects.iter();
-        let least = suspects.min_by_key(|(_, suspect)| (suspect.runs(), suspect.since));
+        let least = suspects.min_by_key(|(_, suspect)| (suspect.attempts(), suspect.since));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&fingerprint);
         }
     }
 
-    /// For how much longer a request is kept off; none if it is not.
+    /// Remaining quarantine time of a request; `None` if it is not quarantined.
     pub fn remaining(&self, now: Time, fingerprints: Fingerprints) -> Option<Duration> {
         if self.suspects.is_empty() {
             return None;
@@ -265,72 +269,72 @@
         suspects.filter_map(|suspect| suspect.remaining(now)).max()
     }
 
-    /// All that is known of a fingerprint.
-    pub fn known_of(&self, fingerprint: Fingerprint) -> Vec<Suspicion> {
+    /// All suspicions of a fingerprint.
+    pub fn suspicions_of(&self, fingerprint: Fingerprint) -> Vec<Suspicion> {
         let suspect = self.suspects.get(&fingerprint).into_iter();
         suspect
             .flat_map(|suspect| suspect.suspicions(fingerprint))
             .collect()
     }
 
-    /// What this node found since the last call.
-    pub fn take_untold(&mut self) -> Vec<Suspicion> {
-        std::mem::take(&mut self.untold)
+    /// Takes the suspicions that this node found since the last call.
+    pub fn take_local_suspicions(&mut self) -> Vec<Suspicion> {
+        std::mem::take(&mut self.local_suspicions)
     }
 
-    /// What was news here since the last call, whoever found it.
-    pub fn take_news(&mut self) -> Vec<Suspicion> {
-        std::mem::take(&mut self.news)
+    /// Takes the suspicions that were new here since the last call, whichever node found them.
+    pub fn take_new_suspicions(&mut self) -> Vec<Suspicion> {
+        std::mem::take(&mut self.new_suspicions)
     }
 
-    /// What became known since the last call.
-    pub fn take_notices(&mut self) -> Vec<QuarantineNotice> {
-        std::mem::take(&mut self.notices)
+    /// Takes the events since the last call.
+    pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// Forgets what is too old.
+    /// Drops expired entries.
     pub(crate) fn expire(&mut self, now: Time) {
         self.trials.expire(now);
         if now < self.expire_at {
             return;
         }
-        self.expire_at = now + EXPIRE_PAUSE;
-        self.unproved
-            .retain(|unproved| now.since(unproved.at) < PROOF_WAIT);
-        self.suspects
-            .retain(|_, suspect| !suspect.is_forgotten(now));
+        self.expire_at = now + EXPIRY_INTERVAL;
+        self.unconfirmed
+            .retain(|unconfirmed| now.since(unconfirmed.at) < CONFIRMATION_TIMEOUT);
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         self.lender.expire(now);
     }
 
-    /// Joins the store's record.
-    pub fn adopt(&mut self, now: Time, record: &SuspicionRecord) {
+    /// Merges the store's record.
+    pub fn merge_record(&mut self, now: Time, record: &SuspicionRecord) {
         for suspicion in &record.suspicions {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
     }
 
-    /// What is worth keeping in the store: the most suspected.
+    /// Returns the most suspected fingerprints, for the store.
     pub fn record(&self) -> SuspicionRecord {
         let suspects = self.suspects.iter();
-        let mut worth: Vec<(usize, Fingerprint)> = suspects
-            .map(|(fingerprint, suspect)| (suspect.runs(), *fingerprint))
-            .filter(|(ended, _)| *ended >= RECORDED_FROM)
+        let mut recorded: Vec<(usize, Fingerprint)> = suspects
+            .map(|(fingerprint, suspect)| (suspect.attempts(), *fingerprint))
+            .filter(|(attempts, _)| *attempts >= MIN_RECORDED_ATTEMPTS)
             .collect();
-        worth.sort_by_key(|(ended, fingerprint)| (std::cmp::Reverse(*ended), *fingerprint));
-        worth.truncate(MOST_RECORDED);
-        let suspicions = worth
+        recorded
+            .sort_by_key(|(attempts, fingerprint)| (std::cmp::Reverse(*attempts), *fingerprint));
+        recorded.truncate(MAX_RECORDED);
+        let suspicions = recorded
             .into_iter()
-            .flat_map(|(_, fingerprint)| self.known_of(fingerprint));
+            .flat_map(|(_, fingerprint)| self.suspicions_of(fingerprint));
         let mut suspicions: Vec<Suspicion> = suspicions.collect();
         suspicions.sort();
         SuspicionRecord { suspicions }
     }
 
-    /// Fingerprints that are suspected, and those that are kept off.
+    /// Number of suspected fingerprints, and of quarantined ones.
     pub fn counts(&self, now: Time) -> (usize, usize) {
         let suspects = self.suspects.values();
-        let suspected = suspects.clone().filter(|suspect| suspect.runs() > 0);
-        let kept_off = suspects.filter(|suspect| suspect.remaining(now).is_some());
-        (suspected.count(), kept_off.count())
+        let suspected = suspects.clone().filter(|suspect| suspect.attempts() > 0);
+        let quarantined = suspects.filter(|suspect| suspect.remaining(now).is_some());
+        (suspected.count(), quarantined.count())
     }
 }
--- a/crates/dispatch/src/quarantine/standing.rs
+++ b/crates/dispatch/src/quarantine/status.rs
@@ -1,83 +1,83 @@
-//! What a request may do as it stands, and its trials: at the node that wants to send it,
-//! and at the one that lends the permits.
+//! Quarantine status of requests, and their trials: at the node that wants to send the request,
+//! and at the node that lends the permits.
 
 use super::lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
-use super::trials::{TrialStep, USE_WITHIN};
-use super::{Quarantine, QuarantineNotice};
+use super::trials::{PERMIT_LIFETIME, TrialStep};
+use super::{Quarantine, QuarantineEvent};
 use crate::fingerprint::{Fingerprint, Fingerprints};
 use crate::report::NodeHash;
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// What a request may do.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It is sent as any other.
-    Free,
-    /// It needs a permit for this fingerprint.
+pub(crate) enum RequestStatus {
+    /// Not suspected: it is sent like any other.
+    Clear,
+    /// Suspected: it needs a permit for this fingerprint.
     OnTrial(Fingerprint),
-    /// It is refused for that long.
-    KeptOff(Duration),
+    /// Refused for this long.
+    Quarantined(Duration),
 }
 
 impl Quarantine {
-    /// What a request may do now.
-    pub(crate) fn standing(&self, now: Time, fingerprints: Fingerprints) -> Standing {
+    /// Returns the current status of a request.
+    pub(crate) fn status(&self, now: Time, fingerprints: Fingerprints) -> RequestStatus {
         if let Some(remaining) = self.remaining(now, fingerprints) {
-            return Standing::KeptOff(remaining);
+            return RequestStatus::Quarantined(remaining);
         }
         let is_suspected = |fingerprint: &Fingerprint| {
             let suspect = self.suspects.get(fingerprint);
-            suspect.is_some_and(|suspect| suspect.runs() > 0)
+            suspect.is_some_and(|suspect| suspect.attempts() > 0)
         };
         let suspected = fingerprints.both().into_iter().find(is_suspected);
-        suspected.map_or(Standing::Free, Standing::OnTrial)
+        suspected.map_or(RequestStatus::Clear, RequestStatus::OnTrial)
     }
 
-    /// What a request that is on trial has to do now.
+    /// Returns the next step of a suspected request.
     pub(crate) fn trial_step(&mut self, now: Time, fingerprint: Fingerprint) -> TrialStep {
         self.trials.step(now, fingerprint)
     }
 
-    /// The question to the lender. The request takes no longer than `lasts` from when it is
-    /// sent.
+    /// Builds the permit request for the lender. The suspected request ends at most `timeout`
+    /// after it is sent.
     pub(crate) fn trial_request(
         &self,
         fingerprint: Fingerprint,
         node: NodeHash,
         number: u32,
-        lasts: Duration,
+        timeout: Duration,
     ) -> TrialRequest {
         TrialRequest {
             fingerprint,
             node,
             number,
-            lasts_ms: (lasts + USE_WITHIN).as_millis() as u32,
-            known: self.known_of(fingerprint),
+            timeout_ms: (timeout + PERMIT_LIFETIME).as_millis() as u32,
+            known: self.suspicions_of(fingerprint),
         }
     }
 
-    /// As the lender: answers a question.
-    pub fn lend(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
+    /// As the lender: handles a permit request.
+    pub fn lend_permit(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
         let fingerprint = request.fingerprint;
         for suspicion in &request.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
         let suspect = self.suspects.get(&fingerprint);
-        let is_on_trial =
-            suspect.is_some_and(|suspect| suspect.runs() > 0 && suspect.remaining(now).is_none());
+        let is_on_trial = suspect
+            .is_some_and(|suspect| suspect.attempts() > 0 && suspect.remaining(now).is_none());
         TrialReply {
             fingerprint,
             number: request.number,
             is_lent: is_on_trial && self.lender.lend(now, request),
-            known: self.known_of(fingerprint),
+            known: self.suspicions_of(fingerprint),
         }
     }
 
-    /// Takes the lender's answer.
-    pub fn trial_answered(&mut self, now: Time, reply: &TrialReply) {
+    /// Handles the lender's reply.
+    pub fn handle_trial_reply(&mut self, now: Time, reply: &TrialReply) {
         for suspicion in &reply.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
         let TrialReply {
             fingerprint,
@@ -85,29 +85,29 @@
             is_lent,
             ..
         } = *reply;
-        self.trials.answered(now, fingerprint, number, is_lent);
+        self.trials.handle_reply(now, fingerprint, number, is_lent);
     }
 
-    /// A request is sent by a permit; it has its end by that time.
+    /// Records that a request is sent with a permit; its attempt ends by `ends`.
     pub(crate) fn begin_trial(&mut self, permit: Fingerprint, ends: Time) {
         self.trials.begin(permit, ends);
     }
 
-    /// A trial ended, if an attempt was one.
+    /// Records the end of an attempt, if it was a trial.
     pub(crate) fn end_trial(&mut self, permit: Option<Fingerprint>, outcome: TrialOutcome) {
         if let Some(permit) = permit {
             self.trials.end(permit, outcome);
         }
     }
 
-    /// Reports to the lender since the last call, of this node.
+    /// Takes the outcomes of this node's trials since the last call, to be sent to the lenders.
     pub fn take_trial_reports(&mut self, node: &str) -> Vec<TrialReport> {
         let ended = self.trials.take_ended();
-        let notices = ended.iter().map(|ended| QuarantineNotice::Tried {
+        let events = ended.iter().map(|ended| QuarantineEvent::TrialEnded {
             fingerprint: ended.fingerprint,
             outcome: ended.outcome,
         });
-        self.notices.extend(notices);
+        self.events.extend(events);
         ended
             .into_iter()
             .map(|ended| TrialReport {
@@ -115,17 +115,17 @@
                 node: NodeHash::of(node),
                 number: ended.number,
                 outcome: ended.outcome,
-                known: self.known_of(ended.fingerprint),
+                known: self.suspicions_of(ended.fingerprint),
             })
             .collect()
     }
 
-    /// As the lender: takes the outcome of a trial.
-    pub fn take_trial_report(&mut self, now: Time, report: &TrialReport) {
+    /// As the lender: handles the outcome of a trial.
+    pub fn handle_trial_report(&mut self, now: Time, report: &TrialReport) {
         for suspicion in &report.known {
-            self.learn(now, *suspicion);
+            self.merge(now, *suspicion);
         }
-        if self.lender.take(now, report) {
+        if self.lender.handle_report(now, report) {
             self.clear(now, report.fingerprint);
         }
     }
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -1,117 +1,118 @@
-//! One node's permits to send requests to upstreams that name a rate.
+//! One node's permits to send requests to rate-limited upstreams.
 
-use super::lender::USE_WITHIN;
+use super::lender::PERMIT_LIFETIME;
 use crate::report::{NodeHash, UpstreamHash};
 use beamtray_types::Time;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a lender's answer is waited for: a way across zones and back, and a turn of a
-/// node that has little processor time.
-pub(crate) const ANSWER_WAIT: Duration = Duration::from_millis(120);
-/// How long a lender that did not answer once is not asked; twice as long with each further
-/// time. A word may get lost, or the lender be gone.
-const SILENT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// How long is waited where no lender is known.
-const NO_LENDER: Duration = Duration::from_millis(500);
-/// How soon a lender that had none is asked again at the least.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
-/// Most permits that are asked for at once.
-const MOST_WANTED: u32 = 16;
-
-/// What a request to an upstream that names a rate has to do.
+/// How long a lender's reply is awaited: a round trip between zones plus the scheduling delay
+/// of a node with little CPU time.
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
+/// How long a lender that did not reply once is not asked; doubles with each further time. The
+/// message may have been lost, or the lender may be gone.
+const INITIAL_LENDER_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound on that delay.
+const MAX_LENDER_BACKOFF: Duration = Duration::from_secs(1);
+/// Delay if no lender is known.
+const NO_LENDER_WAIT: Duration = Duration::from_millis(500);
+/// Lower bound on the delay before a lender that had no permit is asked again.
+const MIN_LENDER_BACKOFF: Duration = Duration::from_millis(1);
+/// Maximum number of permits requested at once.
+const MAX_PERMITS_PER_REQUEST: u32 = 16;
+
+/// Next step of a request to a rate-limited upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PermitStep {
-    /// It may be sent now.
+    /// Send it now.
     Send,
-    /// A lender is asked.
+    /// Ask a lender.
     Ask {
         lender: NodeHash,
         number: u32,
         wanted: u32,
     },
-    /// One was asked, and its answer is waited for.
+    /// Wait for a lender's reply.
     Asked,
-    /// No lender has one before then.
+    /// No lender has a permit before then.
     Empty { until: Time },
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PendingRequest {
     number: u32,
     lender: NodeHash,
-    asked: Time,
+    asked_at: Time,
     wanted: u32,
 }
 
-impl Question {
-    fn ends(&self) -> Time {
-        self.asked + ANSWER_WAIT
+impl PendingRequest {
+    fn expires(&self) -> Time {
+        self.asked_at + REPLY_TIMEOUT
     }
 }
 
-/// A lender that has no permits, or did not answer.
+/// A lender that has no permits, or did not reply.
 #[derive(Clone, Copy, Debug)]
-struct Lender {
+struct LenderState {
     node: NodeHash,
     ask_from: Time,
-    /// Questions in a row without an answer.
+    /// Number of consecutive permit requests without a reply.
     unanswered: u32,
 }
 
-/// What this node has, and knows, of one upstream's permits.
+/// This node's permits and permit requests for one upstream.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    /// Until when each permit may be used.
+    /// Expiry time of each permit.
     held: VecDeque<Time>,
-    /// One at most to each lender.
-    questions: Vec<Question>,
-    lenders: Vec<Lender>,
-    /// When all who were denied would have had one, as the lenders said last.
+    /// At most one per lender.
+    pending: Vec<PendingRequest>,
+    lenders: Vec<LenderState>,
+    /// When all denied requests would have had a permit, according to the latest reply.
     room_at: Time,
-    /// Requests that looked for a permit at the last look, and at the one before.
-    looked_at: Time,
-    looking: u32,
-    wanted: u32,
+    /// Number of requests that looked for a permit at the time `demand_at`, and at the time
+    /// before.
+    demand_at: Time,
+    demand: u32,
+    last_demand: u32,
 }
 
 impl Account {
     fn expire(&mut self, now: Time) {
         self.held.retain(|until| now < *until);
-        let unanswered: Vec<Question> = self
-            .questions
-            .extract_if(.., |question| now >= question.ends())
+        let unanswered: Vec<PendingRequest> = self
+            .pending
+            .extract_if(.., |request| now >= request.expires())
             .collect();
-        for question in unanswered {
-            let lender = self.lender(question.lender);
-            let pause = SILENT_PAUSE * 2u32.saturating_pow(lender.unanswered.min(8));
+        for request in unanswered {
+            let lender = self.lender(request.lender);
+            let backoff = INITIAL_LENDER_BACKOFF * 2u32.saturating_pow(lender.unanswered.min(8));
             lender.unanswered += 1;
-            lender.ask_from = now + pause.min(LONGEST_PAUSE);
+            lender.ask_from = now + backoff.min(MAX_LENDER_BACKOFF);
         }
     }
 
-    /// Permits that lenders were asked for and have not answered yet.
+    /// Number of permits in pending permit requests.
     fn outstanding(&self) -> u32 {
-        self.questions.iter().map(|question| question.wanted).sum()
+        self.pending.iter().map(|request| request.wanted).sum()
     }
 
-    /// The first lender that may have permits and was not asked.
+    /// The first lender that may have permits and has no pending permit request.
     fn next_lender(&self, now: Time, lenders: &[NodeHash]) -> Option<NodeHash> {
-        let is_empty = |lender| {
+        let is_backed_off = |lender| {
             let mut known = self.lenders.iter();
             known.any(|known| known.node == lender && now < known.ask_from)
         };
-        let is_asked = |lender| self.questions.iter().any(|one| one.lender == lender);
+        let is_asked = |lender| self.pending.iter().any(|one| one.lender == lender);
         let mut free = lenders.iter().copied();
-        free.find(|lender| !is_empty(*lender) && !is_asked(*lender))
+        free.find(|lender| !is_backed_off(*lender) && !is_asked(*lender))
     }
 
-    fn lender(&mut self, node: NodeHash) -> &mut Lender {
+    fn lender(&mut self, node: NodeHash) -> &mut LenderState {
         let known = self.lenders.iter().position(|lender| lender.node == node);
         let index = known.unwrap_or_else(|| {
-            self.lenders.push(Lender {
+            self.lenders.push(LenderState {
                 node,
                 ask_from: Time::ZERO,
                 unanswered: 0,
@@ -128,12 +129,12 @@
         known.map(|known| known.ask_from).min()
     }
 
-    fn note_look(&mut self, now: Time) {
-        if now > self.looked_at {
-            self.wanted = std::mem::take(&mut self.looking);
-            self.looked_at = now;
+    fn record_demand(&mut self, now: Time) {
+        if now > self.demand_at {
+            self.last_demand = std::mem::take(&mut self.demand);
+            self.demand_at = now;
         }
-        self.looking += 1;
+        self.demand += 1;
     }
 }
 
@@ -145,54 +146,54 @@
 }
 
 impl Permits {
-    /// Numbers of different processes must differ.
-    pub fn begin_after(&mut self, number: u32) {
+    /// Sets the number after which permit requests are numbered. It must differ between
+    /// processes of a node.
+    pub fn set_last_number(&mut self, number: u32) {
         self.last_number = number;
     }
 
-    /// Whether a permit is here.
+    /// Whether a permit is available.
     pub fn has_one(&self, now: Time, upstream: UpstreamHash) -> bool {
         let account = self.accounts.get(&upstream);
         account.is_some_and(|account| account.held.iter().any(|until| now < *until))
     }
 
-    /// What a request has to do now that found no permit; `lenders` are asked in their
-    /// order, and more than one at a time only for more requests than the others were asked
-    /// for: what is lent and not used is lost.
+    /// Returns the next step of a request that found no permit. `lenders` are asked in order,
+    /// and several at a time only if there are more requests than permits requested so far:
+    /// permits that are lent but not used are lost.
     pub fn step(&mut self, now: Time, upstream: UpstreamHash, lenders: &[NodeHash]) -> PermitStep {
         let account = self.accounts.entry(upstream).or_default();
         account.expire(now);
-        account.note_look(now);
+        account.record_demand(now);
         let outstanding = account.outstanding();
-        if outstanding >= account.looking {
+        if outstanding >= account.demand {
             return PermitStep::Asked;
         }
         let Some(lender) = account.next_lender(now, lenders) else {
             if outstanding > 0 {
                 return PermitStep::Asked;
             }
-            let until = account.ask_from(lenders).unwrap_or(now + NO_LENDER);
+            let until = account.ask_from(lenders).unwrap_or(now + NO_LENDER_WAIT);
             return PermitStep::Empty { until };
         };
         self.last_number = self.last_number.wrapping_add(1);
-        let looking = account.wanted.max(account.looking);
-        let question = Question {
+        let demand = account.last_demand.max(account.demand);
+        let request = PendingRequest {
             number: self.last_number,
             lender,
-            asked: now,
-            wanted: (looking - outstanding).clamp(1, MOST_WANTED),
+            asked_at: now,
+            wanted: (demand - outstanding).clamp(1, MAX_PERMITS_PER_REQUEST),
         };
-        account.questions.push(question);
+        account.pending.push(request);
         PermitStep::Ask {
             lender,
-            number: question.number,
-            wanted: question.wanted,
+            number: request.number,
+            wanted: request.wanted,
         }
     }
 
-    /// Takes a lender's answer. What comes after its time is not used: the lender counts on
-    /// that.
-    pub fn answered(
+    /// Handles a lender's reply. A late reply is ignored; the lender relies on that.
+    pub fn handle_reply(
         &mut self,
         now: Time,
         upstream: UpstreamHash,
@@ -204,24 +205,24 @@
         let Some(account) = self.accounts.get_mut(&upstream) else {
             return;
         };
-        let mut questions = account.questions.iter();
-        let Some(asked) = questions.position(|one| one.number == number) else {
+        let mut pending = account.pending.iter();
+        let Some(index) = pending.position(|one| one.number == number) else {
             return;
         };
-        let question = account.questions.swap_remove(asked);
-        let until = question.asked + USE_WITHIN;
-        let permits = permits.min(MOST_WANTED) as usize;
+        let request = account.pending.swap_remove(index);
+        let until = request.asked_at + PERMIT_LIFETIME;
+        let permits = permits.min(MAX_PERMITS_PER_REQUEST) as usize;
         account.held.extend(std::iter::repeat_n(until, permits));
-        let lender = account.lender(question.lender);
+        let lender = account.lender(request.lender);
         lender.unanswered = 0;
-        if permits < question.wanted as usize {
-            lender.ask_from = now + next_in.max(LEAST_PAUSE);
+        if permits < request.wanted as usize {
+            lender.ask_from = now + next_in.max(MIN_LENDER_BACKOFF);
         }
         account.room_at = now + room_in;
     }
 
-    /// Uses a permit up; whether there was one.
-    pub fn spend(&mut self, now: Time, upstream: UpstreamHash) -> bool {
+    /// Uses up a permit. Returns whether there was one.
+    pub fn consume(&mut self, now: Time, upstream: UpstreamHash) -> bool {
         let account = self.accounts.get_mut(&upstream);
         account.is_some_and(|account| {
             account.expire(now);
@@ -229,12 +230,12 @@
         })
     }
 
-    /// When those who were denied before will have had a permit.
+    /// When those that were denied a permit before will have had one.
     pub fn room_at(&self, upstream: UpstreamHash) -> Option<Time> {
         self.accounts.get(&upstream).map(|account| account.room_at)
     }
 
-    /// Forgets upstreams.
+    /// Drops upstreams.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.accounts.retain(|upstream, _| keep(*upstream));
     }
--- a/crates/dispatch/src/rate_limit/recent.rs
+++ b/crates/dispatch/src/rate_limit/recent.rs
@@ -1,7 +1,7 @@
-//! How many requests this node sent to each upstream of late.
+//! Number of requests that this node recently sent to each upstream.
 //!
-//! When an upstream names a rate, what was sent to it just before counts: it still has that
-//! to work off.
+//! When an upstream starts to advertise a rate limit, requests sent shortly before count: it
+//! still has to work them off.
 
 use super::lender::WINDOW;
 use crate::report::UpstreamHash;
@@ -9,24 +9,24 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Steps that the window is counted in.
-const STEPS: usize = 8;
+/// Number of buckets per window.
+const BUCKETS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// Number of the newest step.
+    /// Number of the newest bucket.
     newest: u64,
-    sent: [u32; STEPS],
+    sent: [u32; BUCKETS],
 }
 
 impl Counts {
-    /// Empties the steps that have passed since the newest one.
-    fn advance(&mut self, step: u64) {
-        let passed = step.saturating_sub(self.newest);
-        for past in 1..=passed.min(STEPS as u64) {
-            self.sent[((self.newest + past) % STEPS as u64) as usize] = 0;
+    /// Clears the buckets that have passed since the newest one.
+    fn advance(&mut self, bucket: u64) {
+        let passed = bucket.saturating_sub(self.newest);
+        for offset in 1..=passed.min(BUCKETS as u64) {
+            self.sent[((self.newest + offset) % BUCKETS as u64) as usize] = 0;
         }
-        self.newest = self.newest.max(step);
+        self.newest = self.newest.max(bucket);
     }
 }
 
@@ -36,27 +36,27 @@
 
 impl RecentSends {
     /// Counts a request.
-    pub fn note(&mut self, now: Time, upstream: UpstreamHash) {
+    pub fn record(&mut self, now: Time, upstream: UpstreamHash) {
         let counts = self.0.entry(upstream).or_default();
-        counts.advance(step(now));
-        counts.sent[(counts.newest % STEPS as u64) as usize] += 1;
+        counts.advance(bucket(now));
+        counts.sent[(counts.newest % BUCKETS as u64) as usize] += 1;
     }
 
-    /// Requests to an upstream within the window.
+    /// Number of requests to an upstream within the window.
     pub fn count(&self, now: Time, upstream: UpstreamHash) -> u32 {
         let counts = self.0.get(&upstream).copied();
         let mut counts = counts.unwrap_or_default();
-        counts.advance(step(now));
+        counts.advance(bucket(now));
         counts.sent.iter().sum()
     }
 
-    /// Forgets upstreams.
+    /// Drops upstreams.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.0.retain(|upstream, _| keep(*upstream));
     }
 }
 
-fn step(now: Time) -> u64 {
-    let length: Duration = WINDOW / STEPS as u32;
+fn bucket(now: Time) -> u64 {
+    let length: Duration = WINDOW / BUCKETS as u32;
     now.0 / length.as_micros() as u64
 }
--- a/crates/dispatch/src/rendezvous.rs
+++ b/crates/dispatch/src/rendezvous.rs
@@ -1,29 +1,34 @@
-//! Which nodes an upstream's bounds are kept by: the first by a hash of both (rendezvous),
-//! so that all nodes that see the same ones agree, and one that comes or goes changes
-//! nothing else.
+//! Rendezvous hashing: selects the nodes that enforce an upstream's limits.
+//!
+//! All nodes that see the same set select the same ones, and a node that joins or leaves
+//! changes nothing else.
 
 use crate::report::{NodeHash, UpstreamHash};
 
-/// The first nodes of an upstream, the first one first.
-pub(crate) fn first(nodes: &[NodeHash], upstream: UpstreamHash, count: usize) -> Vec<NodeHash> {
+/// Returns the `count` highest-ranked nodes of an upstream, in order of rank.
+pub(crate) fn top_ranked(
+    nodes: &[NodeHash],
+    upstream: UpstreamHash,
+    count: usize,
+) -> Vec<NodeHash> {
     let mut ranked = nodes.to_vec();
     ranked.sort_by_key(|node| std::cmp::Reverse((weight(*node, upstream), *node)));
     ranked.truncate(count);
     ranked
 }
 
-/// Whether a node is among the first of an upstream.
-pub(crate) fn is_among_first(
+/// Whether a node is among the `count` highest-ranked nodes of an upstream.
+pub(crate) fn is_top_ranked(
     own: NodeHash,
     nodes: &[NodeHash],
     upstream: UpstreamHash,
     count: usize,
 ) -> bool {
     let own_weight = weight(own, upstream);
-    let before = nodes
+    let higher = nodes
         .iter()
         .filter(|node| weight(**node, upstream) > own_weight);
-    nodes.contains(&own) && before.count() < count
+    nodes.contains(&own) && higher.count() < count
 }
 
 fn weight(node: NodeHash, upstream: UpstreamHash) -> u64 {
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -7,8 +7,8 @@
     ServiceConfig, UpstreamId, UpstreamRecord, UpstreamState, WeightedBackend,
 };
 use beamtray_dispatch::{
-    BudgetConfig, ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints,
-    Forward, RequestHead,
+    ColdStartBound, Conclusion, Decision, DispatchConfig, Dispatcher, Fingerprints, Forward,
+    RequestHead, RetryBudgetConfig,
 };
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
@@ -45,11 +45,11 @@
 }
 
 pub fn configuration() -> Configuration {
-    let service = |name: &str, divided| ServiceConfig {
+    let service = |name: &str, sharded| ServiceConfig {
         name: name.into(),
         health_path: "/health".to_owned(),
         max_connections: 100,
-        divided,
+        sharded,
         warm_up: Duration::ZERO,
         cold_start: None,
     };
@@ -84,8 +84,8 @@
 
 pub fn directory() -> Directory {
     let mut directory = Directory::new(DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     });
     for (number, (id, service, zone)) in [
         ("near", "pool", "here"),
@@ -101,7 +101,7 @@
     directory
 }
 
-/// Bounds under which a cold upstream gets half more than it handles.
+/// Limits that allow a cold upstream 1.5 times the rate it handles, and no more.
 pub fn bounds_without_slack() -> DispatchConfig {
     let cold_start = ColdStartBound {
         overage: 1.5,
@@ -113,12 +113,12 @@
     }
 }
 
-/// A node that knows no configuration yet.
+/// A node without a configuration.
 pub fn unconfigured() -> Dispatcher {
     unconfigured_as("node")
 }
 
-/// The same under that name.
+/// A node of that name without a configuration.
 pub fn unconfigured_as(node: &str) -> Dispatcher {
     Dispatcher::new(config(node))
 }
@@ -128,23 +128,23 @@
         node: node.to_owned(),
         run: 9,
         zone: "here".into(),
-        budget: BudgetConfig {
+        budget: RetryBudgetConfig {
             ratio: 0.2,
             allowance: 10.0,
             window: Duration::from_secs(10),
         },
         queue_limit: 100,
-        most_queued: 6,
+        max_queued: 6,
         zone_cost: Duration::from_millis(80),
-        leaver_grace: Duration::from_millis(1_333),
+        drain_grace: Duration::from_millis(1_333),
         evacuation_grace: Duration::from_millis(2_000),
         cold_start: ColdStartBound {
             overage: 1.5,
             slack: 8.0,
         },
-        keeps_named_rates: true,
-        keeps_rests: true,
-        proves_before_repeat: true,
+        honors_rate_limits: true,
+        honors_rests: true,
+        requires_proof_before_retry: true,
     }
 }
 
@@ -159,7 +159,7 @@
         id: "id".to_owned(),
         host: "host:80".to_owned(),
         path: path.to_owned(),
-        patience: Some(PATIENCE),
+        client_timeout: Some(PATIENCE),
         key: key.map(ShardKey),
         fingerprints: Fingerprints::default(),
     }
@@ -179,12 +179,12 @@
     })
 }
 
-/// All keys of "keyed" are in that state.
+/// Assigns all keys of "keyed" in state `state` at time 0.
 pub fn assign(dispatcher: &mut Dispatcher, sequence: u64, state: SliceState) {
     assign_at(dispatcher, 0, sequence, state);
 }
 
-/// The same, from then on.
+/// Assigns all keys of "keyed" in state `state`.
 pub fn assign_at(dispatcher: &mut Dispatcher, millis: u64, sequence: u64, state: SliceState) {
     let slices = Part::all().map(|part| SliceRecord {
         range: part.range(),
@@ -198,14 +198,14 @@
         doubted: Vec::new(),
         slices: slices.collect(),
     };
-    dispatcher.assign(
+    dispatcher.apply_assignment(
         at(millis),
         "keyed".into(),
         Rc::new(Assignment::from(record)),
     );
 }
 
-/// The usual holder has them.
+/// All keys are held by the upstream "holder".
 pub fn held() -> SliceState {
     SliceState::Held {
         holder: UpstreamId::from("holder".to_owned()),
--- a/crates/dispatch/tests/faults.rs
+++ b/crates/dispatch/tests/faults.rs
@@ -1,24 +1,26 @@
-//! Upstreams that answer with failures.
+//! Upstreams that respond with failures.
 
 mod common;
 
 use beamtray_dispatch::{AttemptOutcome, Dispatcher, LoadReport, NodeHash, Ticket};
 use common::*;
 
-/// Sends a request and ends it at once; where it went. "near" fails if it does.
+/// Sends a request, ends it after 10 ms and returns its upstream. If `near_fails`, "near"
+/// responds with a failure.
 fn send(node: &mut Dispatcher, ticket: u64, time: u64, near_fails: bool) -> String {
     node.admit(at(time), Ticket(ticket), &head("/order/1", None))
         .expect("it is admitted");
     let forward = forwarded(node.poll(at(time), &directory())).expect("it is sent");
     let fails = near_fails && forward.upstream.name.0 == "near";
     let outcome = AttemptOutcome::Answered { success: !fails };
-    node.ended(at(time + 10), Ticket(ticket), outcome);
+    node.attempt_ended(at(time + 10), Ticket(ticket), outcome);
     forward.upstream.name.0
 }
 
-/// An upstream that fails fast is always idle. It got every request of its zone.
+/// Guards against upstreams that fail fast and, being always idle, get every request of their
+/// zone.
 #[test]
-fn an_upstream_that_fails_gets_fewer_requests_for_a_while() {
+fn a_failing_upstream_gets_fewer_requests_for_a_while() {
     let mut node = dispatcher();
     let sent: Vec<String> = (0..20)
         .map(|index| send(&mut node, index, index * 20, true))
@@ -29,7 +31,7 @@
 }
 
 #[test]
-fn failures_are_told_to_other_nodes() {
+fn failures_are_reported_to_other_nodes() {
     let mut node = dispatcher();
     for index in 0..3 {
         send(&mut node, index, index, true);
@@ -45,6 +47,6 @@
         in_flight: Vec::new(),
         answers,
     };
-    relay.report(at(50), &report);
+    relay.apply_load_report(at(50), &report);
     assert_eq!(send(&mut relay, 1, 60, true), "far");
 }
--- a/crates/metastore/src/election.rs
+++ b/crates/metastore/src/election.rs
@@ -1,12 +1,12 @@
-//! Which node may grant keys.
+//! Election of the granter, the node that may grant keys.
 //!
-//! The granter's key hangs on a lease, the epoch's key on none. Taking the
-//! place raises the epoch in the same transaction. The place's authority ends
-//! on the holder's own clock before the store can give it to another.
+//! The granter key is attached to a lease, the epoch key is not. The transaction that
+//! acquires the granter key also increments the epoch. The holder's authority ends on its
+//! own clock before the store can assign the granter key to another node.
 //!
-//! A process that finds the place held by an earlier run of its own node, at its own
-//! address, takes it over at once: that process has ended, and its authority with it.
-//! Its lease would go on for up to its whole life.
+//! A process that finds the granter key held by a previous run of its own node, at its own
+//! address, replaces it immediately: that process has ended, and its authority with it,
+//! while its lease could remain for up to its full time to live.
 
 use crate::call::{
     Condition, Item, LeaseId, Revision, StoreCall, StoreEra, StoreOutcome, Transaction, Write,
@@ -17,91 +17,92 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of a granter's term; each term has a higher one.
+/// Number of a granter's term; each term has a higher epoch than the previous ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct Epoch(pub u64);
 
-/// Highest number of a term that is believed: tokens carry it in 32 bits, and terms
-/// that are counted from here on must fit, too.
-const HIGHEST_EPOCH: Epoch = Epoch((1 << 31) - 1);
+/// Highest epoch that is accepted from the store: tokens carry the epoch in 32 bits, and the
+/// epochs that follow must fit as well.
+const MAX_EPOCH: Epoch = Epoch((1 << 31) - 1);
 
 impl Epoch {
-    /// The first one of an era of the store. Above all of the eras before: those that the
-    /// store has forgotten are not known to it, and an era has fewer terms than lie between.
+    /// Returns the first epoch of a store era, which is above all epochs of earlier eras. The
+    /// restored store does not know the epochs that it lost, so the distance between the
+    /// first epochs of two eras is more than the number of terms that an era can have.
     pub fn first_of(era: StoreEra) -> Self {
-        Self((u64::from(era.0) * EPOCHS_OF_AN_ERA).min(HIGHEST_EPOCH.0 / 2))
+        Self((u64::from(era.0) * EPOCHS_PER_ERA).min(MAX_EPOCH.0 / 2))
     }
 }
 
-/// Terms that an era has at most: one a second for most of a day.
-const EPOCHS_OF_AN_ERA: u64 = 1 << 16;
+/// Maximum number of terms in an era: one per second for most of a day.
+const EPOCHS_PER_ERA: u64 = 1 << 16;
 
-/// What the granter's key holds.
+/// Value of the granter key.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct GranterRecord {
     /// Name of the node.
     pub node: String,
-    /// Tells one run of the node from the others.
+    /// Identifies the run of the node's process.
     pub run: u64,
-    /// Its term.
+    /// Epoch of the granter's term.
     pub epoch: Epoch,
-    /// Where it hears other nodes.
-    pub peers: SocketAddr,
+    /// Address on which the node receives messages from its peers.
+    pub peer_address: SocketAddr,
 }
 
-/// Keys and timing of an election.
+/// Configuration of an [`Election`].
 #[derive(Clone, Debug)]
 pub struct ElectionConfig {
-    /// Key that the granter holds under its lease.
+    /// Granter key, attached to the granter's lease.
     pub granter_key: String,
-    /// Key of the highest epoch.
+    /// Key that stores the highest epoch.
     pub epoch_key: String,
     /// Name of this node.
     pub node: String,
-    /// Number of this run.
+    /// Identifies this run of the node's process.
     pub run: u64,
-    /// Where this node hears others.
-    pub peers: SocketAddr,
-    /// The lease.
+    /// Address on which this node receives messages from its peers.
+    pub peer_address: SocketAddr,
+    /// Timing of the granter's lease.
     pub lease: LeaseTiming,
-    /// How long the place is left vacant before this node tries to take it;
-    /// differs from node to node, so that not all try at once.
-    pub patience: Duration,
+    /// How long the granter key must be absent before this node tries to acquire it; differs
+    /// between nodes, so that they do not all try at once.
+    pub candidacy_delay: Duration,
 }
 
-/// The right to grant, to be checked right before every use.
+/// The authority to grant keys, to be checked immediately before each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Authority {
-    /// The term.
+    /// Epoch of the term.
     pub epoch: Epoch,
-    /// When the right ends on this node's clock.
-    pub until: Time,
-    /// Revision of the granter's key: writes are made on this condition.
+    /// When the authority ends, on this node's clock.
+    pub valid_until: Time,
+    /// Revision of the granter key, the precondition of the granter's writes.
     pub revision: Revision,
-    /// The last term before, as far as the store knew.
+    /// Epoch of the previous term, as far as known to the store.
     pub predecessor: Epoch,
 }
 
-/// What an election waits for.
+/// The call whose response an election waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
-    /// An answer about the lease.
+    /// A call for the lease.
     Lease,
-    /// An answer to the taking of the place.
-    Take,
+    /// The transaction that acquires the granter key.
+    Acquire,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Leadership {
     epoch: Epoch,
     revision: Revision,
     lease: LeaseId,
     predecessor: Epoch,
 }
 
-/// The term that the pending taking of the place would begin, and the one before.
+/// The term that a pending acquisition would begin, and the previous one.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     epoch: Epoch,
@@ -114,32 +115,33 @@
     sent: Time,
 }
 
-/// One node's part in the election.
+/// One node's participation in the election.
 #[derive(Clone, Debug)]
 pub struct Election {
     config: ElectionConfig,
     keeper: LeaseKeeper,
     pending: Option<Pending>,
     attempted: Option<Attempt>,
-    /// The store's era, if it is known.
+    /// Era of the store, zero if unknown.
     era: StoreEra,
-    /// Whether the place is taken again though the store names this process as its holder.
-    reclaims: bool,
-    place: Option<Place>,
+    /// Whether to acquire the granter key again although the store names this process as its
+    /// holder.
+    reclaiming: bool,
+    leadership: Option<Leadership>,
     vacant_since: Option<Time>,
-    /// Revision that the granter's key must have when this node takes the place: none
-    /// is there, or that of an earlier run of this node.
-    replaces: Revision,
-    /// The granter's key as it was seen last, which need not be read again.
-    observed: Option<Revision>,
-    /// Added to the patience.
-    handicap: Duration,
+    /// Revision that the granter key must have for this node to acquire it: absent, or the
+    /// revision written by a previous run of this node, or by this run in an earlier era.
+    expected_revision: Revision,
+    /// Revision at which the granter key was last evaluated.
+    last_observed: Option<Revision>,
+    /// Added to the candidacy delay.
+    extra_delay: Duration,
     retry_at: Time,
     stopped: bool,
 }
 
 impl Election {
-    /// A node that holds no place.
+    /// Creates the election state of a node that is not the granter.
     pub fn new(config: ElectionConfig) -> Self {
         let keeper = LeaseKeeper::new(config.lease);
         Self {
@@ -148,37 +150,38 @@
             pending: None,
             attempted: None,
             era: StoreEra::default(),
-            reclaims: false,
-            place: None,
+            reclaiming: false,
+            leadership: None,
             vacant_since: None,
-            replaces: Revision::ABSENT,
-            observed: None,
-            handicap: Duration::ZERO,
+            expected_revision: Revision::ABSENT,
+            last_observed: None,
+            extra_delay: Duration::ZERO,
             retry_at: Time::ZERO,
             stopped: false,
         }
     }
 
-    /// Lets other nodes try to take a vacant place that much earlier.
-    pub fn set_handicap(&mut self, handicap: Duration) {
-        self.handicap = handicap;
+    /// Sets a delay on top of [`ElectionConfig::candidacy_delay`], which gives other nodes
+    /// precedence.
+    pub fn set_extra_delay(&mut self, extra_delay: Duration) {
+        self.extra_delay = extra_delay;
     }
 
-    /// The right to grant at `now`, if this node has it.
+    /// Returns the authority to grant keys, if this node has it at `now`.
     pub fn authority(&self, now: Time) -> Option<Authority> {
-        let place = self.place?;
-        let until = self.keeper.valid_until()?;
-        let same_lease = self.keeper.lease(now)? == place.lease;
+        let leadership = self.leadership?;
+        let valid_until = self.keeper.valid_until()?;
+        let same_lease = self.keeper.lease(now)? == leadership.lease;
         same_lease.then_some(Authority {
-            epoch: place.epoch,
-            until,
-            revision: place.revision,
-            predecessor: place.predecessor,
+            epoch: leadership.epoch,
+            valid_until,
+            revision: leadership.revision,
+            predecessor: leadership.predecessor,
         })
     }
 
-    /// The call that is due. `granter` and `epoch` are the two keys as this
-    /// node sees them; `None` for the whole argument while it sees nothing.
+    /// Returns the call that is due, if any. `view` holds the granter key and the epoch key as
+    /// seen by this node, and is `None` while it has no view of the store.
     pub fn poll(
         &mut self,
         now: Time,
@@ -189,87 +192,88 @@
         if self.pending.is_some() || self.stopped || now < self.retry_at {
             return None;
         }
-        if self.place.is_some() {
+        if self.leadership.is_some() {
             let call = self.keeper.poll(now)?;
             return Some(self.send(now, ElectionStep::Lease, call));
         }
         let vacant_since = self.vacant_since?;
-        let waits_for_others = self.replaces == Revision::ABSENT;
-        let patience = self.config.patience + self.handicap;
-        if waits_for_others && now.since(vacant_since) < patience {
+        let is_vacant = self.expected_revision == Revision::ABSENT;
+        let candidacy_delay = self.config.candidacy_delay + self.extra_delay;
+        if is_vacant && now.since(vacant_since) < candidacy_delay {
             return None;
         }
         let Some(lease) = self.keeper.lease(now) else {
             let call = self.keeper.poll(now)?;
             return Some(self.send(now, ElectionStep::Lease, call));
         };
-        let call = self.take(lease, epoch);
-        Some(self.send(now, ElectionStep::Take, call))
+        let call = self.acquire_call(lease, epoch);
+        Some(self.send(now, ElectionStep::Acquire, call))
     }
 
-    /// The store has begun an era. What it acknowledged before may be gone, the place among
-    /// it, and others may have had it since the state that it went back to: the right to
-    /// grant has to be won again, in a term above all that were.
+    /// Handles the beginning of a store era. Acknowledged writes may be lost, including the
+    /// acquisition of the granter key, and other nodes may have held the key since the state
+    /// that the store reverted to. The authority must therefore be acquired again, in a term
+    /// above all previous ones.
     pub fn begin_era(&mut self, era: StoreEra) {
         self.era = era;
-        self.reclaims |= self.place.take().is_some();
+        self.reclaiming |= self.leadership.take().is_some();
         self.attempted = None;
-        self.observed = None;
-        self.replaces = Revision::ABSENT;
+        self.last_observed = None;
+        self.expected_revision = Revision::ABSENT;
     }
 
-    /// Follows the granter's key as this node sees it.
+    /// Updates the state from the granter key as seen by this node.
     fn observe(&mut self, now: Time, granter: Option<&Item>) {
         let Some(item) = granter else {
             self.vacant_since.get_or_insert(now);
-            self.replaces = Revision::ABSENT;
-            self.observed = None;
-            // The key may be unseen as yet right after this node wrote it;
-            // the lease alone decides whether the place is still held.
+            self.expected_revision = Revision::ABSENT;
+            self.last_observed = None;
+            // The key may not be visible yet right after this node wrote it, so only the
+            // lease decides whether this node is still the granter.
             return;
         };
-        let is_settled = self.attempted.is_none() || self.place.is_some();
-        if self.observed == Some(item.revision) && is_settled {
+        let is_settled = self.attempted.is_none() || self.leadership.is_some();
+        if self.last_observed == Some(item.revision) && is_settled {
             return;
         }
-        self.observed = Some(item.revision);
+        self.last_observed = Some(item.revision);
         self.vacant_since = None;
         let Ok(record) = GranterRecord::try_from_slice(&item.value) else {
             return;
         };
-        let ours = record.node == self.config.node && record.run == self.config.run;
-        if !ours {
-            let lost = self
-                .place
-                .is_some_and(|place| item.revision > place.revision);
-            if lost {
-                self.place = None;
+        let is_own = record.node == self.config.node && record.run == self.config.run;
+        if !is_own {
+            let is_lost = self
+                .leadership
+                .is_some_and(|leadership| item.revision > leadership.revision);
+            if is_lost {
+                self.leadership = None;
             }
-            let is_predecessor =
-                record.node == self.config.node && record.peers == self.config.peers;
-            if is_predecessor && self.place.is_none() {
+            let is_previous_run =
+                record.node == self.config.node && record.peer_address == self.config.peer_address;
+            if is_previous_run && self.leadership.is_none() {
                 self.vacant_since = Some(now);
-                self.replaces = item.revision;
+                self.expected_revision = item.revision;
             }
             return;
         }
-        // A taking of the place whose answer was lost shows here.
-        if self.place.is_none()
+        // An acquisition whose response was lost is recognized here.
+        if self.leadership.is_none()
             && let Some(attempt) = self.attempted
             && attempt.epoch == record.epoch
             && let Some(lease) = self.keeper.lease(now)
         {
-            self.hold(attempt, item.revision, lease);
+            self.set_leadership(attempt, item.revision, lease);
         }
-        if self.place.is_none() && self.reclaims {
+        if self.leadership.is_none() && self.reclaiming {
             self.vacant_since = Some(now);
-            self.replaces = item.revision;
+            self.expected_revision = item.revision;
         }
     }
 
-    fn hold(&mut self, attempt: Attempt, revision: Revision, lease: LeaseId) {
-        self.reclaims = false;
-        self.place = Some(Place {
+    fn set_leadership(&mut self, attempt: Attempt, revision: Revision, lease: LeaseId) {
+        self.reclaiming = false;
+        self.leadership = Some(Leadership {
             epoch: attempt.epoch,
             revision,
             lease,
@@ -282,7 +286,7 @@
         call
     }
 
-    fn take(&mut self, lease: LeaseId, epoch: Option<&Item>) -> StoreCall {
+    fn acquire_call(&mut self, lease: LeaseId, epoch: Option<&Item>) -> StoreCall {
         let predecessor = last_epoch(epoch);
         let next = Epoch(predecessor.0 + 1).max(Epoch::first_of(self.era));
         self.attempted = Some(Attempt {
@@ -293,7 +297,7 @@
             node: self.config.node.clone(),
             run: self.config.run,
             epoch: next,
-            peers: self.config.peers,
+            peer_address: self.config.peer_address,
         };
         let condition = |key: &str, revision| Condition {
             key: key.to_owned(),
@@ -307,7 +311,7 @@
         let epoch_revision = epoch.map_or(Revision::ABSENT, |item| item.revision);
         StoreCall::Commit(Transaction {
             conditions: vec![
-                condition(&self.config.granter_key, self.replaces),
+                condition(&self.config.granter_key, self.expected_revision),
                 condition(&self.config.epoch_key, epoch_revision),
             ],
             writes: vec![
@@ -318,7 +322,7 @@
         })
     }
 
-    /// Takes the outcome of the call that is under way.
+    /// Handles the outcome of the pending call.
     pub fn handle(&mut self, now: Time, outcome: &StoreOutcome) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -327,49 +331,49 @@
             ElectionStep::Lease => {
                 self.keeper.handle(now, pending.sent, outcome);
                 if matches!(outcome, StoreOutcome::Absent) {
-                    self.place = None;
+                    self.leadership = None;
                 }
             }
-            ElectionStep::Take => self.taken(now, outcome),
+            ElectionStep::Acquire => self.handle_acquire(now, outcome),
         }
     }
 
-    fn taken(&mut self, now: Time, outcome: &StoreOutcome) {
+    fn handle_acquire(&mut self, now: Time, outcome: &StoreOutcome) {
         match outcome {
             StoreOutcome::Committed { revision } => {
                 if let (Some(lease), Some(attempt)) = (self.keeper.lease(now), self.attempted) {
-                    self.hold(attempt, *revision, lease);
+                    self.set_leadership(attempt, *revision, lease);
                 }
             }
             StoreOutcome::Absent => {
-                // The lease ended before it was used.
+                // The lease expired before it was used.
                 self.keeper = LeaseKeeper::new(self.config.lease);
             }
-            _ => self.retry_at = now + self.config.patience,
+            _ => self.retry_at = now + self.config.candidacy_delay,
         }
     }
 
-    /// Gives the place up for good; the call that tells the store.
+    /// Resigns permanently and returns the call that revokes the lease.
     pub fn resign(&mut self) -> Option<StoreCall> {
         self.stopped = true;
-        self.place = None;
+        self.leadership = None;
         self.keeper.resign()
     }
 }
 
-/// The highest epoch so far. Each epoch rises by one in a write of its own, so none is above
-/// the revision of the write in which it began: where the number can't be read, or is out
-/// of range, the revision of that value is above all before it.
+/// Returns the highest epoch so far. Each term increments the epoch in a write of its own, so
+/// no epoch exceeds the revision of the write that began it. If the value is unreadable or out
+/// of range, the revision of the key is therefore an upper bound of all previous epochs.
 fn last_epoch(item: Option<&Item>) -> Epoch {
     let Some(item) = item else {
         return Epoch::default();
     };
     let read = Epoch::try_from_slice(&item.value).ok();
-    let read = read.filter(|epoch| *epoch <= HIGHEST_EPOCH);
+    let read = read.filter(|epoch| *epoch <= MAX_EPOCH);
     read.unwrap_or(Epoch(item.revision.number))
 }
 
 fn encode(value: &impl BorshSerialize) -> Vec<u8> {
-    // Writing borsh to memory can't fail.
+    // Borsh serialization to memory cannot fail.
     borsh::to_vec(value).unwrap_or_default()
 }
