--- a/crates/metastore/tests/election.rs
+++ b/crates/metastore/tests/election.rs
@@ -1,4 +1,4 @@
-//! The lease that makes one node the granter.
+//! Election of the granter.
 
 use beamtray_metastore::{
     Election, ElectionConfig, Epoch, GranterRecord, Item, LeaseId, LeaseTiming, Revision,
@@ -15,12 +15,12 @@
         epoch_key: "epoch".to_owned(),
         node: "node".to_owned(),
         run: 7,
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
         lease: LeaseTiming {
             ttl: TTL,
             renewal: Duration::from_millis(500),
         },
-        patience: Duration::from_millis(50),
+        candidacy_delay: Duration::from_millis(50),
     }
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes the vacant place at about 100 ms.
+/// A node that acquires the absent granter key at about 100 ms.
 fn elected() -> Election {
     let mut election = Election::new(config());
     assert_eq!(election.poll(at(0), Some((None, None))), None);
@@ -58,30 +58,31 @@
 }
 
 #[test]
-fn nothing_is_tried_before_the_keys_were_seen() {
+fn no_call_is_made_before_the_keys_are_known() {
     let mut election = Election::new(config());
     assert_eq!(election.poll(at(1_000), None), None);
 }
 
 #[test]
-fn the_right_ends_before_the_lease_can_end_at_the_store() {
+fn authority_ends_before_the_lease_can_expire_in_the_store() {
     let election = elected();
-    // The lease was asked for at 60 ms, so the store ends it at 2,060 at the
-    // earliest.
-    let authority = election.authority(at(120)).expect("the place is held");
+    // The lease was requested at 60 ms, so it expires in the store at 2,060 ms at the earliest.
+    let authority = election
+        .authority(at(120))
+        .expect("the node is the granter");
     assert_eq!(authority.epoch, Epoch(1));
-    assert!(authority.until < at(2_060));
-    assert!(election.authority(authority.until).is_none());
+    assert!(authority.valid_until < at(2_060));
+    assert!(election.authority(authority.valid_until).is_none());
 }
 
 #[test]
-fn a_frozen_granter_has_no_right_when_it_wakes() {
+fn paused_granter_has_no_authority_when_it_resumes() {
     let election = elected();
     assert!(election.authority(at(9_000)).is_none());
 }
 
 #[test]
-fn a_renewal_that_succeeds_late_proves_that_the_lease_lasted() {
+fn late_successful_renewal_restores_authority() {
     let mut election = elected();
     let call = election.poll(at(5_000), Some((None, None)));
     assert!(matches!(call, Some(StoreCall::KeepLease { .. })));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_lease_lost_unseen_ends_the_term() {
+fn expired_lease_ends_the_term() {
     let mut election = elected();
     election.poll(at(5_000), Some((None, None)));
     election.handle(at(5_010), &StoreOutcome::Absent);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn the_epoch_rises_above_the_one_in_the_store() {
+fn new_epoch_is_above_the_stored_one() {
     let mut election = Election::new(config());
     let epoch = item("epoch", borsh::to_vec(&Epoch(41)).expect("encodes"), 3);
     election.poll(at(0), Some((None, Some(&epoch))));
@@ -109,7 +110,7 @@
     election.handle(at(70), &leased(Some(1)));
     let call = election.poll(at(100), Some((None, Some(&epoch))));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking of the place: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     assert_eq!(transaction.conditions[0].revision, Revision::new(0));
     assert_eq!(transaction.conditions[1].revision, Revision::new(3));
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_taking_whose_answer_was_lost_is_seen_in_the_store() {
+fn acquisition_with_a_lost_answer_is_recognized_in_the_store() {
     let mut election = Election::new(config());
     election.poll(at(0), Some((None, None)));
     election.poll(at(60), Some((None, None)));
@@ -130,11 +131,13 @@
         node: "node".to_owned(),
         run: 7,
         epoch: Epoch(1),
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
     };
     let seen = item("granter", borsh::to_vec(&record).expect("encodes"), 9);
     election.poll(at(1_010), Some((Some(&seen), None)));
-    let authority = election.authority(at(1_020)).expect("the place is held");
+    let authority = election
+        .authority(at(1_020))
+        .expect("the node is the granter");
     assert_eq!(authority.revision, Revision::new(9));
 }
 
@@ -143,15 +146,15 @@
         node: node.to_owned(),
         run: 6,
         epoch: Epoch(4),
-        peers: ([127, 0, 0, 1], port).into(),
+        peer_address: ([127, 0, 0, 1], port).into(),
     };
     item("granter", borsh::to_vec(&record).expect("encodes"), 9)
 }
 
-/// An earlier run of the node has ended, and its right with it; its lease would keep
-/// the place for two seconds. The place must still be as it was seen.
+/// A previous run of the node has ended, and its authority with it, but its lease would keep
+/// the granter key for two seconds. The key is replaced only at the revision that was seen.
 #[test]
-fn another_run_of_the_same_node_is_another_holder() {
+fn key_of_a_previous_run_is_replaced_at_once() {
     let mut election = Election::new(config());
     let seen = held_by("node", 7_000);
     let call = election.poll(at(500), Some((Some(&seen), None)));
@@ -161,7 +164,7 @@
     assert!(election.authority(at(510)).is_none());
     let call = election.poll(at(510), Some((Some(&seen), None)));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     let condition = &transaction.conditions[0];
     assert_eq!(condition.key, "granter");
@@ -172,9 +175,9 @@
     assert!(election.authority(at(520)).is_some());
 }
 
-/// A process of that name elsewhere may be alive.
+/// A process with the same name at another address may still be running.
 #[test]
-fn the_place_of_a_node_at_another_address_is_left_alone() {
+fn key_of_a_node_at_another_address_is_not_replaced() {
     for seen in [held_by("node", 7_001), held_by("other", 7_000)] {
         let mut election = Election::new(config());
         assert_eq!(election.poll(at(500), Some((Some(&seen), None))), None);
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn resigning_ends_the_right_at_once() {
+fn resigning_ends_authority_at_once() {
     let mut election = elected();
     let call = election.resign();
     assert!(matches!(call, Some(StoreCall::RevokeLease { .. })));
@@ -192,12 +195,12 @@
     assert_eq!(election.poll(at(10_000), Some((None, None))), None);
 }
 
-fn of_run(run: u64, epoch: u64, revision: u64) -> Item {
+fn granter_item(run: u64, epoch: u64, revision: u64) -> Item {
     let record = GranterRecord {
         node: "node".to_owned(),
         run,
         epoch: Epoch(epoch),
-        peers: ([127, 0, 0, 1], 7_000).into(),
+        peer_address: ([127, 0, 0, 1], 7_000).into(),
     };
     item(
         "granter",
@@ -206,31 +209,33 @@
     )
 }
 
-/// Guards against a granter that goes on with its term in a store that went back: another
-/// one may have had the place since the state that the store is in again.
+/// Guards against a granter that continues its term after the store reverted to an older
+/// state: another node may have been the granter since that state.
 #[test]
-fn a_new_era_ends_the_right_and_it_is_won_again_at_once_in_a_higher_term() {
+fn new_era_ends_authority_and_the_key_is_reacquired_in_a_higher_term() {
     let mut election = elected();
     let era = StoreEra(3);
     election.begin_era(era);
     assert!(election.authority(at(130)).is_none());
-    let place = of_run(7, 1, 2);
+    let granter = granter_item(7, 1, 2);
     let epoch = item("epoch", borsh::to_vec(&Epoch(1)).expect("encodes"), 2);
-    let call = election.poll(at(200), Some((Some(&place), Some(&epoch))));
+    let call = election.poll(at(200), Some((Some(&granter), Some(&epoch))));
     let Some(StoreCall::Commit(transaction)) = call else {
-        panic!("not a taking of the place: {call:?}");
+        panic!("not a transaction: {call:?}");
     };
     assert_eq!(transaction.conditions[0].revision, Revision::new(2));
     let revision = Revision::new(3);
     election.handle(at(210), &StoreOutcome::Committed { revision });
-    let authority = election.authority(at(220)).expect("the place is held");
+    let authority = election
+        .authority(at(220))
+        .expect("the node is the granter");
     assert_eq!(authority.epoch, Epoch::first_of(era));
     assert_eq!(authority.predecessor, Epoch(1));
 }
 
-/// Guards against a term that begins twice, since the store forgot the first one.
+/// Guards against an epoch that is used twice because the store lost its first use.
 #[test]
-fn terms_of_an_era_are_above_all_that_the_eras_before_can_have_had() {
+fn epochs_of_an_era_are_above_those_of_earlier_eras() {
     let many = 60_000;
     for era in [0, 1, 2, 40, 9_000] {
         let last = Epoch::first_of(StoreEra(era)).0 + many;
@@ -239,21 +244,21 @@
     assert_eq!(Epoch::first_of(StoreEra(0)), Epoch(0));
 }
 
-/// Guards against a node that takes the place of another one by force, since it had the place
-/// itself before the store went back.
+/// Guards against a node that replaces another granter's key because it was the granter itself
+/// before the store reverted.
 #[test]
-fn the_place_of_another_node_is_left_to_it_in_a_new_era() {
+fn key_of_another_node_is_not_replaced_in_a_new_era() {
     let mut election = elected();
     election.begin_era(StoreEra(1));
     let record = GranterRecord {
         node: "other".to_owned(),
         run: 3,
         epoch: Epoch(1),
-        peers: ([127, 0, 0, 2], 7_000).into(),
+        peer_address: ([127, 0, 0, 2], 7_000).into(),
     };
-    let place = item("granter", borsh::to_vec(&record).expect("encodes"), 2);
+    let granter = item("granter", borsh::to_vec(&record).expect("encodes"), 2);
     for millis in [200, 400, 1_000] {
-        let call = election.poll(at(millis), Some((Some(&place), None)));
+        let call = election.poll(at(millis), Some((Some(&granter), None)));
         assert!(
             !matches!(call, Some(StoreCall::Commit(_))),
             "at {millis} ms"
@@ -261,15 +266,15 @@
     }
 }
 
-/// Guards against a granter that waits for its own old lease where the store goes back again
-/// before it has won its place.
+/// Guards against a granter that waits for its own old lease to expire when the store reverts
+/// again before the granter has reacquired its key.
 #[test]
-fn the_place_is_won_again_at_once_after_two_eras_in_a_row() {
+fn key_is_reacquired_at_once_after_two_new_eras() {
     let mut election = elected();
     election.begin_era(StoreEra(1));
     election.begin_era(StoreEra(2));
-    let place = of_run(7, 1, 2);
+    let granter = granter_item(7, 1, 2);
     let epoch = item("epoch", borsh::to_vec(&Epoch(1)).expect("encodes"), 2);
-    let call = election.poll(at(200), Some((Some(&place), Some(&epoch))));
+    let call = election.poll(at(200), Some((Some(&granter), Some(&epoch))));
     assert!(matches!(call, Some(StoreCall::Commit(_))), "{call:?}");
 }
--- a/crates/metastore/tests/mirror.rs
+++ b/crates/metastore/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! A copy of a prefix never goes back.
+//! The revision of a mirror never decreases.
 
 use beamtray_metastore::{Item, Mirror, MirrorChange, Revision, StoreEra, StoreEvent};
 use quickcheck::{Gen, QuickCheck, quickcheck};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_older_reading_is_ignored() {
+fn older_snapshot_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 9)]);
     assert!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_page_read_early_does_not_undo_what_a_watch_told() {
+fn stale_page_does_not_undo_a_watch_event() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 9)]);
     mirror.apply(Revision::new(12), vec![StoreEvent::Put(item("a", 12))]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_removal_that_is_older_than_the_item_is_ignored() {
+fn removal_older_than_the_item_is_ignored() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), vec![item("a", 10)]);
     let removed = StoreEvent::Removed {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_reading_tells_what_is_absent() {
+fn snapshot_reports_absent_keys() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(1), vec![item("a", 1), item("b", 1)]);
     let changes = mirror.replace(Revision::new(2), vec![item("b", 1)]);
@@ -61,27 +61,27 @@
 }
 
 quickcheck! {
-    fn the_revision_never_falls(steps: Vec<(u8, bool)>) -> bool {
+    fn revision_never_decreases(steps: Vec<(u8, bool)>) -> bool {
         let mut mirror = Mirror::default();
         let mut last = None;
-        steps.into_iter().all(|(revision, whole)| {
+        steps.into_iter().all(|(revision, is_snapshot)| {
             let at = Revision::new(revision.into());
-            if whole {
+            if is_snapshot {
                 mirror.replace(at, vec![item("a", revision.into())]);
             } else {
                 mirror.apply(at, vec![StoreEvent::Put(item("a", revision.into()))]);
             }
-            let rose = mirror.at() >= last;
-            last = mirror.at();
-            rose
+            let did_not_decrease = mirror.revision() >= last;
+            last = mirror.revision();
+            did_not_decrease
         })
     }
 }
 
-/// What one copy has beyond another makes the other equal to it.
+/// Applying the delta of a newer mirror to an older one makes them equal.
 #[test]
-fn a_difference_brings_an_older_copy_level() {
-    fn levels(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>) -> bool {
+fn delta_brings_an_older_mirror_up_to_date() {
+    fn catches_up(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>) -> bool {
         let mut ahead = Mirror::default();
         ahead.replace(Revision::new(1), Vec::new());
         let mut revision = 1;
@@ -100,23 +100,23 @@
         before.into_iter().for_each(|one| step(&mut ahead, one));
         let mut behind = ahead.clone();
         after.into_iter().for_each(|one| step(&mut ahead, one));
-        let since = behind.at().expect("read");
+        let since = behind.revision().expect("read");
         let delta = ahead.delta(since).expect("remembered");
         let removed = delta.absent.into_iter().map(|removal| StoreEvent::Removed {
             key: removal.key,
             revision: removal.revision,
         });
         let events = removed.chain(delta.present.into_iter().map(StoreEvent::Put));
-        behind.apply(ahead.at().expect("read"), events.collect());
+        behind.apply(ahead.revision().expect("read"), events.collect());
         behind.items().eq(ahead.items())
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(50, SEED))
-        .quickcheck(levels as fn(Vec<(u8, bool)>, Vec<(u8, bool)>) -> bool);
+        .quickcheck(catches_up as fn(Vec<(u8, bool)>, Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
-fn a_copy_that_forgot_removals_gives_no_difference() {
+fn mirror_without_the_removals_returns_no_delta() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(10), Vec::new());
     assert!(mirror.delta(Revision::new(9)).is_none());
@@ -132,7 +132,7 @@
         mirror.apply(Revision::new(put + 1), vec![removed]);
     }
     assert!(mirror.delta(Revision::new(10)).is_none());
-    assert!(mirror.delta(mirror.at().expect("read")).is_some());
+    assert!(mirror.delta(mirror.revision().expect("read")).is_some());
 }
 
 fn later(number: u64) -> Revision {
@@ -150,10 +150,10 @@
     }
 }
 
-/// Guards against a copy that refuses the store's readings after it came back from an older
-/// copy, whose numbers are lower.
+/// Guards against a mirror that rejects snapshots of a store restored from an older copy,
+/// because their revision numbers are lower.
 #[test]
-fn a_reading_of_a_later_era_counts_whatever_its_number() {
+fn snapshot_of_a_later_era_replaces_higher_revision_numbers() {
     let mut mirror = Mirror::default();
     let old = vec![
         item_at("a", Revision::new(80)),
@@ -161,26 +161,26 @@
     ];
     mirror.replace(Revision::new(100), old);
     let changes = mirror.replace(later(60), vec![item_at("a", later(55))]);
-    assert_eq!(mirror.at(), Some(later(60)));
+    assert_eq!(mirror.revision(), Some(later(60)));
     assert!(changes.contains(&MirrorChange::Absent("b".to_owned())));
     assert!(changes.contains(&MirrorChange::Present(item_at("a", later(55)))));
     let late = mirror.replace(Revision::new(120), vec![item_at("c", Revision::new(110))]);
-    assert!(late.is_empty(), "a reading of the era before came late");
+    assert!(late.is_empty(), "a late snapshot of the previous era");
 }
 
-/// Guards against changes that are applied to a state of the store that the copy never had.
+/// Guards against events that are applied to a state of the store that the mirror never had.
 #[test]
-fn changes_of_another_era_are_not_taken_before_it_was_read() {
+fn events_of_another_era_are_ignored_before_a_snapshot() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(100), vec![item_at("a", Revision::new(80))]);
     let put = StoreEvent::Put(item_at("c", later(101)));
     assert!(mirror.apply(later(101), vec![put]).is_empty());
-    assert_eq!(mirror.at(), Some(Revision::new(100)));
+    assert_eq!(mirror.revision(), Some(Revision::new(100)));
 }
 
-/// Guards against another node's copy of an era before that is taken for a part of this one.
+/// Guards against a delta that is computed for another node's mirror of an earlier era.
 #[test]
-fn what_a_copy_of_an_earlier_era_lacks_is_everything() {
+fn no_delta_is_returned_across_eras() {
     let mut mirror = Mirror::default();
     mirror.replace(Revision::new(100), vec![item_at("a", Revision::new(80))]);
     mirror.replace(later(60), vec![item_at("a", later(55))]);
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -1,16 +1,16 @@
-//! This node's part in control: its entry, the election, and the grants while
-//! it is the granter.
+//! This node's part in the control plane: its registration, the granter election, and the grants
+//! while it is the granter.
 
 mod ownership;
 mod standbys;
 mod suspicions;
 mod term;
 
-use crate::core::grants::{Grants, candidates, probe_claimed};
+use crate::core::grants::{Grants, candidates, probe_contested};
 use crate::core::message::{OrderTask, StoreTask};
-use crate::core::records::{NodeRecord, OwnKeys};
+use crate::core::records::{NodeRecord, RouterKeys};
 use crate::core::registration::Registrar;
-use crate::core::standby_words::StandbyWords;
+use crate::core::standby_leases::StandbyLeases;
 use crate::core::views::{Snapshot, ViewName, Views};
 use beamtray_catalog::{Directory, UpstreamId};
 use beamtray_dispatch::{Dispatcher, KeyReport, SpeedTable};
@@ -29,50 +29,49 @@
 use suspicions::SuspicionWriter;
 use term::Term;
 
-/// Between two looks at the balance.
-const REBALANCE: Duration = Duration::from_millis(150);
-/// Share of the counted load that is left after one look.
-const LOAD_KEPT: f64 = 0.917;
-/// Between looks at which orders are due, when nothing asks for one sooner.
-const ORDERS: Duration = Duration::from_millis(10);
-/// Between two writes of learned speeds.
-const KEEP_SPEEDS: Duration = Duration::from_secs(4);
-/// Between renewals of a relay's entry.
-const RELAY_RENEWAL: Duration = Duration::from_millis(300);
-/// How much longer than a relay another node leaves the granter's place vacant.
-const HANDICAP: Duration = Duration::from_millis(300);
-/// How much longer a node that can do next to nothing leaves it vacant than the one
-/// that can do most.
-const WEAK_HANDICAP: Duration = Duration::from_millis(250);
+/// Interval of rebalancing.
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(150);
+/// Factor applied to the measured key load at each rebalancing.
+const LOAD_DECAY: f64 = 0.917;
+/// Interval of the check for due orders, when nothing requires an earlier one.
+const ORDER_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which measured speeds are written to the store.
+const SPEEDS_WRITE_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval at which a relay renews the lease of its registration.
+const RELAY_LEASE_RENEWAL: Duration = Duration::from_millis(300);
+/// How much longer than a relay other nodes wait before they claim the vacant granter key.
+const NON_RELAY_ELECTION_DELAY: Duration = Duration::from_millis(300);
+/// How much longer a node with almost no capacity waits than the node with the highest capacity.
+const LOW_CAPACITY_ELECTION_DELAY: Duration = Duration::from_millis(250);
 
-/// Fixed values of a node's control.
+/// Fixed parameters of a node's control.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// What the node tells of itself.
+    /// The node's registration.
     pub record: NodeRecord,
-    /// Lease of the node's entry.
+    /// Lease of the node's registration.
     pub node_lease: LeaseTiming,
-    /// Lease of the granter's place.
+    /// Lease of the granter key.
     pub granter_lease: LeaseTiming,
-    /// How long the place is left vacant before this node tries to take it.
-    pub patience: Duration,
-    /// Whether the granter keeps in the store which requests end upstreams. Only a test
-    /// that shows why turns it off.
-    pub keeps_suspicions: bool,
-    /// Grants.
+    /// How long the granter key must be vacant before this node tries to claim it.
+    pub election_delay: Duration,
+    /// Whether the granter stores suspected poison requests. Disabled only by a test that shows why
+    /// this is needed.
+    pub persist_suspicions: bool,
+    /// Timing of the grants.
     pub grants: GranterTiming,
-    /// Balance.
+    /// Limits on rebalancing.
     pub balance: BalanceLimits,
 }
 
-/// Assignments of divided services, as a node knows them.
+/// Assignments of sharded services, as a node knows them.
 pub type KnownAssignments = BTreeMap<ServiceName, Rc<Assignment>>;
 
-/// A write that the store takes only from the granter.
-fn granters_write(authority: &Authority, key: &str, value: Vec<u8>) -> StoreCall {
+/// A write that the store accepts only from the current granter.
+fn granter_write(authority: &Authority, key: &str, value: Vec<u8>) -> StoreCall {
     StoreCall::Commit(Transaction {
         conditions: vec![Condition {
-            key: OwnKeys::GRANTER.to_owned(),
+            key: RouterKeys::GRANTER.to_owned(),
             revision: authority.revision,
         }],
         writes: vec![Write {
@@ -84,90 +83,101 @@
     })
 }
 
-/// This node's part in control.
+/// This node's part in the control plane.
 pub struct Control {
     config: ControlConfig,
     registrar: Registrar,
     election: Election,
     term: Option<Term>,
     addresses: BTreeMap<UpstreamId, SocketAddr>,
-    /// State of the directory that the addresses were last taken from.
-    addresses_of: Option<u64>,
-    standbys: StandbyWords,
-    /// Assignments in the store that this node's views don't show yet.
-    written: Vec<Item>,
+    /// Version of the directory that the addresses were last taken from.
+    addresses_version: Option<u64>,
+    standbys: StandbyLeases,
+    /// Records in the store that this node's views don't contain yet.
+    own_writes: Vec<Item>,
     /// The store's era.
     era: StoreEra,
-    /// The last term of this node that had its grants, if an era ended it.
+    /// This node's last term that had loaded its grants, if a new era ended it.
     last_term: Option<Epoch>,
-    /// What that term would have written next.
+    /// The records that the last term would have written next.
     last_records: BTreeMap<ServiceName, AssignmentRecord>,
-    /// What was read at the start of the term.
-    reading: Option<Snapshot>,
-    speeds_at: Time,
+    /// The records read at the start of the term.
+    loaded_state: Option<Snapshot>,
+    next_speeds_write: Time,
     suspicions: SuspicionWriter,
 }
 
 impl Control {
-    /// A node that is not registered yet.
+    /// Creates the control of a node that is not registered yet.
     pub fn new(config: ControlConfig) -> Self {
         let election = Election::new(ElectionConfig {
-            granter_key: OwnKeys::GRANTER.to_owned(),
-            epoch_key: OwnKeys::EPOCH.to_owned(),
+            granter_key: RouterKeys::GRANTER.to_owned(),
+            epoch_key: RouterKeys::EPOCH.to_owned(),
             node: config.record.name.clone(),
             run: config.record.run,
-            peers: config.record.peers,
+            peer_address: config.record.peers,
             lease: config.granter_lease,
-            patience: config.patience,
+            candidacy_delay: config.election_delay,
         });
         Self {
             registrar: Registrar::new(config.record.clone(), config.node_lease),
             election,
             term: None,
-            standbys: StandbyWords::default(),
-            written: Vec::new(),
+            standbys: StandbyLeases::default(),
+            own_writes: Vec::new(),
             era: StoreEra::default(),
             last_term: None,
             last_records: BTreeMap::new(),
-            reading: None,
-            speeds_at: Time::ZERO,
+            loaded_state: None,
+            next_speeds_write: Time::ZERO,
             suspicions: SuspicionWriter::default(),
             addresses: BTreeMap::new(),
-            addresses_of: None,
+            addresses_version: None,
             config,
         }
     }
 
-    /// States whether this node is a relay, which makes it a better granter, and
-    /// whether it follows the store. Others rely on one that does both, so it
-    /// looks after its path to the store more often; so does a standby that
-    /// misses the granter.
+    /// Sets whether this node is a relay, which makes it a preferred granter, and whether it
+    /// follows the store. Other nodes rely on a node that does both, so it checks its path to the
+    /// store more often; so does a standby that misses the granter.
     ///
-    /// `ability` is this node's processor share, as a part of the ablest one's.
-    pub fn set_relay(&mut self, is_relay: bool, follows: bool, misses_granter: bool, ability: f64) {
+    /// `relative_capacity` is this node's processor share relative to the node with the largest
+    /// share.
+    pub fn set_relay(
+        &mut self,
+        is_relay: bool,
+        follows: bool,
+        misses_granter: bool,
+        relative_capacity: f64,
+    ) {
         let renewal = if (is_relay && follows) || misses_granter {
-            RELAY_RENEWAL
+            RELAY_LEASE_RENEWAL
         } else {
             self.config.node_lease.renewal
         };
         self.registrar.set_renewal(renewal);
-        let handicap = if is_relay { Duration::ZERO } else { HANDICAP };
-        let weak = WEAK_HANDICAP.mul_f64((1.0 - ability).clamp(0.0, 1.0));
-        self.election.set_handicap(handicap + weak);
+        let relay_delay = if is_relay {
+            Duration::ZERO
+        } else {
+            NON_RELAY_ELECTION_DELAY
+        };
+        let capacity_delay =
+            LOW_CAPACITY_ELECTION_DELAY.mul_f64((1.0 - relative_capacity).clamp(0.0, 1.0));
+        self.election.set_extra_delay(relay_delay + capacity_delay);
     }
 
-    /// When the last call was sent that shows a sound path to the store.
-    pub fn store_sound_at(&self) -> Option<Time> {
-        self.registrar.sound_at()
+    /// When the last successful call that shows the store to be reachable was sent.
+    pub fn last_store_contact(&self) -> Option<Time> {
+        self.registrar.last_renewal_at()
     }
 
-    /// Whether this node has the right to grant.
+    /// Whether this node may issue grants.
     pub fn is_granter(&self, now: Time) -> bool {
         self.election.authority(now).is_some()
     }
 
-    /// The store has begun an era: a term of the one before is over, and its grants are
-    /// continued, if at all, by the next one.
+    /// Starts a new era of the store: a term of the previous era ends, and its grants are
+    /// continued, if at all, by the next term.
     pub fn begin_era(&mut self, era: StoreEra) {
         self.era = era;
         self.election.begin_era(era);
@@ -181,7 +191,7 @@
         }
     }
 
-    /// Calls to the store that are due.
+    /// The store calls that are due.
     pub fn poll_store(
         &mut self,
         now: Time,
@@ -189,10 +199,12 @@
         dispatcher: &Dispatcher,
     ) -> Vec<(StoreTask, StoreCall)> {
         let mirror = views.replica(ViewName::Members).mirror();
-        let view = mirror
-            .at()
-            .filter(|at| at.era >= self.era)
-            .map(|_| (mirror.get(OwnKeys::GRANTER), mirror.get(OwnKeys::EPOCH)));
+        let view = mirror.revision().filter(|at| at.era >= self.era).map(|_| {
+            (
+                mirror.get(RouterKeys::GRANTER),
+                mirror.get(RouterKeys::EPOCH),
+            )
+        });
         let mut calls = Vec::new();
         if let Some(call) = self.election.poll(now, view) {
             calls.push((StoreTask::Election, call));
@@ -201,30 +213,30 @@
         if let Some(call) = self.registrar.poll(now, entry) {
             calls.push((StoreTask::Registration, call));
         }
-        self.follow_authority(now);
+        self.update_term(now);
         calls.extend(self.poll_term(now));
         calls.extend(self.poll_speeds(now, dispatcher.speeds()));
         calls.extend(self.poll_suspicions(now, dispatcher.quarantine()));
         calls
     }
 
-    /// Keeps what was learned of speeds for the processes after this one.
+    /// Stores the measured speeds for later processes.
     fn poll_speeds(&mut self, now: Time, speeds: &SpeedTable) -> Option<(StoreTask, StoreCall)> {
         let authority = self.election.authority(now)?;
-        if now < self.speeds_at {
+        if now < self.next_speeds_write {
             return None;
         }
         let record = speeds.record();
-        self.speeds_at = now + KEEP_SPEEDS;
+        self.next_speeds_write = now + SPEEDS_WRITE_INTERVAL;
         if record.services.is_empty() {
             return None;
         }
         let value = borsh::to_vec(&record).unwrap_or_default();
-        let call = granters_write(&authority, OwnKeys::SPEEDS, value);
+        let call = granter_write(&authority, RouterKeys::SPEEDS, value);
         Some((StoreTask::Speeds, call))
     }
 
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn handle_store(
         &mut self,
         now: Time,
@@ -235,21 +247,21 @@
         match task {
             StoreTask::Election => self.election.handle(now, &outcome),
             StoreTask::Registration => self.registrar.handle(now, &outcome),
-            StoreTask::TakeOver => self.taken_over(now, outcome, known),
-            StoreTask::Record(service) => self.recorded(now, service, outcome),
+            StoreTask::TakeOver => self.handle_takeover_page(now, outcome, known),
+            StoreTask::Record(service) => self.handle_record_write(now, service, outcome),
             StoreTask::Suspicions => self.suspicions_written(now, &outcome),
             StoreTask::View(..) | StoreTask::Speeds | StoreTask::Farewell => {}
         }
     }
 
-    /// Follows the directory and gives orders that are due.
+    /// Updates the upstream addresses and returns the orders that are due.
     pub fn poll_orders(
         &mut self,
         now: Time,
         views: &Views,
         dispatcher: &Dispatcher,
     ) -> Vec<OrderTask> {
-        self.follow_addresses(&views.directory);
+        self.update_addresses(&views.directory);
         let Some(authority) = self.election.authority(now) else {
             return Vec::new();
         };
@@ -260,50 +272,49 @@
         if now < term.orders_at {
             return Vec::new();
         }
-        term.orders_at = now + ORDERS;
-        // Before they are known all holders would seem to have left.
+        term.orders_at = now + ORDER_INTERVAL;
+        // Until the upstreams are known, all holders would seem to have left.
         if term.grants.is_none() || !views.knows_upstreams() {
             return Vec::new();
         }
-        let refreshes = term.refreshes_candidates(now, views.directory.changes());
+        let refreshes = term.refreshes_candidates(now, views.directory.change_count());
         let Some(all) = &mut term.grants else {
             return Vec::new();
         };
         let rebalance = now >= term.rebalance_at;
         if rebalance {
-            term.rebalance_at = now + REBALANCE;
+            term.rebalance_at = now + REBALANCE_INTERVAL;
         }
         let mut tasks = Vec::new();
         for (service, grants) in all.iter_mut() {
             let granter = &mut grants.granter;
             if refreshes {
                 granter.set_candidates(now, candidates(now, service, views, dispatcher));
-                probe_claimed(now, granter, views);
+                probe_contested(now, granter, views);
             }
             if rebalance {
                 granter.rebalance(now, &self.config.balance);
-                granter.load.decay(LOAD_KEPT);
+                granter.load.decay(LOAD_DECAY);
             }
             for order in granter.poll(now) {
                 tasks.push(OrderTask {
                     service: service.clone(),
                     address: self.addresses.get(&order.holder).copied(),
-                    asks_about: granter.key_of_others(&order.holder),
+                    probe_key: granter.key_held_by_other(&order.holder),
                     order,
-                    until: authority.until,
+                    until: authority.valid_until,
                 });
             }
         }
         tasks
     }
 
-    /// Follows where upstreams listen. An address never changes during the life of
-    /// an upstream.
-    fn follow_addresses(&mut self, directory: &Directory) {
-        if self.addresses_of == Some(directory.changes()) {
+    /// Adds the addresses of new upstreams. An upstream never changes its address.
+    fn update_addresses(&mut self, directory: &Directory) {
+        if self.addresses_version == Some(directory.change_count()) {
             return;
         }
-        self.addresses_of = Some(directory.changes());
+        self.addresses_version = Some(directory.change_count());
         for registration in directory.iter() {
             let record = &registration.record;
             if !self.addresses.contains_key(&record.id) {
@@ -312,12 +323,12 @@
         }
     }
 
-    /// Where upstreams listen, or did when they were last seen.
+    /// Current or last known addresses of the upstreams.
     pub fn addresses(&self) -> &BTreeMap<UpstreamId, SocketAddr> {
         &self.addresses
     }
 
-    /// Starts granters of services that are divided and have none.
+    /// Creates the grants of sharded services that have none yet.
     fn add_services(&mut self, now: Time, views: &Views) {
         let Some(term) = &mut self.term else {
             return;
@@ -326,19 +337,19 @@
             return;
         };
         let epoch = term.authority.epoch;
-        let lacks_records = term.lacks_records;
+        let may_have_lost_records = term.may_have_lost_records;
         if configuration
             .services
             .iter()
-            .any(|service| service.divided && !all.contains_key(&service.name))
+            .any(|service| service.sharded && !all.contains_key(&service.name))
         {
-            term.candidates_of = None;
+            term.candidates_version = None;
         }
-        let divided = configuration.services.iter().filter(|s| s.divided);
+        let divided = configuration.services.iter().filter(|s| s.sharded);
         for service in divided {
             all.entry(service.name.clone()).or_insert_with(|| {
                 let mut grants = Grants::new(now, self.config.grants, epoch);
-                if lacks_records {
+                if may_have_lost_records {
                     grants.granter.withhold(now, KeyRange::ALL);
                 }
                 grants
@@ -346,7 +357,7 @@
         }
     }
 
-    /// Takes an upstream's answer to an order.
+    /// Handles an upstream's reply to an order.
     pub fn handle_order(
         &mut self,
         now: Time,
@@ -366,15 +377,15 @@
         }
         let grants = term.grants.as_mut().and_then(|all| all.get_mut(service));
         if let Some(grants) = grants {
-            grants.granter.handle(now, order.call, reply);
+            grants.granter.handle_reply(now, order.call, reply);
         }
     }
 
-    /// Notes that an upstream has ended.
+    /// Records that an upstream's process has ended.
     pub fn proved_gone(&mut self, id: &UpstreamId) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         for grants in all.into_iter().flat_map(|all| all.values_mut()) {
-            grants.granter.proved_dead(id);
+            grants.granter.mark_ended(id);
         }
     }
 
@@ -383,8 +394,8 @@
         self.term.as_ref().map(|term| term.authority.epoch.0)
     }
 
-    /// Takes a report of requests by key.
-    pub fn report(&mut self, report: &KeyReport) {
+    /// Adds a report of request counts by key.
+    pub fn add_key_report(&mut self, report: &KeyReport) {
         let Some(all) = self.term.as_mut().and_then(|term| term.grants.as_mut()) else {
             return;
         };
@@ -397,11 +408,11 @@
         }
     }
 
-    /// Gives up what this node has in the store.
+    /// Revokes this node's leases in the store.
     pub fn resign(&mut self) -> Vec<StoreCall> {
         self.term = None;
-        let place = self.election.resign();
-        let entry = self.registrar.resign();
-        place.into_iter().chain(entry).collect()
+        let granter_lease = self.election.resign();
+        let node_lease = self.registrar.resign();
+        granter_lease.into_iter().chain(node_lease).collect()
     }
 }
--- a/crates/router/src/core/control/standbys.rs
+++ b/crates/router/src/core/control/standbys.rs
@@ -1,27 +1,26 @@
-//! Standbys, as this node's control sees them: words to them and reports of them
-//! while it is the granter, and whether it declines to be one.
+//! Standbys in the control plane: issuing leases and handling reports while this node is the
+//! granter, and whether it declines to be a standby itself.
 
 use super::Control;
-use crate::core::standby::{StandbyReport, StandbyWord};
+use crate::core::standby::{StandbyLease, StandbyReport};
 use crate::core::views::Views;
 use beamtray_sharding::{Granter, StandbyId};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 
 impl Control {
-    /// States whether this node declines to be a standby, which its entry tells.
+    /// Sets whether this node declines to be a standby, which its registration announces.
     pub fn set_declines_standby(&mut self, declines: bool) {
         self.registrar.set_declines_standby(declines);
     }
 
-    /// Words to standbys that are due. `wanted` are the nodes that are to be
-    /// standbys.
-    pub fn poll_standbys(
+    /// The standby leases that are due. `wanted` are the nodes chosen as standbys.
+    pub fn poll_standby_leases(
         &mut self,
         now: Time,
         views: &Views,
         wanted: &[StandbyId],
-    ) -> Vec<(SocketAddr, StandbyWord)> {
+    ) -> Vec<(SocketAddr, StandbyLease)> {
         let Some(authority) = self.election.authority(now) else {
             return Vec::new();
         };
@@ -39,11 +38,11 @@
             .poll(now, authority.epoch.0, own, &mut granters, views, wanted)
     }
 
-    /// Takes a standby's report.
-    pub fn standby_reported(&mut self, now: Time, from: SocketAddr, report: &StandbyReport) {
+    /// Handles a standby's report.
+    pub fn handle_standby_report(&mut self, now: Time, from: SocketAddr, report: &StandbyReport) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         if let Some(all) = all {
-            self.standbys.reported(now, from, report, all);
+            self.standbys.handle_report(now, from, report, all);
         }
     }
 }
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -1,89 +1,89 @@
 //! The grants of one service, and their record in the store.
 
 use crate::core::control::KnownAssignments;
-use crate::core::records::{AssignmentKey, OwnKeys, decode_part};
+use crate::core::records::{AssignmentKey, RouterKeys, decode_part};
 use crate::core::views::Views;
 use beamtray_catalog::{Directory, Registration, RequestRate, UpstreamId, UpstreamState};
 use beamtray_dispatch::{Dispatcher, UpstreamHash};
 use beamtray_metastore::{Condition, Epoch, Item, Revision, StoreCall, Transaction, Write};
 use beamtray_sharding::{
-    Assignment, AssignmentHead, AssignmentPart, Candidate, Granter, GranterTiming, KeyRange, Part,
-    SliceRecord, Standing,
+    Assignment, AssignmentHead, AssignmentPart, Candidate, CandidateState, Granter, GranterTiming,
+    KeyRange, Part, SliceRecord,
 };
 use beamtray_types::{ServiceName, Time};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Time of a request where nothing is learned yet, in seconds.
-const UNKNOWN_WORK: f64 = 0.1;
+/// Assumed duration of a request in seconds before any has been measured.
+const DEFAULT_REQUEST_SECONDS: f64 = 0.1;
 
-/// Entries that one transaction may have; each condition and each write is one.
-const MOST_ENTRIES: usize = 32;
-/// Parts that fit one transaction, next to the head and the condition on the
-/// granter's place.
-const PARTS_A_WRITE: usize = (MOST_ENTRIES - 3) / 2;
+/// Maximum number of entries in a transaction; each condition and each write counts as one.
+const MAX_TRANSACTION_ENTRIES: usize = 32;
+/// Number of parts that fit into one transaction along with the head and the condition on the
+/// granter's key.
+const PARTS_PER_WRITE: usize = (MAX_TRANSACTION_ENTRIES - 3) / 2;
 
-/// A write under way: some parts of a record, and its head with the last of them.
+/// A write in progress: some parts of a record, and the head with the last of them.
 #[derive(Clone, Debug)]
-struct Writing {
+struct PendingWrite {
     parts: Vec<AssignmentPart>,
     head: Option<AssignmentHead>,
 }
 
-/// What is left to write of a record.
+/// The parts of a record that are still to be written.
 #[derive(Clone, Debug)]
-struct Unwritten {
+struct UnwrittenRecord {
     head: AssignmentHead,
     parts: Vec<AssignmentPart>,
 }
 
-/// A part as it stands in the store.
+/// A part as stored.
 #[derive(Clone, Debug)]
 struct StoredPart {
     revision: Revision,
-    /// None after a write that may or may not have been done.
+    /// `None` after a write whose outcome is unknown.
     slices: Option<Vec<SliceRecord>>,
 }
 
-/// Grants of one service, and what stands of them in the store.
+/// The grants of one service, and what is stored of them.
 pub(crate) struct Grants {
     pub(crate) granter: Granter,
     head_revision: Revision,
     stored: BTreeMap<Part, StoredPart>,
-    unwritten: Option<Unwritten>,
-    writing: Option<Writing>,
+    unwritten: Option<UnwrittenRecord>,
+    pending_write: Option<PendingWrite>,
     pub(crate) write_at: Time,
 }
 
 impl Grants {
-    /// Grants of a service that has none in the store.
+    /// Creates the grants of a service that has no record in the store.
     pub fn new(now: Time, timing: GranterTiming, epoch: Epoch) -> Self {
         Self {
             granter: Granter::new(now, timing, epoch, None),
             head_revision: Revision::ABSENT,
             stored: BTreeMap::new(),
             unwritten: None,
-            writing: None,
+            pending_write: None,
             write_at: now,
         }
     }
 
-    /// The write that is due, if one is.
+    /// The write that is due, if any.
     pub fn poll_write(
         &mut self,
         now: Time,
         service: &ServiceName,
-        place: Revision,
+        granter_revision: Revision,
     ) -> Option<StoreCall> {
-        if self.writing.is_some() || now < self.write_at {
+        if self.pending_write.is_some() || now < self.write_at {
             return None;
         }
         let mut unwritten = match self.unwritten.take() {
             Some(unwritten) => unwritten,
             None => self.changes()?,
         };
-        let count = unwritten.parts.len().min(PARTS_A_WRITE);
+        let count = unwritten.parts.len().min(PARTS_PER_WRITE);
         let parts: Vec<AssignmentPart> = unwritten.parts.drain(..count).collect();
         let head = if unwritten.parts.is_empty() {
             Some(unwritten.head)
@@ -91,31 +91,36 @@
             self.unwritten = Some(unwritten);
             None
         };
-        let writing = Writing { parts, head };
-        let call = self.write(service, &writing, place);
-        self.writing = Some(writing);
+        let pending_write = PendingWrite { parts, head };
+        let call = self.write(service, &pending_write, granter_revision);
+        self.pending_write = Some(pending_write);
         Some(call)
     }
 
-    /// The parts of the next record that differ from what stands in the store.
-    fn changes(&mut self) -> Option<Unwritten> {
-        let record = self.granter.record()?;
+    /// The parts of the next record that differ from the stored ones.
+    fn changes(&mut self) -> Option<UnwrittenRecord> {
+        let record = self.granter.take_record()?;
         let differs = |part: &AssignmentPart| {
             let stored = self.stored.get(&part.part);
             let slices = stored.and_then(|stored| stored.slices.as_ref());
             slices != Some(&part.slices)
         };
-        Some(Unwritten {
+        Some(UnwrittenRecord {
             head: record.head(),
             parts: record.parts().into_iter().filter(differs).collect(),
         })
     }
 
-    fn write(&self, service: &ServiceName, writing: &Writing, place: Revision) -> StoreCall {
+    fn write(
+        &self,
+        service: &ServiceName,
+        pending_write: &PendingWrite,
+        granter_revision: Revision,
+    ) -> StoreCall {
         let mut transaction = Transaction::default();
         transaction.conditions.push(Condition {
-            key: OwnKeys::GRANTER.to_owned(),
-            revision: place,
+            key: RouterKeys::GRANTER.to_owned(),
+            revision: granter_revision,
         });
         let mut put = |key: String, value, revision| {
             transaction.conditions.push(Condition {
@@ -128,22 +133,27 @@
                 lease: None,
             });
         };
-        for part in &writing.parts {
+        for part in &pending_write.parts {
             let stored = self.stored.get(&part.part);
             let revision = stored.map_or(Revision::ABSENT, |stored| stored.revision);
-            let key = OwnKeys::assignment_part(service, part.part);
+            let key = RouterKeys::assignment_part(service, part.part);
             put(key, encode(part), revision);
         }
-        if let Some(head) = &writing.head {
-            let key = OwnKeys::assignment_head(service);
+        if let Some(head) = &pending_write.head {
+            let key = RouterKeys::assignment_head(service);
             put(key, encode(head), self.head_revision);
         }
         StoreCall::Commit(transaction)
     }
 
-    /// Notes that the write under way was done; what stands in the store now.
-    pub fn written(&mut self, now: Time, service: &ServiceName, revision: Revision) -> Vec<Item> {
-        let Some(writing) = self.writing.take() else {
+    /// Handles the success of the pending write; returns the items that are now stored.
+    pub fn write_succeeded(
+        &mut self,
+        now: Time,
+        service: &ServiceName,
+        revision: Revision,
+    ) -> Vec<Item> {
+        let Some(pending_write) = self.pending_write.take() else {
             return Vec::new();
         };
         let item = |key, value| Item {
@@ -152,8 +162,8 @@
             revision,
         };
         let mut items = Vec::new();
-        for part in writing.parts {
-            let key = OwnKeys::assignment_part(service, part.part);
+        for part in pending_write.parts {
+            let key = RouterKeys::assignment_part(service, part.part);
             items.push(item(key, encode(&part)));
             let stored = StoredPart {
                 revision,
@@ -161,17 +171,20 @@
             };
             self.stored.insert(part.part, stored);
         }
-        if let Some(head) = writing.head {
-            items.push(item(OwnKeys::assignment_head(service), encode(&head)));
+        if let Some(head) = pending_write.head {
+            items.push(item(RouterKeys::assignment_head(service), encode(&head)));
             self.head_revision = revision;
-            self.granter.written(now, head.number.sequence);
+            self.granter.mark_durable(now, head.number.sequence);
         }
         items
     }
 
-    /// Notes that the write under way may or may not have been done.
-    pub fn not_written(&mut self) {
-        let parts = self.writing.take().map(|writing| writing.parts);
+    /// Handles a pending write whose outcome is unknown.
+    pub fn write_unconfirmed(&mut self) {
+        let parts = self
+            .pending_write
+            .take()
+            .map(|pending_write| pending_write.parts);
         for part in parts.into_iter().flatten() {
             let unknown = StoredPart {
                 revision: Revision::ABSENT,
@@ -180,15 +193,15 @@
             self.stored.entry(part.part).or_insert(unknown).slices = None;
         }
         self.unwritten = None;
-        self.granter.not_written();
+        self.granter.mark_dirty();
     }
 
-    /// Takes what the store has in place of a write that failed its conditions: an
-    /// earlier write of this term whose answer was lost.
-    pub fn conflict(&mut self, epoch: Epoch, items: &[Item]) {
-        self.not_written();
+    /// Takes the items that the store returned for a write whose conditions failed: they come from
+    /// an earlier write of this term whose response was lost.
+    pub fn write_conflicted(&mut self, epoch: Epoch, items: &[Item]) {
+        self.write_unconfirmed();
         for item in items {
-            match OwnKeys::assignment_key(&item.key) {
+            match RouterKeys::assignment_key(&item.key) {
                 Some(AssignmentKey::Head(_)) => {
                     let head = AssignmentHead::try_from_slice(&item.value);
                     if head.is_ok_and(|head| head.number.epoch == epoch) {
@@ -211,40 +224,39 @@
     }
 }
 
-/// Reads all that granters write: the assignments, and what else the view of them has.
+/// Reads everything that granters write: the assignments and the other records of that view.
 pub(crate) fn read_state(after: Option<String>) -> StoreCall {
     StoreCall::Range {
-        prefix: OwnKeys::STATE.to_owned(),
+        prefix: RouterKeys::STATE.to_owned(),
         after,
     }
 }
 
-/// One service's assignment as it was read at the start of a term.
+/// The assignment of one service as read at the start of a term.
 #[derive(Default)]
-struct ReadAssignment {
+struct LoadedAssignment {
     assignment: Assignment,
     head_revision: Revision,
     stored: BTreeMap<Part, StoredPart>,
-    /// Parts that can't be read.
+    /// Parts that can't be decoded.
     unreadable: Vec<Part>,
-    /// Whether the head can't be read.
-    lacks_head: bool,
+    /// Whether the head can't be decoded.
+    head_unreadable: bool,
 }
 
-/// How far a new term trusts the records that it takes over.
+/// How far a new term can trust the records that it takes over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordTrust {
-    /// Records of earlier terms may have been written before a state that the store went back
-    /// to, and have gone further since.
+    /// The first epoch whose records are known to be current. The store may have reverted to an
+    /// older state in which the records of earlier epochs were not yet up to date.
     pub proven_from: Epoch,
-    /// Whether the last term before was this node's own, so that it knows all records.
+    /// Whether this node also held the preceding term, so that it knows all records.
     pub continues: bool,
 }
 
-/// Continues the grants that were read from the store, or that this node knows newer records
-/// of; keys of items that can't be read are without a holder until their last grants have
-/// run out.
-pub(crate) fn adopt(
+/// Restores the grants from the stored records, or from newer records that this node knows. Keys
+/// whose items can't be decoded have no holder until the last grants on them have expired.
+pub(crate) fn restore_grants(
     now: Time,
     timing: GranterTiming,
     epoch: Epoch,
@@ -252,21 +264,21 @@
     known: &KnownAssignments,
     trust: RecordTrust,
 ) -> BTreeMap<ServiceName, Grants> {
-    let mut read: BTreeMap<ServiceName, ReadAssignment> = BTreeMap::new();
+    let mut read: BTreeMap<ServiceName, LoadedAssignment> = BTreeMap::new();
     for (service, assignment) in known {
         let read = read.entry(service.clone()).or_default();
         read.assignment = Assignment::clone(assignment);
     }
     for item in items {
-        match OwnKeys::assignment_key(&item.key) {
+        match RouterKeys::assignment_key(&item.key) {
             Some(AssignmentKey::Head(service)) => {
                 let read = read.entry(service).or_default();
                 read.head_revision = item.revision;
                 match AssignmentHead::try_from_slice(&item.value) {
                     Ok(head) => {
-                        read.assignment.take_head(head);
+                        read.assignment.apply_head(head);
                     }
-                    Err(_) => read.lacks_head = true,
+                    Err(_) => read.head_unreadable = true,
                 }
             }
             Some(AssignmentKey::Part(service, part)) => {
@@ -278,7 +290,7 @@
                 read.stored.insert(part, stored);
                 match decode_part(part, &item.value) {
                     Ok(part) => {
-                        read.assignment.take_part(part);
+                        read.assignment.apply_part(part);
                     }
                     Err(_) => read.unreadable.push(part),
                 }
@@ -288,13 +300,13 @@
     }
     let read = read.into_iter();
     read.map(|(service, read)| {
-        let record = read.assignment.whole();
+        let record = read.assignment.to_record();
         let mut granter = Granter::new(now, timing, epoch, record.as_ref());
         for part in &read.unreadable {
             granter.withhold(now, part.range());
         }
-        if read.lacks_head {
-            granter.standbys_unknown(now);
+        if read.head_unreadable {
+            granter.adopt_unknown_standbys(now);
         }
         let epoch = read.assignment.number().map_or(Epoch(0), |one| one.epoch);
         if epoch < trust.proven_from {
@@ -303,13 +315,13 @@
                 granter.withhold(now, KeyRange::ALL);
             }
         }
-        granter.not_written();
+        granter.mark_dirty();
         let grants = Grants {
             granter,
             head_revision: read.head_revision,
             stored: read.stored,
             unwritten: None,
-            writing: None,
+            pending_write: None,
             write_at: now,
         };
         (service, grants)
@@ -318,7 +330,7 @@
 }
 
 fn encode(value: &impl BorshSerialize) -> Vec<u8> {
-    // Writing borsh to memory can't fail.
+    // Serializing to memory can't fail.
     borsh::to_vec(value).unwrap_or_default()
 }
 
@@ -332,7 +344,9 @@
     let config = configuration.and_then(|known| known.service(service));
     let cold_start = config.and_then(|config| config.cold_start);
     let speeds = dispatcher.speeds();
-    let work = speeds.service_mean(service).unwrap_or(UNKNOWN_WORK);
+    let request_seconds = speeds
+        .service_mean(service)
+        .unwrap_or(DEFAULT_REQUEST_SECONDS);
     let directory = &views.directory;
     let of_service = directory
         .iter()
@@ -342,59 +356,63 @@
             let record = &registration.record;
             let hash = UpstreamHash::of(&record.id);
             let slowness = speeds.slowness(hash);
-            let capacity = f64::from(record.slots) / (work * slowness);
+            let capacity = f64::from(record.slots) / (request_seconds * slowness);
             let is_cold = now < registration.warm_at;
             let cold_rate = cold_start.filter(|_| is_cold).map(|cold| cold.rate);
-            // Keys go on to holders with room, sooner than requests wait for permits.
-            let named_rate = dispatcher.named_rate(hash).map(RequestRate::a_second);
+            // Limits the capacity to the announced rate, so that keys move to upstreams with spare
+            // capacity before requests have to wait for permits.
+            let named_rate = dispatcher
+                .advertised_rate(hash)
+                .map(RequestRate::per_second);
             let rates = cold_rate.into_iter().chain(named_rate);
             Candidate {
                 id: record.id.clone(),
-                standing: standing(directory, registration, cold_rate.is_some()),
+                state: standing(directory, registration, cold_rate.is_some()),
                 capacity: rates.fold(capacity, f64::min),
-                heard: dispatcher.heard(hash),
+                last_answered: dispatcher.last_answer_at(hash),
             }
         })
         .collect();
-    relieve_resting(now, &mut candidates, dispatcher);
+    drain_resting(now, &mut candidates, dispatcher);
     candidates
 }
 
-/// Has holders that asked nodes for rest lose their keys, unless so many did that the others
-/// could not take them.
+/// Moves keys away from holders that asked nodes to stop sending requests, unless more than half of
+/// the ready candidates did so.
 ///
-/// Counter-case for the bound: where all shed, each for the load that others gave up, keys
-/// would go round and nobody would serve them.
-fn relieve_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
+/// Without this limit, keys would circulate unserved when all candidates are overloaded, each by
+/// the load that the others gave up.
+fn drain_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
     let ready = candidates.iter_mut();
     let ready: Vec<&mut Candidate> = ready
-        .filter(|one| one.standing == Standing::Ready)
+        .filter(|one| one.state == CandidateState::Ready)
         .collect();
     let count = ready.len();
-    let rests = |one: &&mut Candidate| dispatcher.rests_for_any(now, UpstreamHash::of(&one.id));
+    let rests =
+        |one: &&mut Candidate| dispatcher.rests_for_any_node(now, UpstreamHash::of(&one.id));
     let resting: Vec<&mut Candidate> = ready.into_iter().filter(rests).collect();
     if resting.len() * 2 > count {
         return;
     }
     for candidate in resting {
-        candidate.standing = Standing::Draining;
+        candidate.state = CandidateState::Draining;
     }
 }
 
-/// What an upstream is to the granter. One whose zone is evacuated is to lose its keys.
-fn standing(directory: &Directory, registration: &Registration, is_cold: bool) -> Standing {
+/// The standing of an upstream for the granter. Upstreams in an evacuated zone are drained.
+fn standing(directory: &Directory, registration: &Registration, is_cold: bool) -> CandidateState {
     let is_evacuated = directory.evacuated_since(registration).is_some();
     match registration.record.state {
-        _ if is_evacuated => Standing::Draining,
-        UpstreamState::Ready if is_cold => Standing::Cold,
-        UpstreamState::Ready => Standing::Ready,
-        UpstreamState::Draining => Standing::Draining,
+        _ if is_evacuated => CandidateState::Draining,
+        UpstreamState::Ready if is_cold => CandidateState::Cold,
+        UpstreamState::Ready => CandidateState::Ready,
+        UpstreamState::Draining => CandidateState::Draining,
     }
 }
 
-/// Asks holders whose address another upstream claims too: whoever has the
-/// address tells.
-pub(crate) fn probe_claimed(now: Time, granter: &mut Granter, views: &Views) {
+/// Probes holders whose address is also claimed by another upstream, to find out which of them is
+/// running there.
+pub(crate) fn probe_contested(now: Time, granter: &mut Granter, views: &Views) {
     let mut claims: BTreeMap<SocketAddr, Vec<&UpstreamId>> = BTreeMap::new();
     for registration in views.directory.iter() {
         let record = &registration.record;
@@ -402,6 +420,6 @@
     }
     let contested = claims.values().filter(|ids| ids.len() > 1);
     for id in contested.flatten() {
-        granter.probe(now, id);
+        granter.probe_holder(now, id);
     }
 }
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -1,40 +1,41 @@
-//! Rates that upstreams name: whom this node tells of them, whom it asks for permits, and
-//! what it lends itself.
+//! Exchange of rate limits announced by upstreams, and requesting and lending of permits.
 //!
-//! Where there are few nodes each tells all. Where there are many each tells the relays, and
-//! these tell the nodes of their zones, and those that have just started. A node that missed
-//! the word learns of the rate from its first answer, and a lender from the question.
+//! In a small deployment, each node informs all others. In a large one, each node informs the
+//! relays, which inform the nodes of their zones, including newly started ones. A node that missed
+//! the message learns of the rate limit from the upstream's first response to it, and a lender from
+//! the first permit request.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{LimitWord, PermitRequest, UpstreamHash};
+use beamtray_dispatch::{PermitRequest, RateLimitUpdate, UpstreamHash};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two tellings: an upstream may name another rate with each answer.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Rates in one datagram, 17 bytes each.
-const LIMITS_A_DATAGRAM: usize = 60;
+/// Minimum interval between messages, since an upstream may announce a different rate in each
+/// response.
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of rate limits per datagram, at 17 bytes each.
+const LIMITS_PER_DATAGRAM: usize = 60;
 
 impl NodeCore {
-    /// Passes on what became known of rates.
-    pub(super) fn follow_rate_limits(&mut self, now: Time) {
-        for notice in self.dispatcher.take_limit_notices() {
+    /// Publishes new information on rate limits.
+    pub(super) fn poll_rate_limits(&mut self, now: Time) {
+        for notice in self.dispatcher.take_rate_limit_events() {
             let id = self.registered_as(notice.upstream());
             self.outputs.push(Output::RateLimit(id, notice));
         }
-        if now < self.limits_told_at {
+        if now < self.limits_due_at {
             return;
         }
-        let words = self.dispatcher.take_untold_limits(now);
-        if words.is_empty() {
+        let limits = self.dispatcher.take_rate_limit_updates(now);
+        if limits.is_empty() {
             return;
         }
-        self.limits_told_at = now + PAUSE;
-        let audience = self.news_audience();
-        self.tell_limits(&words, &audience);
+        self.limits_due_at = now + SEND_INTERVAL;
+        let audience = self.broadcast_targets();
+        self.send_limits(&limits, &audience);
     }
 
     fn registered_as(&self, upstream: UpstreamHash) -> Option<UpstreamId> {
@@ -42,50 +43,51 @@
         ids.find(|id| UpstreamHash::of(id) == upstream).cloned()
     }
 
-    fn tell_limits(&mut self, words: &[LimitWord], audience: &[SocketAddr]) {
+    fn send_limits(&mut self, limits: &[RateLimitUpdate], audience: &[SocketAddr]) {
         if audience.is_empty() {
             return;
         }
-        for part in words.chunks(LIMITS_A_DATAGRAM) {
-            let datagram = Datagram::Limits(part.to_vec());
+        for part in limits.chunks(LIMITS_PER_DATAGRAM) {
+            let datagram = Datagram::RateLimits(part.to_vec());
             self.outputs.push(Output::Send(datagram, audience.to_vec()));
         }
     }
 
-    /// Tells nodes that have just started all that is known, so that they don't send at full
-    /// pace up to their first answers.
-    pub(super) fn tell_started(&mut self, now: Time, mut started: Vec<SocketAddr>) {
-        if !self.are_few() {
+    /// Sends everything known to newly started nodes, so that they don't send requests at the full
+    /// rate until their first responses.
+    pub(super) fn update_started_nodes(&mut self, now: Time, mut started: Vec<SocketAddr>) {
+        if !self.is_small_deployment() {
             let is_relay = self.is_relay();
-            started.retain(|address| is_relay && self.membership.is_near(address));
+            started.retain(|address| is_relay && self.membership.is_same_zone(address));
         }
-        let words = self.dispatcher.limit_words(now);
-        self.tell_limits(&words, &started);
-        self.tell_started_of_leaving(&started);
+        let limits = self.dispatcher.rate_limit_updates(now);
+        self.send_limits(&limits, &started);
+        self.send_leaving_to_started(&started);
     }
 
-    /// Takes other nodes' words; as a relay of many, passes on what was news.
-    pub(super) fn take_limits(&mut self, now: Time, words: &[LimitWord]) {
+    /// Handles rate limits reported by another node; as a relay in a large deployment, forwards
+    /// those that are new.
+    pub(super) fn handle_limits(&mut self, now: Time, limits: &[RateLimitUpdate]) {
         let mut news = Vec::new();
-        for word in words {
-            if self.dispatcher.limit_told(now, word) {
-                news.extend(self.dispatcher.limit_word(now, word.upstream));
+        for limit in limits {
+            if self.dispatcher.apply_rate_limit_update(now, limit) {
+                news.extend(self.dispatcher.rate_limit_update(now, limit.upstream));
             }
         }
-        let audience = self.passed_on_to();
-        self.tell_limits(&news, &audience);
+        let audience = self.forward_targets();
+        self.send_limits(&news, &audience);
     }
 
-    /// Asks a lender for permits. One that has no entry any more is not heard from, and
+    /// Requests permits from a lender. A lender that is no longer registered can't be reached and
     /// counts as silent.
-    pub(super) fn ask_permits(&mut self, request: PermitRequest) {
+    pub(super) fn request_permits(&mut self, request: PermitRequest) {
         let lender = self.membership.address(request.lender);
         let datagram = Datagram::PermitRequest(request);
         self.outputs
             .push(Output::Send(datagram, lender.into_iter().collect()));
     }
 
-    /// As a lender: answers a question for permits.
+    /// As a lender, answers a permit request.
     pub(super) fn lend_permits(&mut self, now: Time, from: SocketAddr, request: &PermitRequest) {
         let reply = self.dispatcher.lend_permits(now, request);
         let datagram = Datagram::PermitReply(reply);
--- a/crates/router/src/core/node/rests.rs
+++ b/crates/router/src/core/node/rests.rs
@@ -1,4 +1,5 @@
-//! Upstreams that ask this node for rest: the granter is told, so that keys go to others.
+//! Upstreams that ask this node to stop sending requests for a while. The granter is informed so
+//! that it moves keys to other upstreams.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output, RestNotice};
@@ -7,14 +8,14 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Shorter rests are over before keys have gone to others.
-const LEAST_REST_TOLD: Duration = Duration::from_millis(500);
+/// Shorter rests are not reported: they end before keys have moved to other upstreams.
+const MIN_REPORTED_REST: Duration = Duration::from_millis(500);
 
 impl NodeCore {
-    /// Takes an upstream's wish for rest, and tells the granter.
-    pub(super) fn asked_to_rest(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
-        self.dispatcher.asked_to_rest(now, upstream, rest);
-        if rest < LEAST_REST_TOLD {
+    /// Handles an upstream's request for a rest, and informs the granter.
+    pub(super) fn handle_rest_request(&mut self, now: Time, upstream: &UpstreamId, rest: Duration) {
+        self.dispatcher.begin_rest(now, upstream, rest);
+        if rest < MIN_REPORTED_REST {
             return;
         }
         let notice = RestNotice {
@@ -22,18 +23,18 @@
             rest_ms: rest.as_millis().try_into().unwrap_or(u32::MAX),
         };
         if self.control.is_granter(now) {
-            self.take_rest_notice(now, &notice);
+            self.handle_rest_notice(now, &notice);
         } else if let Some(granter) = &self.views.granter {
-            let peers = vec![granter.peers];
+            let peers = vec![granter.peer_address];
             self.outputs
                 .push(Output::Send(Datagram::Rest(notice), peers));
         }
     }
 
-    /// Takes another node's word of a rest: only where keys go hangs on it.
-    pub(super) fn take_rest_notice(&mut self, now: Time, notice: &RestNotice) {
+    /// Handles a rest reported by another node, which only affects the assignment of keys.
+    pub(super) fn handle_rest_notice(&mut self, now: Time, notice: &RestNotice) {
         let rest = Duration::from_millis(notice.rest_ms.into());
         self.dispatcher
-            .asked_any_to_rest(now, notice.upstream, rest);
+            .note_rest_elsewhere(now, notice.upstream, rest);
     }
 }
--- a/crates/router/src/core/node/zone_load.rs
+++ b/crates/router/src/core/node/zone_load.rs
@@ -1,11 +1,11 @@
-//! What a zone tells the others of requests under way, where there are few nodes.
+//! Reports of requests in flight between zones in a small deployment.
 //!
-//! One node of each zone, the first one alive, sums what the zone has under way
-//! and tells one node of each other zone, which passes it on. So bytes between
-//! zones grow with the zones and not with the pairs of nodes.
+//! The first live node of each zone sums the requests in flight in the zone and reports them to one
+//! node of each other zone, which forwards them. Traffic between zones thus grows with the number
+//! of zones rather than with the number of pairs of nodes.
 //!
-//! Weighed: every node tells every other (78 pairs between zones at 11 nodes
-//! instead of 6, and the larger part of all bytes between zones).
+//! Alternative considered: direct reports between all nodes. At 11 nodes these use 78 pairs of
+//! nodes across zones instead of 6, and most of all traffic between zones.
 
 use super::NodeCore;
 use crate::core::membership::Audience;
@@ -16,31 +16,31 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A node that was not heard for this long does not lead its zone.
-const LEAD_SILENCE: Duration = Duration::from_millis(250);
+/// A node that was not heard for this long can't be the leader of its zone.
+const ZONE_LEADER_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl NodeCore {
-    /// Tells the other zones, if this node leads its own.
+    /// Reports to the other zones, if this node leads its zone.
     pub(super) fn report_zone(&mut self, now: Time) {
-        if !self.leads_zone(now) {
-            // Whoever leads tells of the answers.
-            self.reports.untold.clear();
+        if !self.is_zone_leader(now) {
+            // The leader of the zone reports the response statistics.
+            self.reports.pending_answers.clear();
             return;
         }
         if now < self.reports.zone_at {
             return;
         }
         let timing = self.config.timing;
-        let contacts = self.contacts(now);
+        let contacts = self.zone_contacts(now);
         let sums = self.dispatcher.load_sum(false);
         let is_empty = sums.iter().all(|sum| sum.in_flight.is_empty());
-        let quiet = is_empty && self.reports.zone_told_empty;
-        self.reports.zone_told_empty = is_empty;
+        let quiet = is_empty && self.reports.reported_zone_idle;
+        self.reports.reported_zone_idle = is_empty;
         self.reports.zone_at = now
             + if quiet {
-                timing.idle_report
+                timing.idle_report_interval
             } else {
-                timing.few_zone_report
+                timing.direct_zone_report_interval
             };
         if contacts.is_empty() {
             return;
@@ -51,66 +51,70 @@
             self.outputs.push(Output::Send(datagram, contacts.clone()));
         }
         if now >= self.reports.answers_at {
-            self.tell_answers(now, &contacts);
+            self.send_answers(now, &contacts);
         }
     }
 
-    /// Whether no node of this zone comes before this one that is alive.
-    fn leads_zone(&self, now: Time) -> bool {
+    /// Whether this is the first live node of its zone.
+    fn is_zone_leader(&self, now: Time) -> bool {
         let own = self.config.control.record.peers;
-        let near = self.membership.peers(Audience::Near).into_iter();
+        let near = self.membership.peers(Audience::SameZone).into_iter();
         let mut before = near.filter(|address| *address < own);
-        !before.any(|address| self.was_heard(now, address))
+        !before.any(|address| self.is_alive(now, address))
     }
 
-    fn was_heard(&self, now: Time, address: SocketAddr) -> bool {
-        self.membership.is_heard(now, &address, LEAD_SILENCE)
+    fn is_alive(&self, now: Time, address: SocketAddr) -> bool {
+        self.membership
+            .heard_within(now, &address, ZONE_LEADER_TIMEOUT)
     }
 
-    /// Whom to tell in the other zones: those who told of theirs of late, or
-    /// everybody in a zone that is silent.
-    fn contacts(&self, now: Time) -> Vec<SocketAddr> {
-        let near: BTreeSet<SocketAddr> =
-            self.membership.peers(Audience::Near).into_iter().collect();
+    /// Recipients in other zones: nodes that recently reported their zone's load, and all nodes of
+    /// zones from which nothing was heard.
+    fn zone_contacts(&self, now: Time) -> Vec<SocketAddr> {
+        let near: BTreeSet<SocketAddr> = self
+            .membership
+            .peers(Audience::SameZone)
+            .into_iter()
+            .collect();
         let far: Vec<SocketAddr> = self
             .membership
             .peers(Audience::All)
             .into_iter()
             .filter(|address| !near.contains(address))
             .collect();
-        let told = |address: &SocketAddr| {
-            let told = self.reports.zones_told.get(address);
-            told.is_some_and(|told| now.since(*told) < LEAD_SILENCE * 2)
+        let reported = |address: &SocketAddr| {
+            let reported = self.reports.zone_reporters.get(address);
+            reported.is_some_and(|reported| now.since(*reported) < ZONE_LEADER_TIMEOUT * 2)
         };
         let reached: BTreeSet<&String> = far
             .iter()
-            .filter(|address| told(address))
+            .filter(|address| reported(address))
             .filter_map(|address| self.membership.zone(address))
             .collect();
         let is_contact = |address: &SocketAddr| {
             let zone = self.membership.zone(address);
-            told(address) || zone.is_none_or(|zone| !reached.contains(zone))
+            reported(address) || zone.is_none_or(|zone| !reached.contains(zone))
         };
         far.iter().copied().filter(is_contact).collect()
     }
 
-    /// Notes who told of another zone, and passes it on in this one.
-    pub(super) fn take_zone_word(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
-        if !self.are_few() || self.is_near(from) {
+    /// Records which node reported another zone's load, and forwards the report in this zone.
+    pub(super) fn forward_zone_load(&mut self, now: Time, from: SocketAddr, datagram: &Datagram) {
+        if !self.is_small_deployment() || self.is_in_own_zone(from) {
             return;
         }
-        self.reports.zones_told.insert(from, now);
-        self.pass_on_near(from, datagram);
+        self.reports.zone_reporters.insert(from, now);
+        self.forward_to_zone(from, datagram);
     }
 
-    /// Passes a word of another zone on to the nodes of this one.
-    pub(super) fn pass_on_near(&mut self, from: SocketAddr, datagram: &Datagram) {
-        if !self.is_near(from) {
-            self.send(datagram.clone(), Audience::Near);
+    /// Forwards another zone's message to the nodes of this zone.
+    pub(super) fn forward_to_zone(&mut self, from: SocketAddr, datagram: &Datagram) {
+        if !self.is_in_own_zone(from) {
+            self.send(datagram.clone(), Audience::SameZone);
         }
     }
 
-    fn is_near(&self, address: SocketAddr) -> bool {
-        self.membership.is_near(&address)
+    fn is_in_own_zone(&self, address: SocketAddr) -> bool {
+        self.membership.is_same_zone(&address)
     }
 }
--- a/crates/router/src/core/standby.rs
+++ b/crates/router/src/core/standby.rs
@@ -1,24 +1,22 @@
-//! This node as a standby: it prolongs recorded holds while there is no granter.
+//! This node's standby role: prolonging recorded holds while there is no granter.
 //!
-//! See [`beamtray_sharding::STANDBY_SPAN`] for what a standby may do and what its
-//! granter relies on. Here is the standby's side of it:
-//!
-//! - It acts by the newest record that it knows, if that names it, and never by
-//!   an older one.
-//! - It declines as soon as the store answers while the granter is silent: another
-//!   granter can be elected then. It says so in its entry in the store, where the
-//!   granter sees it though they may not hear each other; from the decision on
-//!   it gives no order and takes no word until it offers itself again.
-//! - It tells the granter which record that is. The granter's word echoes when
-//!   the report that it answers was sent, and the standby counts from then: a
-//!   word that was long on its way, or found a process that stood still, lasts no
-//!   longer for it.
+//! [`beamtray_sharding::STANDBY_AUTHORIZATION`] describes what a standby may do and what its granter relies
+//! on. The standby's part is the following:
+//! - It acts on the newest record that it knows, if that record names it, and never on an older
+//!   one.
+//! - It declines as soon as the store answers while the granter is silent, since another granter
+//!   can be elected then. It announces this in its registration in the store, where the granter
+//!   sees it even if the two nodes can't reach each other. From that decision on it sends no orders
+//!   and accepts no lease until it offers itself again.
+//! - It reports to the granter which record it knows. The granter's lease echoes the send time of
+//!   the report that it answers, and the standby counts the lease from that time: a lease that was
+//!   delayed on its way, or that reaches a process which was suspended, doesn't last any longer.
 
 use crate::core::message::OrderTask;
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::{
     Assignment, CallId, Contact, GrantOrder, GrantPace, GrantReply, GranterTiming, OrderKind,
-    RecordNumber, STANDBY_SPAN, ShardKey, SliceRecord, SliceState, StandbyId,
+    RecordNumber, STANDBY_AUTHORIZATION, ShardKey, SliceRecord, SliceState, StandbyId,
 };
 use beamtray_types::{ServiceName, Time};
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -27,38 +25,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Stands for the term in orders of a standby; terms begin with 1.
+/// Term used in the orders of a standby; terms of granters start at 1.
 pub const STANDBY_TERM: u64 = 0;
-/// How long the granter must have been silent. Its words come more often, but it
-/// may be a node with little processor time.
-const GRANTER_SILENCE: Duration = Duration::from_millis(1_200);
-/// Silence of the granter after which a store that answers makes a standby
-/// decline.
-const DECLINE_SILENCE: Duration = Duration::from_millis(1_000);
-/// How long a standby that declined must have heard a granter to offer itself
-/// again.
-const OFFER_AFTER: Duration = Duration::from_millis(1_000);
-/// Between reports.
-const REPORT: Duration = Duration::from_millis(200);
+/// How long the granter must have been silent before holds are prolonged. Leases are sent more
+/// often, but the granter may run with little processor time.
+const GRANTER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Silence of the granter after which a standby declines if the store answers.
+const DECLINE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a standby that declined must hear a granter before it offers itself again.
+const OFFER_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval of standby reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The granter's word.
+/// Allows a standby to prolong holds for [`STANDBY_AUTHORIZATION`] from the echoed report time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct StandbyWord {
+pub struct StandbyLease {
     /// The granter's term.
     pub epoch: u64,
-    /// The run of the node that is meant.
+    /// Run of the node that the lease is for.
     pub run: u64,
-    /// When the last report that the granter has was sent, by the standby's
-    /// clock.
+    /// Send time of the latest report received from the standby, by the standby's clock.
     pub echo: Time,
 }
 
-/// The record of a service that a standby knows.
+/// The newest record of a service that a standby knows.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct KnownRecord {
-    /// The service.
+    /// The service of the record.
     pub service: ServiceName,
-    /// The record.
+    /// Number of the record.
     pub number: RecordNumber,
 }
 
@@ -67,21 +62,21 @@
 pub struct StandbyReport {
     /// The node's run.
     pub run: u64,
-    /// When it is sent, by the standby's clock.
+    /// Send time by the standby's clock.
     pub sent: Time,
-    /// What the standby knows.
+    /// The records that the standby knows.
     pub known: Vec<KnownRecord>,
-    /// Milliseconds since it last ordered a holder to hold on, if it ever did.
+    /// Milliseconds since the standby last prolonged a hold, if it ever did.
     pub prolonged_ms: Option<u32>,
 }
 
-/// What a standby does.
+/// The state of a standby.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StandbyState {
-    /// It has no word of a granter.
+    /// It has no lease.
     #[default]
     None,
-    /// It may prolong holds and need not.
+    /// It has a lease and need not prolong holds.
     Ready,
     /// It prolongs holds.
     Prolongs,
@@ -89,49 +84,49 @@
     Declines,
 }
 
-/// Fixed values of a standby.
+/// Fixed parameters of a standby.
 #[derive(Clone, Copy, Debug)]
 pub struct StandbyConfig {
-    /// This node's run.
+    /// Identifies this run of the node.
     pub id: StandbyId,
-    /// How long it orders holders to hold on, and how often.
+    /// Duration of holds, and how often they are prolonged.
     pub timing: GranterTiming,
 }
 
 #[derive(Clone, Debug)]
-struct Prolonging {
+struct PendingOrder {
     service: ServiceName,
     first: ShardKey,
     holder: UpstreamId,
 }
 
-/// This node as a standby.
-pub struct StandbyDuty {
+/// This node's standby role.
+pub struct StandbyRole {
     config: StandbyConfig,
-    /// Until when holds may be prolonged.
-    word_until: Time,
-    /// When a word last came.
-    word_heard: Option<Time>,
-    /// Since when this node declines to be a standby.
+    /// Holds may be prolonged until this time.
+    lease_until: Time,
+    /// When a lease was last received.
+    lease_heard_at: Option<Time>,
+    /// When this node started to decline being a standby.
     declines_since: Option<Time>,
-    /// Words that answer an older report are not taken.
+    /// Leases that echo an earlier report are ignored.
     offered_at: Time,
-    /// When an order was last given.
+    /// When a hold was last prolonged.
     prolonged_at: Option<Time>,
     report_at: Time,
     due: BTreeMap<(ServiceName, ShardKey), Time>,
     contacts: BTreeMap<UpstreamId, Contact>,
-    calls: BTreeMap<CallId, Prolonging>,
+    calls: BTreeMap<CallId, PendingOrder>,
     next_call: u64,
 }
 
-impl StandbyDuty {
-    /// A standby that has no word yet.
+impl StandbyRole {
+    /// Creates a standby without a lease.
     pub fn new(config: StandbyConfig) -> Self {
         Self {
             config,
-            word_until: Time::ZERO,
-            word_heard: None,
+            lease_until: Time::ZERO,
+            lease_heard_at: None,
             declines_since: None,
             offered_at: Time::ZERO,
             prolonged_at: None,
@@ -143,14 +138,14 @@
         }
     }
 
-    /// Takes the granter's word.
-    pub fn hear(&mut self, now: Time, word: &StandbyWord) {
-        let is_meant = word.run == self.config.id.run && word.echo <= now;
-        if !is_meant || self.declines() || word.echo < self.offered_at {
+    /// Handles a lease from the granter.
+    pub fn handle_lease(&mut self, now: Time, lease: &StandbyLease) {
+        let is_addressed = lease.run == self.config.id.run && lease.echo <= now;
+        if !is_addressed || self.declines() || lease.echo < self.offered_at {
             return;
         }
-        self.word_heard = Some(now);
-        self.word_until = self.word_until.max(word.echo + STANDBY_SPAN);
+        self.lease_heard_at = Some(now);
+        self.lease_until = self.lease_until.max(lease.echo + STANDBY_AUTHORIZATION);
     }
 
     /// Whether this node declines to be a standby.
@@ -158,42 +153,45 @@
         self.declines_since.is_some()
     }
 
-    /// Whether the granter, which has sent words, has fallen silent: the store is
-    /// to be asked whether it answers.
+    /// Whether the granter that issued leases has fallen silent, so that the store must be checked.
     pub fn misses_granter(&self, now: Time) -> bool {
-        now < self.word_until && self.silence(now) >= Some(DECLINE_SILENCE)
+        now < self.lease_until && self.granter_silence(now) >= Some(DECLINE_TIMEOUT)
     }
 
-    fn silence(&self, now: Time) -> Option<Duration> {
-        self.word_heard.map(|heard| now.since(heard))
+    fn granter_silence(&self, now: Time) -> Option<Duration> {
+        self.lease_heard_at.map(|heard| now.since(heard))
     }
 
-    /// Declines, or offers this node again. `store_sound_at` is when the last
-    /// call was sent that the store answered; `granter_heard` whether a granter
-    /// is heard now.
-    pub fn decide(&mut self, now: Time, store_sound_at: Option<Time>, granter_heard: bool) {
+    /// Declines, or offers this node again. `last_store_contact` is when the last successful store
+    /// call was sent; `granter_heard` tells whether a granter is heard now.
+    pub fn update_declined(
+        &mut self,
+        now: Time,
+        last_store_contact: Option<Time>,
+        granter_heard: bool,
+    ) {
         if let Some(since) = self.declines_since {
             if !granter_heard {
                 self.declines_since = Some(now);
-            } else if now.since(since) >= OFFER_AFTER {
+            } else if now.since(since) >= OFFER_DELAY {
                 self.declines_since = None;
                 self.offered_at = now;
             }
             return;
         }
-        let store_answers = store_sound_at > self.word_heard;
+        let store_answers = last_store_contact > self.lease_heard_at;
         if self.misses_granter(now) && store_answers {
             self.declines_since = Some(now);
-            self.word_until = Time::ZERO;
+            self.lease_until = Time::ZERO;
         }
     }
 
-    fn names_this(&self, assignment: &Assignment) -> bool {
+    fn names_this_node(&self, assignment: &Assignment) -> bool {
         assignment.standbys().contains(&self.config.id)
     }
 
-    /// The report that is due, if a record names this node. A change of the
-    /// records is told at once.
+    /// The report that is due, if a record names this node. A change of the records is reported
+    /// immediately.
     pub fn report(
         &mut self,
         now: Time,
@@ -201,11 +199,11 @@
         changed: bool,
     ) -> Option<StandbyReport> {
         let mut all = assignments.values();
-        let is_named = all.any(|assignment| self.names_this(assignment));
+        let is_named = all.any(|assignment| self.names_this_node(assignment));
         if !is_named || self.declines() || (now < self.report_at && !changed) {
             return None;
         }
-        self.report_at = now + REPORT;
+        self.report_at = now + REPORT_INTERVAL;
         let known = assignments.iter().filter_map(|(service, assignment)| {
             Some(KnownRecord {
                 service: service.clone(),
@@ -221,27 +219,26 @@
         })
     }
 
-    /// Whether holds are to be prolonged: the granter is silent, and its last
-    /// word still holds.
+    /// Whether holds are to be prolonged: the granter is silent, and its last lease is still valid.
     fn is_acting(&self, now: Time) -> bool {
-        now < self.word_until && self.silence(now) >= Some(GRANTER_SILENCE)
+        now < self.lease_until && self.granter_silence(now) >= Some(GRANTER_TIMEOUT)
     }
 
-    /// What this node does as a standby.
+    /// The state of this node as a standby.
     pub fn state(&self, now: Time) -> StandbyState {
         if self.declines() {
             StandbyState::Declines
         } else if self.is_acting(now) {
             StandbyState::Prolongs
-        } else if now < self.word_until {
+        } else if now < self.lease_until {
             StandbyState::Ready
         } else {
             StandbyState::None
         }
     }
 
-    /// Orders that are due. A node does not prolong what it granted itself in
-    /// `own_term`: it would not count such orders if it had its right again.
+    /// The orders that are due. A node doesn't prolong grants of its own term `own_term`: if it
+    /// became granter again, it wouldn't account for such orders.
     pub fn poll(
         &mut self,
         now: Time,
@@ -258,7 +255,7 @@
         for (service, assignment) in assignments {
             let epoch = assignment.number().map(|number| number.epoch.0);
             let is_own = own_term >= epoch;
-            if is_own || !self.names_this(assignment) {
+            if is_own || !self.names_this_node(assignment) {
                 continue;
             }
             let pace = self.config.timing.pace(assignment.slices().count());
@@ -267,9 +264,9 @@
                 Some(OrderTask {
                     service: service.clone(),
                     address: addresses.get(&order.holder).copied(),
-                    asks_about: key_of_others(assignment, &order.holder),
+                    probe_key: key_of_others(assignment, &order.holder),
                     order,
-                    until: self.word_until,
+                    until: self.lease_until,
                 })
             });
             tasks.extend(orders);
@@ -295,19 +292,19 @@
             .entry((service.clone(), slice.range.first))
             .or_default();
         let contact = self.contacts.entry(holder.clone()).or_default();
-        if now < *due || !contact.takes_grants(now, None) {
+        if now < *due || !contact.may_send_grant(now, None) {
             return None;
         }
         *due = now + pace.renewal;
         let call = CallId(self.next_call);
         self.next_call += 1;
         contact.sent(now, call);
-        let prolonging = Prolonging {
+        let pending = PendingOrder {
             service: service.clone(),
             first: slice.range.first,
             holder: holder.clone(),
         };
-        self.calls.insert(call, prolonging);
+        self.calls.insert(call, pending);
         Some(GrantOrder {
             call,
             holder: holder.clone(),
@@ -320,22 +317,22 @@
         })
     }
 
-    /// Takes an upstream's answer.
-    pub fn handle(&mut self, now: Time, call: CallId, reply: &GrantReply) {
-        let Some(prolonging) = self.calls.remove(&call) else {
+    /// Handles an upstream's reply.
+    pub fn handle_reply(&mut self, now: Time, call: CallId, reply: &GrantReply) {
+        let Some(pending) = self.calls.remove(&call) else {
             return;
         };
-        let contact = self.contacts.entry(prolonging.holder).or_default();
+        let contact = self.contacts.entry(pending.holder).or_default();
         if matches!(reply, GrantReply::Granted | GrantReply::Outdated) {
             contact.answered(call);
         } else {
             contact.unanswered(now, call);
-            self.due.insert((prolonging.service, prolonging.first), now);
+            self.due.insert((pending.service, pending.first), now);
         }
     }
 }
 
-/// A key that another upstream holds, if there is one.
+/// A key held by another upstream, if there is one.
 fn key_of_others(assignment: &Assignment, holder: &UpstreamId) -> Option<ShardKey> {
     let mut slices = assignment.slices();
     let of_others = slices.find(|slice| match &slice.state {
--- a/crates/router/src/core/standby_words.rs
+++ b/crates/router/src/core/standby_leases.rs
@@ -1,10 +1,11 @@
-//! The granter's side of its standbys: which nodes, their reports, its words.
+//! The granter's handling of its standbys: choosing them, processing their reports and issuing
+//! their leases.
 
 use crate::core::grants::Grants;
 use crate::core::records::NodeRecord;
-use crate::core::standby::{StandbyReport, StandbyWord};
+use crate::core::standby::{StandbyLease, StandbyReport};
 use crate::core::views::Views;
-use beamtray_sharding::{Granter, StandbyAnswer, StandbyId};
+use beamtray_sharding::{Granter, StandbyId, StandbyStatus};
 use beamtray_types::{ServiceName, Time};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,21 +13,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many standbys there are: one may be lost with the granter.
-const STANDBYS: usize = 2;
-/// Between words.
-const WORDS: Duration = Duration::from_millis(200);
+/// Number of standbys: one may be lost together with the granter.
+const STANDBY_COUNT: usize = 2;
+/// Interval at which leases are issued.
+const LEASE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reports and words of a granter's standbys.
+/// The granter's record of standby reports, and its schedule of leases.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StandbyWords {
-    /// When the last report of each was sent, by its own clock.
+pub(crate) struct StandbyLeases {
+    /// When each standby sent its last report, by its own clock.
     echoes: BTreeMap<StandbyId, Time>,
-    words_at: Time,
+    next_leases_at: Time,
 }
 
-impl StandbyWords {
-    /// The words that are due.
+impl StandbyLeases {
+    /// The standby leases that are due.
     pub fn poll(
         &mut self,
         now: Time,
@@ -35,36 +36,36 @@
         granters: &mut [&mut Granter],
         views: &Views,
         wanted: &[StandbyId],
-    ) -> Vec<(SocketAddr, StandbyWord)> {
-        if now < self.words_at {
+    ) -> Vec<(SocketAddr, StandbyLease)> {
+        if now < self.next_leases_at {
             return Vec::new();
         }
-        self.words_at = now + WORDS;
+        self.next_leases_at = now + LEASE_INTERVAL;
         for granter in granters.iter_mut() {
-            note_ended(now, own, granter, views);
+            mark_ended(now, own, granter, views);
         }
-        let mut meant: BTreeSet<StandbyId> = BTreeSet::new();
+        let mut recipients: BTreeSet<StandbyId> = BTreeSet::new();
         for granter in granters.iter_mut() {
-            granter.want_standbys(now, wanted);
-            meant.extend(granter.standby_words(now));
+            granter.set_standbys(now, wanted);
+            recipients.extend(granter.standbys_to_authorize(now));
         }
-        let mut words = Vec::new();
-        for id in meant {
+        let mut leases = Vec::new();
+        for id in recipients {
             for granter in granters.iter_mut() {
-                granter.standby_word_sent(now, &id);
+                granter.standby_authorized(now, &id);
             }
-            let word = StandbyWord {
+            let lease = StandbyLease {
                 epoch,
                 run: id.run,
                 echo: self.echoes.get(&id).copied().unwrap_or_default(),
             };
-            words.push((id.address, word));
+            leases.push((id.address, lease));
         }
-        words
+        leases
     }
 
-    /// Takes a standby's report.
-    pub fn reported(
+    /// Handles a standby's report.
+    pub fn handle_report(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -83,19 +84,19 @@
             .map(Duration::from_millis);
         for (service, grants) in all {
             let known = report.known.iter().find(|known| known.service == *service);
-            let answer = StandbyAnswer {
-                knows: known.map(|known| known.number),
+            let answer = StandbyStatus {
+                known_record: known.map(|known| known.number),
                 prolonged,
             };
-            grants.granter.standby_answered(now, &id, answer);
+            grants.granter.standby_reported(now, &id, answer);
         }
     }
 }
 
-/// Notes standbys that prolong nothing any more: whose node declines, or has an
-/// entry with another run at the same address, so that the process before has
-/// ended. What this node did as one itself ended when it became the granter.
-fn note_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
+/// Marks standbys that no longer prolong holds: nodes that decline, and nodes registered at the
+/// same address with a different run, whose earlier process has therefore ended. This node's own
+/// standby role ended when it became the granter.
+fn mark_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
     for id in granter.standbys() {
         let mut nodes = views.nodes.values();
         let node = nodes.find(|node| node.peers == id.address);
@@ -106,9 +107,8 @@
     }
 }
 
-/// The nodes that are to be standbys: able ones that are heard, in other zones
-/// than the granter's before its own, and not two of one zone where there are
-/// others.
+/// Chooses standbys among the nodes that are heard, by capacity. Zones other than the granter's
+/// come first, and no two standbys share a zone if that can be avoided.
 pub(crate) fn choose_standbys(own: &NodeRecord, nodes: &[&NodeRecord]) -> Vec<StandbyId> {
     let mut sorted: Vec<&&NodeRecord> = nodes
         .iter()
@@ -129,9 +129,12 @@
             chosen.push(node);
         }
     }
-    let ids = chosen.into_iter().take(STANDBYS).map(|node| StandbyId {
-        address: node.peers,
-        run: node.run,
-    });
+    let ids = chosen
+        .into_iter()
+        .take(STANDBY_COUNT)
+        .map(|node| StandbyId {
+            address: node.peers,
+            run: node.run,
+        });
     ids.collect()
 }
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -1,120 +1,118 @@
-//! What the settings and the constants here make of a core's configuration.
+//! Configuration of the core, built from the settings and constants.
 
 use super::NodeSettings;
 use crate::core::{ControlConfig, CoreConfig, GRANT_TIMEOUT, NodeRecord, Timing};
 use beamtray_catalog::DirectoryPolicy;
-use beamtray_dispatch::{BudgetConfig, ColdStartBound, DispatchConfig};
+use beamtray_dispatch::{ColdStartBound, DispatchConfig, RetryBudgetConfig};
 use beamtray_metastore::LeaseTiming;
 use beamtray_sharding::{BalanceLimits, GranterGuards, GranterTiming};
 use std::time::Duration;
 
-/// Life of a node's entry without renewal.
+/// Lease of a node's entry in the store.
 const NODE_TTL: Duration = Duration::from_secs(8);
 const NODE_RENEWAL: Duration = Duration::from_millis(3_000);
-/// Life of the granter's place without renewal: how long keys are without a
-/// granter after it is lost.
+/// Lease of the granter's role: how long keys are without a granter after it is lost.
 const GRANTER_TTL: Duration = Duration::from_millis(2_000);
 const GRANTER_RENEWAL: Duration = Duration::from_millis(500);
-/// How long a grant holds at most. When a granter is lost the next one is there
-/// after [`GRANTER_TTL`]; what is left of a hold then is this less
-/// [`GRANT_RENEWAL`]. Outages of the store are bridged by standbys.
-const HOLD: Duration = Duration::from_millis(3_000);
+/// Duration of a grant. When a granter is lost, a hold has at least this less
+/// [`GRANT_RENEWAL`] left, which outlasts the [`GRANTER_TTL`] until the next granter takes
+/// over. Store outages are bridged by standbys.
+const GRANT_HOLD: Duration = Duration::from_millis(3_000);
 const GRANT_RENEWAL: Duration = Duration::from_millis(750);
-/// Time between orders that a granter with a whole core has the processor time for. An
-/// estimate: a fifth of it, if an order with its connection costs 0.2 ms.
-const ORDER_PAUSE: Duration = Duration::from_millis(1);
-/// Longest time between orders, for nodes with next to no processor time.
-const LONGEST_ORDER_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_RENEWAL: Duration = Duration::from_millis(2_000);
-/// How much longer a holder may count a hold, in percent.
+/// Average time between orders of a granter with a whole core. An estimate: if an order with
+/// its connection costs 0.2 ms of processor time, orders take a fifth of the core.
+const ORDER_INTERVAL: Duration = Duration::from_millis(1);
+/// Upper limit of the time between orders, for nodes with very little processor time.
+const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_RENEWAL: Duration = Duration::from_millis(2_000);
+/// How much longer a holder may count a hold by its own clock, in percent.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
-/// How long an upstream may take to carry an order out that it did not answer, as the users'
-/// platform has it.
+/// How long an upstream may take to carry out an order that it has not answered, as specified
+/// by the users' platform.
 const ORDER_LIFETIME: Duration = Duration::from_secs(12);
 const TRANSIT: Duration = Duration::from_millis(300);
-/// Beyond this and what is left of its hold, a silent holder has no keys.
-const SILENCE: Duration = Duration::from_millis(1_200);
-const NOTICE: Duration = Duration::from_millis(20);
-/// Longest wait of a watch: each that ends unheard costs a call.
+/// A silent holder has lost its keys after this and the remainder of its hold.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+const GRANT_NOTICE: Duration = Duration::from_millis(20);
+/// Longest wait of a watch; each watch that ends without events costs a call.
 const WATCH_WAIT: Duration = Duration::from_secs(25);
-/// At the first start of all nodes: until all of them have registered.
+/// At the first start of all nodes, the time until all of them have registered.
 const FIRST_START_DELAY: Duration = Duration::from_millis(500);
-/// How much longer a node waits that has next to no processor time.
-const WEAK_START_DELAY: Duration = Duration::from_millis(1_500);
+/// Additional delay of a node with very little processor time.
+const MAX_EXTRA_START_DELAY: Duration = Duration::from_millis(1_500);
 /// Share of a core from which a node waits no longer than [`FIRST_START_DELAY`].
-const ABLE_SHARE: f64 = 0.5;
+const FULL_SPEED_SHARE: f64 = 0.5;
 
 impl NodeSettings {
-    /// The core's fixed values for this run of the process.
+    /// Builds the core's configuration for this run of the process.
     pub fn core_config(&self, run: u64) -> CoreConfig {
         let record = NodeRecord {
             name: self.node.clone(),
             run,
             zone: self.zone.clone(),
             peers: self.listen.peers,
-            capacity: self.limits.ability(),
+            capacity: self.limits.relay_capacity(),
             declines_standby: false,
         };
         CoreConfig {
             dispatch: self.dispatch_config(run),
             control: self.control_config(record),
             directory: self.directory_policy(),
-            watch_wait: WATCH_WAIT,
+            watch_timeout: WATCH_WAIT,
             start_delay: self.start_delay(),
             seeds: self.seeds.clone(),
             timing: Timing::default(),
-            hears_leaving: true,
-            tells_suspicions: true,
+            accept_leaving_notices: true,
+            share_suspicions: true,
         }
     }
 
-    /// How long this node waits for others to register before it reads who they
-    /// are. Relays are the ablest nodes, so those read first and tell the others.
+    /// How long this node waits for others to register before it reads the list of nodes.
+    /// Relays are the nodes with the most capacity, so they read it first and pass it on.
     fn start_delay(&self) -> Duration {
         if !self.first_start {
             return Duration::ZERO;
         }
-        let lacking = (1.0 - self.limits.processor_share / ABLE_SHARE).max(0.0);
-        FIRST_START_DELAY + WEAK_START_DELAY.mul_f64(lacking)
+        let shortfall = (1.0 - self.limits.processor_share / FULL_SPEED_SHARE).max(0.0);
+        FIRST_START_DELAY + MAX_EXTRA_START_DELAY.mul_f64(shortfall)
     }
 
     fn dispatch_config(&self, run: u64) -> DispatchConfig {
-        // The other half of the drain time is for hearing of it, and for a request
-        // that takes long to reach the upstream: connecting alone may take a third
-        // of a second, and a node may have a tenth of a core.
+        // The other half of the drain time is reserved for learning that the upstream leaves
+        // and for requests that reach it late: connecting alone may take a third of a second,
+        // and a node may have a tenth of a core.
         let drain = Duration::from_millis(self.bounds.drain_ms.max(200));
         DispatchConfig {
             node: self.node.clone(),
             run,
             zone: self.zone.as_str().into(),
-            budget: BudgetConfig {
+            budget: RetryBudgetConfig {
                 ratio: self.bounds.retry_ratio,
                 allowance: self.bounds.retry_allowance,
                 window: Duration::from_secs_f64(self.bounds.retry_window_s),
             },
             queue_limit: 2_000,
-            most_queued: 6,
+            max_queued: 6,
             zone_cost: Duration::from_millis(80),
-            leaver_grace: drain / 2,
+            drain_grace: drain / 2,
             cold_start: ColdStartBound {
                 overage: self.bounds.cold_overage,
                 slack: self.bounds.cold_slack,
             },
             evacuation_grace: Duration::from_millis(self.bounds.evacuate_ms) / 2,
-            keeps_named_rates: true,
-            keeps_rests: true,
-            proves_before_repeat: true,
+            honors_rate_limits: true,
+            honors_rests: true,
+            requires_proof_before_retry: true,
         }
     }
 
-    /// An upstream that left while the store was sound must get nothing once
-    /// the drain time is over, so doubt about its absence ends before a node
-    /// counts as connected again.
+    /// An upstream that left while the store was available must receive nothing once the drain
+    /// time is over, so doubt about its absence ends before a node counts as connected again.
     fn directory_policy(&self) -> DirectoryPolicy {
         let contact = Duration::from_millis(self.bounds.contact_ms.max(500));
         DirectoryPolicy {
-            distrust: contact / 6,
-            patience: contact * 53 / 100,
+            outage_grace: contact / 6,
+            reregistration_timeout: contact * 53 / 100,
         }
     }
 
@@ -124,57 +122,57 @@
 
     fn control_config(&self, record: NodeRecord) -> ControlConfig {
         let heartbeat = self.heartbeat();
-        let longest = match self.bounds.longest_hold_ms {
-            0 => HOLD + LONGEST_RENEWAL,
-            longest => Duration::from_millis(longest),
+        let max_hold = match self.bounds.longest_hold_ms {
+            0 => GRANT_HOLD + MAX_RENEWAL,
+            max_hold => Duration::from_millis(max_hold),
         };
-        let hold = longest.min(HOLD);
+        let hold = max_hold.min(GRANT_HOLD);
         let renewal = GRANT_RENEWAL.min(hold / 4);
-        let least = Duration::from_millis(self.store.least_ttl_ms);
-        let patience = Duration::from_millis(20 + run_spread(record.run) % 180);
+        let min_ttl = Duration::from_millis(self.store.least_ttl_ms);
+        let election_delay = Duration::from_millis(20 + hash_run(record.run) % 180);
         ControlConfig {
             record,
             node_lease: LeaseTiming {
-                ttl: NODE_TTL.max(least),
+                ttl: NODE_TTL.max(min_ttl),
                 renewal: NODE_RENEWAL,
             },
             granter_lease: LeaseTiming {
-                ttl: GRANTER_TTL.max(least),
+                ttl: GRANTER_TTL.max(min_ttl),
                 renewal: GRANTER_RENEWAL,
             },
-            patience,
-            keeps_suspicions: true,
+            election_delay,
+            persist_suspicions: true,
             grants: GranterTiming {
                 hold,
                 renewal,
-                order_pause: ORDER_PAUSE
+                min_order_interval: ORDER_INTERVAL
                     .div_f64(self.limits.processor_share.min(1.0))
-                    .min(LONGEST_ORDER_PAUSE),
-                longest_renewal: renewal + (longest - hold).min(LONGEST_RENEWAL - renewal),
+                    .min(MAX_ORDER_INTERVAL),
+                max_renewal: renewal + (max_hold - hold).min(MAX_RENEWAL - renewal),
                 drift_percent: CLOCK_DRIFT_PERCENT,
                 transit: TRANSIT,
-                order_wait: GRANT_TIMEOUT,
+                order_timeout: GRANT_TIMEOUT,
                 order_lifetime: ORDER_LIFETIME,
-                silence: SILENCE,
-                settle: heartbeat,
-                notice: NOTICE,
+                silence_timeout: SILENCE_TIMEOUT,
+                quiet_period: heartbeat,
+                release_delay: GRANT_NOTICE,
                 guards: GranterGuards::default(),
             },
             balance: BalanceLimits {
-                moves: 8,
-                moves_share: 0.25,
-                overloaded: 1.0,
-                busy: 0.45,
-                difference: 0.3,
-                least_requests: 2.0,
-                rest: Duration::from_millis(700),
-                window: 1.8,
+                max_moves: 8,
+                max_overload_moves_share: 0.25,
+                overload_utilization: 1.0,
+                busy_utilization: 0.45,
+                min_utilization_gap: 0.3,
+                min_requests: 2.0,
+                move_cooldown: Duration::from_millis(700),
+                load_window_secs: 1.8,
             },
         }
     }
 }
 
-/// Spreads runs so that nodes differ.
-fn run_spread(run: u64) -> u64 {
+/// Hashes a run number so that nodes get different delays.
+fn hash_run(run: u64) -> u64 {
     run.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32
 }
--- a/crates/router/src/shell/calls.rs
+++ b/crates/router/src/shell/calls.rs
@@ -1,9 +1,9 @@
 //! Calls to the metadata store and orders to upstreams.
 
 use crate::core::{GRANT_TIMEOUT, Input, OrderTask, StoreTask};
-use crate::shell::connections::{Answer, CallFailure, CallProgress, Connections};
+use crate::shell::connections::{Answer, CallFailure, CallProgress, ConnectionPool};
 use crate::shell::handle::Shared;
-use beamtray_dialect::{CallMethod, HttpAnswer, HttpCall};
+use beamtray_dialect::{CallMethod, HttpCall, HttpResponse};
 use beamtray_metastore::{StoreCall, StoreOutcome};
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use beamtray_types::Time;
@@ -16,16 +16,17 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for the store's answer.
+/// Timeout of calls to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for the answer to a release: work on the keys ends first.
+/// Timeout of a release: the upstream finishes its work on the keys before it answers.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long an order may stay unacknowledged. Less than its answer is waited for, so that the
-/// end of the connection tells that the order did not come to the upstream's machine.
-pub(crate) const ORDER_UNACKNOWLEDGED: Duration = Duration::from_millis(400);
+/// How long an order may stay unacknowledged at the TCP level. Shorter than the timeout of its
+/// answer, so that the end of the connection shows that the order did not reach the upstream's
+/// machine.
+pub(crate) const ORDER_ACK_TIMEOUT: Duration = Duration::from_millis(400);
 const JSON: &str = "application/json";
 
-/// Calls the store and tells the core how it went.
+/// Calls the store and reports the outcome to the core.
 pub(crate) fn call_store(shared: &Rc<Shared>, task: StoreTask, call: StoreCall) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
@@ -44,51 +45,57 @@
         );
         let answer = timeout(limit, answer).await;
         let outcome = match answer {
-            Ok(Ok(answer)) => judge(&shared, &call, &answer),
+            Ok(Ok(answer)) => interpret_store_answer(&shared, &call, &answer),
             Ok(Err(_)) | Err(_) => {
-                // Other connections may be as dead, without having noticed.
-                shared.connections.forget(shared.store);
+                // Other connections may be dead as well without a sign of it.
+                shared.connections.close_idle(shared.store);
                 StoreOutcome::Unknown
             }
         };
-        shared.observer.store(&task, &outcome);
+        shared.observer.store_call_ended(&task, &outcome);
         shared.input(Input::Store { task, outcome });
     });
 }
 
-/// What an answer of the store says. The core is told of a new era before.
+/// Decodes an answer of the store. The core is informed of a new era first.
 ///
-/// One of an older era came late: what it says has been taken back.
-fn judge(shared: &Shared, call: &StoreCall, answer: &HttpAnswer) -> StoreOutcome {
-    let known = shared.store_era.get();
+/// An answer from an older era is stale: the store has rolled back what it says.
+fn interpret_store_answer(
+    shared: &Shared,
+    call: &StoreCall,
+    answer: &HttpResponse,
+) -> StoreOutcome {
+    let known_era = shared.store_era.get();
     let era = match shared.dialect.decode_era(answer) {
-        Some(era) if known.is_some_and(|known| era < known) => return StoreOutcome::Unknown,
+        Some(era) if known_era.is_some_and(|known_era| era < known_era) => {
+            return StoreOutcome::Unknown;
+        }
         Some(era) => era,
         None => {
             if let Some(text) = &answer.store_era {
                 shared.observer.era_unreadable(text);
             }
-            known.unwrap_or_default()
+            known_era.unwrap_or_default()
         }
     };
-    if known != Some(era) {
+    if known_era != Some(era) {
         shared.store_era.set(Some(era));
         shared.input(Input::StoreEra(era));
     }
-    shared.dialect.decode_store(call, answer).of_era(era)
+    shared.dialect.decode_store(call, answer).with_era(era)
 }
 
-/// Gives an order and tells the core how it went.
-pub(crate) fn order(shared: &Rc<Shared>, task: OrderTask, epoch: u64) {
+/// Sends an order and reports the outcome to the core.
+pub(crate) fn send_order(shared: &Rc<Shared>, task: OrderTask, epoch: u64) {
     let shared = shared.clone();
-    let decided = shared.now();
+    let decided_at = shared.now();
     tokio::task::spawn_local(async move {
         let reply = match task.address {
-            Some(address) => give(&shared, address, &task).await,
+            Some(address) => deliver_order(&shared, address, &task).await,
             None => GrantReply::Undelivered,
         };
-        let took = shared.now().since(decided);
-        shared.observer.order(&task, &reply, took);
+        let took = shared.now().since(decided_at);
+        shared.observer.order_ended(&task, &reply, took);
         shared.input(Input::Order {
             service: task.service,
             order: task.order,
@@ -98,19 +105,19 @@
     });
 }
 
-async fn give(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
-    // The right to grant is looked at right before the order is written: the process may
-    // have stood still since it was decided on, and a connection may take long.
-    let right_left = task.until.since(shared.now());
-    if right_left.is_zero() {
+async fn deliver_order(shared: &Shared, address: SocketAddr, task: &OrderTask) -> GrantReply {
+    // The validity of the order is checked right before it is written: the process may have
+    // been paused since the decision, and connecting may take long.
+    let validity_left = task.until.since(shared.now());
+    if validity_left.is_zero() {
         return GrantReply::Undelivered;
     }
     let is_grant = matches!(task.order.kind, OrderKind::Grant { .. });
-    if let Some(key) = task.asks_about.filter(|_| is_grant) {
-        let question = task.order.question(key);
-        match exchange(shared, address, &question, GRANT_TIMEOUT, task.until).await {
+    if let Some(key) = task.probe_key.filter(|_| is_grant) {
+        let question = task.order.liveness_probe(key);
+        match exchange_order(shared, address, &question, GRANT_TIMEOUT, task.until).await {
             GrantReply::Replaced => return GrantReply::Replaced,
-            // The grant itself was not written.
+            // Only the question was written, not the grant.
             GrantReply::Undelivered
             | GrantReply::Unanswered
             | GrantReply::InDoubt
@@ -125,40 +132,40 @@
         OrderKind::Grant { .. } => GRANT_TIMEOUT,
         OrderKind::Release => RELEASE_TIMEOUT,
     };
-    exchange(shared, address, &task.order, limit, task.until).await
+    exchange_order(shared, address, &task.order, limit, task.until).await
 }
 
-/// Writes an order, unless it is later than `until` by then, and waits so long for the answer.
-async fn exchange(
+/// Writes an order unless `until` has passed, and waits up to `limit` for the answer.
+async fn exchange_order(
     shared: &Shared,
     address: SocketAddr,
     order: &GrantOrder,
     limit: Duration,
     until: Time,
 ) -> GrantReply {
-    let connections = &shared.order_connections;
+    let pool = &shared.order_connections;
     let call = shared.dialect.encode_order(order);
-    let progress = CallProgress::repeatable().before(shared.clock.clone(), until);
-    match timeout(limit, send(shared, connections, address, call, &progress)).await {
+    let progress = CallProgress::repeatable().with_write_deadline(shared.clock.clone(), until);
+    match timeout(limit, send(shared, pool, address, call, &progress)).await {
         Ok(Ok(answer)) => match shared.dialect.decode_order(&order.kind, &answer) {
-            // The answer of another call: that of the order did not come.
+            // This was the answer to another call; that to the order is missing.
             GrantReply::Unanswered => GrantReply::InDoubt,
             reply => reply,
         },
-        Ok(Err(CallFailure::BrokenOff)) => {
-            // Others to the same upstream may have ended with it.
-            shared.connections.forget(address);
-            connections.forget(address);
+        Ok(Err(CallFailure::ConnectionLost)) => {
+            // Other connections to the same upstream may have ended as well.
+            shared.connections.close_idle(address);
+            pool.close_idle(address);
             GrantReply::BrokenOff
         }
-        Ok(Err(CallFailure::Unacknowledged)) => {
-            connections.forget(address);
+        Ok(Err(CallFailure::AckTimeout)) => {
+            pool.close_idle(address);
             GrantReply::Unanswered
         }
-        Ok(Err(_)) | Err(_) if progress.may_be_written() => {
-            // Other connections may be as dead: on a new one it shows that an
-            // order can't have arrived.
-            connections.forget(address);
+        Ok(Err(_)) | Err(_) if progress.may_have_been_written() => {
+            // Other connections may be dead as well. A new connection shows whether an order
+            // can't have arrived.
+            pool.close_idle(address);
             GrantReply::InDoubt
         }
         Ok(Err(_)) | Err(_) => GrantReply::Undelivered,
@@ -167,25 +174,25 @@
 
 async fn send(
     shared: &Shared,
-    connections: &Connections,
+    pool: &ConnectionPool,
     address: SocketAddr,
     call: HttpCall,
     progress: &CallProgress,
-) -> Result<HttpAnswer, CallFailure> {
-    let request = request(address, call).map_err(|_| CallFailure::Unsent)?;
-    let answer = connections.call(address, request, progress).await?;
-    let read = read(shared, &answer);
-    if read.request_id.is_some() {
-        // The answer of a request: what else comes on the connection is not
-        // what it seems either.
-        connections.distrust(address);
-        return Ok(read);
+) -> Result<HttpResponse, CallFailure> {
+    let request = build_request(address, call).map_err(|_| CallFailure::NotSent)?;
+    let answer = pool.call(address, request, progress).await?;
+    let decoded = to_http_answer(shared, &answer);
+    if decoded.request_id.is_some() {
+        // This is the answer to a client request, so the connection is out of step and nothing
+        // else on it can be relied on.
+        pool.disable_reuse(address);
+        return Ok(decoded);
     }
-    connections.keep(answer);
-    Ok(read)
+    pool.put_back(answer);
+    Ok(decoded)
 }
 
-fn request(
+fn build_request(
     address: SocketAddr,
     call: HttpCall,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
@@ -207,13 +214,13 @@
     builder.body(Full::new(Bytes::from(call.body)))
 }
 
-fn read(shared: &Shared, answer: &Answer) -> HttpAnswer {
+fn to_http_answer(shared: &Shared, answer: &Answer) -> HttpResponse {
     let names = shared.dialect.headers();
     let header = |name| {
         let value = answer.head.headers.get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
-    HttpAnswer {
+    HttpResponse {
         status: answer.head.status.as_u16(),
         handover: header(names.handover),
         request_id: header(names.request_id),
--- a/crates/router/src/shell/connections/progress.rs
+++ b/crates/router/src/shell/connections/progress.rs
@@ -1,4 +1,4 @@
-//! How a call may be made, and how far it came.
+//! Constraints and progress of a call.
 
 use beamtray_clock::BootClock;
 use beamtray_types::Time;
@@ -6,89 +6,88 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Rest after which a request that can't be repeated takes a new connection.
-const SAFE_REST: Duration = Duration::from_millis(200);
+/// Longest idle time of a connection that is reused for a request that must not be repeated.
+const UNREPEATABLE_MAX_IDLE: Duration = Duration::from_millis(200);
 
-/// How a call failed.
+/// Reasons why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
-    /// No connection came up in time.
-    Unconnected,
+    /// No connection could be opened in time.
+    ConnectFailed,
     /// The connection was refused.
-    Refused,
-    /// The connection ended before anything was written.
-    Unsent,
-    /// It ended without a whole answer.
-    BrokenOff,
-    /// It ended since the other side acknowledged nothing of what was written.
-    Unacknowledged,
+    ConnectionRefused,
+    /// The request was not written.
+    NotSent,
+    /// The connection ended before a complete response.
+    ConnectionLost,
+    /// The connection ended because the other side did not acknowledge what was written.
+    AckTimeout,
 }
 
-/// Until when a call may be written, looked at right before it is: the process may have
-/// stood still, or the machine have been suspended, while a connection came up.
+/// Time after which a call must not be written. It is checked right before the write, since
+/// the process may have been paused or the machine suspended while the connection was opened.
 #[derive(Debug)]
-struct WriteBefore {
+struct WriteDeadline {
     clock: Rc<BootClock>,
     end: Time,
 }
 
-/// How a call may be made, and how far it came.
+/// Constraints and progress of a call.
 #[derive(Debug)]
 pub(crate) struct CallProgress {
-    /// Longest rest of a connection that is used.
-    pub(super) longest_rest: Duration,
+    /// Longest idle time of a connection that is reused.
+    pub(super) max_idle_time: Duration,
     /// The request is not written after this.
-    write_before: Option<WriteBefore>,
+    write_deadline: Option<WriteDeadline>,
     /// Whether the request may have been written.
     pub(super) written: Cell<bool>,
-    /// Whether that was on a connection that had been used before.
-    pub(super) rested: Cell<bool>,
+    /// Whether it was written to a reused connection.
+    pub(super) reused: Cell<bool>,
 }
 
 impl CallProgress {
-    /// A call of what can be repeated: a connection that the other side forgot
-    /// costs a repeat.
+    /// A call that can be repeated: a stale connection costs one retry.
     pub fn repeatable() -> Self {
         Self {
-            longest_rest: Duration::MAX,
-            write_before: None,
+            max_idle_time: Duration::MAX,
+            write_deadline: None,
             written: Cell::new(false),
-            rested: Cell::new(false),
+            reused: Cell::new(false),
         }
     }
 
-    /// A call of what can't: the other side may forget a connection sooner than
-    /// it tells, and nobody knows then whether the request ran.
+    /// A call that must not be repeated: the other side may close an idle connection sooner
+    /// than it announced, and then it is unknown whether the request ran.
     pub fn unrepeatable() -> Self {
         Self {
-            longest_rest: SAFE_REST,
-            write_before: None,
+            max_idle_time: UNREPEATABLE_MAX_IDLE,
+            write_deadline: None,
             written: Cell::new(false),
-            rested: Cell::new(false),
+            reused: Cell::new(false),
         }
     }
 
-    /// The same call, which must not be written after that: to connect may take longer
-    /// than the right to say it lasts.
-    pub fn before(self, clock: Rc<BootClock>, end: Time) -> Self {
+    /// Forbids writing the call from `end` on: connecting may take longer than the call stays
+    /// valid.
+    pub fn with_write_deadline(self, clock: Rc<BootClock>, end: Time) -> Self {
         Self {
-            write_before: Some(WriteBefore { clock, end }),
+            write_deadline: Some(WriteDeadline { clock, end }),
             ..self
         }
     }
 
-    pub(super) fn is_too_late(&self) -> bool {
-        let before = self.write_before.as_ref();
-        before.is_some_and(|before| before.clock.now() >= before.end)
+    pub(super) fn is_past_write_deadline(&self) -> bool {
+        let deadline = self.write_deadline.as_ref();
+        deadline.is_some_and(|deadline| deadline.clock.now() >= deadline.end)
     }
 
-    /// Whether the request was written on a connection that had been used before.
-    pub fn was_rested(&self) -> bool {
-        self.rested.get()
+    /// Whether the request was written to a reused connection.
+    pub fn was_reused(&self) -> bool {
+        self.reused.get()
     }
 
     /// Whether the request may have been written.
-    pub fn may_be_written(&self) -> bool {
+    pub fn may_have_been_written(&self) -> bool {
         self.written.get()
     }
 }
--- a/crates/router/src/shell/handle.rs
+++ b/crates/router/src/shell/handle.rs
@@ -1,14 +1,14 @@
-//! What every task of the process shares.
+//! State shared by all tasks of the process.
 
 use crate::core::{Input, NodeCore};
 use crate::shell::actor::RouterActor;
-use crate::shell::connections::Connections;
+use crate::shell::connections::ConnectionPool;
 use crate::shell::observer::Observer;
-use crate::shell::peers::LastAnswer;
+use crate::shell::peers::AnswerCache;
 use beamtray_catalog::ClientLimits;
 use beamtray_clock::BootClock;
 use beamtray_dialect::Dialect;
-use beamtray_dispatch::{Admission, Ending, Forward, Ticket};
+use beamtray_dispatch::{AdmissionError, ConcludedRequest, Forward, Ticket};
 use beamtray_metastore::StoreEra;
 use beamtray_types::Time;
 use bytes::Bytes;
@@ -23,103 +23,103 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Body of an answer to a client.
-pub(crate) type AnswerBody = Full<Bytes>;
+/// Body of a response to a client.
+pub(crate) type ResponseBody = Full<Bytes>;
 
-/// What the task of one client request is told.
-pub(crate) enum Step {
-    /// It can't be admitted.
-    Deny(Admission),
-    /// Make an attempt.
+/// Actions for the task of one client request.
+pub(crate) enum RequestAction {
+    /// Reject the request, which was not admitted.
+    Deny(AdmissionError),
+    /// Send the request to an upstream.
     Forward(Forward),
-    /// Give the final answer.
-    Conclude(Box<Ending>),
-    /// An upstream's answer.
-    Answer(Box<Response<AnswerBody>>),
+    /// Send the router's own final response.
+    Conclude(Box<ConcludedRequest>),
+    /// Send an upstream's response.
+    Respond(Box<Response<ResponseBody>>),
 }
 
-/// Shared by every task of the process.
+/// State shared by all tasks of the process.
 pub(crate) struct Shared {
     pub dialect: Rc<dyn Dialect>,
-    pub connections: Connections,
-    /// Connections for orders to holders of keys.
-    pub order_connections: Connections,
-    pub clients: RefCell<HashMap<Ticket, UnboundedSender<Step>>>,
+    pub connections: ConnectionPool,
+    /// Connections for orders to key holders.
+    pub order_connections: ConnectionPool,
+    pub clients: RefCell<HashMap<Ticket, UnboundedSender<RequestAction>>>,
     pub actor: RefCell<Option<ActorOwn<RouterActor>>>,
-    pub wake: Notify,
-    /// What the core's times are read off.
+    pub core_wakeup: Notify,
+    /// Source of the core's timestamps.
     pub clock: Rc<BootClock>,
-    /// Told after the machine was suspended.
-    pub woke: Notify,
+    /// Notified after the machine was suspended.
+    pub resumed: Notify,
     pub next_ticket: Cell<u64>,
     pub limits: Cell<ClientLimits>,
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
-    pub stop: Notify,
-    /// Number of this run.
+    pub shutdown: Notify,
+    /// Random number of this run of the process.
     pub run: u64,
     pub store: SocketAddr,
-    /// The store's era, as its answers told it.
+    /// The store's era according to its latest answers.
     pub store_era: Cell<Option<StoreEra>>,
     pub datagrams: UdpSocket,
-    pub last_answer: LastAnswer,
+    pub answer_cache: AnswerCache,
     pub observer: Observer,
 }
 
 impl Shared {
-    /// Tells the core what happened.
+    /// Passes an input to the core.
     pub fn input(&self, input: Input) {
         if let Some(actor) = &*self.actor.borrow() {
             call!([actor], input(input));
         }
-        self.wake.notify_one();
+        self.core_wakeup.notify_one();
     }
 
-    /// Lets `look` see the core, at the actor's next turn.
-    pub fn inspect(&self, look: impl FnOnce(&NodeCore) + 'static) {
-        let look: Box<dyn FnOnce(&NodeCore)> = Box::new(look);
+    /// Calls `callback` with read access to the core when the actor next runs.
+    pub fn inspect(&self, callback: impl FnOnce(&NodeCore) + 'static) {
+        let callback: Box<dyn FnOnce(&NodeCore)> = Box::new(callback);
         if let Some(actor) = &*self.actor.borrow() {
-            call!([actor], inspect(look));
+            call!([actor], inspect(callback));
         }
-        self.wake.notify_one();
+        self.core_wakeup.notify_one();
     }
 
-    /// The core's clock.
+    /// Current time on the core's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Lets `work` go on until then; none if it did not end. Timers do not count the time
-    /// asleep, so the clock is looked at again after it.
-    pub async fn until<Work: Future>(&self, time: Time, work: Work) -> Option<Work::Output> {
+    /// Runs `work` until `time`; `None` if it has not finished by then. Timers do not count
+    /// time in suspend, so the clock is checked again after a resume.
+    pub async fn run_until<Work: Future>(&self, time: Time, work: Work) -> Option<Work::Output> {
         let mut work = std::pin::pin!(work);
         loop {
-            let woke = self.woke.notified();
-            let left = self.clock.until(time);
+            let resumed = self.resumed.notified();
+            let left = self.clock.time_until(time);
             if left.is_zero() {
                 return None;
             }
             tokio::select! {
                 biased;
                 done = work.as_mut() => return Some(done),
-                () = woke => {}
+                () = resumed => {}
                 () = tokio::time::sleep(left) => {}
             }
         }
     }
 
-    /// A new ticket.
-    pub fn ticket(&self) -> Ticket {
+    /// Allocates a ticket for a client request.
+    pub fn new_ticket(&self) -> Ticket {
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
         Ticket(ticket)
     }
 
-    /// Passes a step on to the task of a request, if it is still there.
-    pub fn step(&self, ticket: Ticket, step: Step) {
+    /// Sends an action to the task of a request, if that still runs.
+    pub fn send_action(&self, ticket: Ticket, action: RequestAction) {
         if let Some(client) = self.clients.borrow().get(&ticket) {
-            // A task that has just ended needs no step.
-            let _ = client.send(step);
+            // The task may have ended in the meantime.
+            let _ = client.send(action);
         }
     }
 }
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -1,4 +1,4 @@
-//! Tells what the process did and believed: a line and a count for each.
+//! Log lines and metrics of the events in the process.
 
 mod names;
 mod ownership;
@@ -7,15 +7,15 @@
 
 use crate::core::{OrderTask, StandbyState, StoreTask, ViewNotice};
 use crate::shell::attempt::ClientRequest;
+use crate::shell::log_rate::{LineKind, LogRateLimiter};
 use crate::shell::metrics::{
     AttemptLabels, Metrics, OrderLabels, OrderName, RefusalLabels, RequestLabels, RouteLabel,
     StoreLabels,
 };
-use crate::shell::rate::{LineKind, LineRate};
 use beamtray_catalog::{DirectoryChange, UpstreamId};
 use beamtray_dispatch::{
-    Admission, AssignmentNumber, AttemptOutcome, Conclusion, Ending, Fingerprints, Forward,
-    RefusalReason, UnknownCause,
+    AdmissionError, AssignmentNumber, AttemptOutcome, ConcludedRequest, Conclusion, Fingerprints,
+    Forward, RefusalReason, UnknownCause,
 };
 use beamtray_metastore::{StoreEra, StoreOutcome};
 use beamtray_sharding::{GrantReply, OrderKind, ShardKey};
@@ -25,14 +25,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Writes lines and counts.
+/// Writes log lines and updates metrics.
 pub(crate) struct Observer {
     pub log: Logger,
     pub metrics: Metrics,
-    rate: LineRate,
+    rate_limiter: LogRateLimiter,
 }
 
-/// The key and the assignment that a decision was made by.
+/// Log fields of the key and the assignment that a decision was based on.
 struct KeyFields {
     key: Option<ShardKey>,
     assignment: Option<AssignmentNumber>,
@@ -51,7 +51,8 @@
     }
 }
 
-/// What the request says, in short, where an upstream may have ended under it.
+/// Log fields of a request's fingerprints, for requests during which an upstream may have
+/// crashed.
 struct FingerprintFields(Option<Fingerprints>);
 
 impl slog::KV for FingerprintFields {
@@ -65,10 +66,10 @@
     }
 }
 
-/// How many lines of the same kind were left out before this one.
-struct LeftOut(u64);
+/// Log field with the number of lines of the same kind suppressed before this one.
+struct SuppressedLines(u64);
 
-impl slog::KV for LeftOut {
+impl slog::KV for SuppressedLines {
     fn serialize(&self, _: &Record, serializer: &mut dyn slog::Serializer) -> slog::Result {
         if self.0 > 0 {
             serializer.emit_u64("left_out", self.0)?;
@@ -82,37 +83,37 @@
         Self {
             log,
             metrics: Metrics::new(),
-            rate: LineRate::default(),
+            rate_limiter: LogRateLimiter::default(),
         }
     }
 
-    /// Whether a line of that kind may be written.
-    fn admit(&self, kind: LineKind) -> Option<LeftOut> {
-        let left_out = self.rate.admit(kind);
-        if left_out.is_none() {
-            self.metrics.left_out();
+    /// Whether the rate limit admits a line of this kind.
+    fn admit(&self, kind: LineKind) -> Option<SuppressedLines> {
+        let suppressed = self.rate_limiter.admit(kind);
+        if suppressed.is_none() {
+            self.metrics.count_suppressed_line();
         }
-        left_out.map(LeftOut)
+        suppressed.map(SuppressedLines)
     }
 
-    /// A belief changed.
-    pub fn notice(&self, notice: &ViewNotice) {
+    /// The node's view of the system changed.
+    pub fn view_changed(&self, notice: &ViewNotice) {
         let log = &self.log;
         match notice {
             ViewNotice::Configured { version, routes } => {
                 info!(log, "configuration_in_force"; "version" => version, "routes" => routes);
             }
             ViewNotice::Unreadable { key, cause } => {
-                if let Some(left_out) = self.admit(LineKind::Entry) {
-                    warn!(log, "value_unreadable"; "key" => key, "cause" => cause, left_out);
+                if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
+                    warn!(log, "value_unreadable"; "key" => key, "cause" => cause, suppressed);
                 }
             }
             ViewNotice::UnknownService { key, service } => {
-                if let Some(left_out) = self.admit(LineKind::Entry) {
-                    warn!(log, "service_unknown"; "key" => key, "service" => %service, left_out);
+                if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
+                    warn!(log, "service_unknown"; "key" => key, "service" => %service, suppressed);
                 }
             }
-            ViewNotice::Directory(change) => self.directory(change),
+            ViewNotice::Directory(change) => self.directory_changed(change),
             ViewNotice::Assigned {
                 service,
                 epoch,
@@ -124,28 +125,28 @@
                 let node = node.as_deref().unwrap_or("-");
                 info!(log, "granter_seen"; "node" => node, "epoch" => epoch);
             }
-            ViewNotice::Restarted { prefix } => {
+            ViewNotice::WatchRestarted { prefix } => {
                 info!(log, "watch_restarted"; "prefix" => prefix);
             }
-            ViewNotice::Follows { itself, as_relay } => {
-                info!(log, "follows"; "store" => itself, "as_relay" => as_relay);
+            ViewNotice::FollowsStore { directly, as_relay } => {
+                info!(log, "follows"; "store" => directly, "as_relay" => as_relay);
             }
-            ViewNotice::Followed {
+            ViewNotice::StoreReachable {
                 prefix,
-                sound: true,
+                reachable: true,
             } => {
                 info!(log, "store_regained"; "prefix" => prefix);
             }
-            ViewNotice::Followed {
+            ViewNotice::StoreReachable {
                 prefix,
-                sound: false,
+                reachable: false,
             } => {
                 warn!(log, "store_lost"; "prefix" => prefix);
             }
         }
     }
 
-    fn directory(&self, change: &DirectoryChange) {
+    fn directory_changed(&self, change: &DirectoryChange) {
         let log = &self.log;
         match change {
             DirectoryChange::Registered(id, state) => {
@@ -157,7 +158,7 @@
             DirectoryChange::Unconfirmed(id) => {
                 info!(log, "upstream_unconfirmed"; "upstream" => %id);
             }
-            DirectoryChange::Leaves(id) => {
+            DirectoryChange::Leaving(id) => {
                 info!(log, "upstream_leaves"; "upstream" => %id);
             }
             DirectoryChange::Evacuated(zone) => {
@@ -173,7 +174,7 @@
     }
 
     /// This node became the granter, or ceased to be.
-    pub fn granter(&self, epoch: Option<u64>) {
+    pub fn granter_changed(&self, epoch: Option<u64>) {
         match epoch {
             Some(epoch) => info!(self.log, "granter_here"; "epoch" => epoch),
             None => info!(self.log, "granter_ended"),
@@ -181,19 +182,19 @@
     }
 
     /// What this node does as a standby changed.
-    pub fn standby(&self, state: StandbyState) {
+    pub fn standby_changed(&self, state: StandbyState) {
         info!(self.log, "standby"; "state" => ?state);
     }
 
-    /// Another node did not give its copies.
+    /// Another node did not return its copies of views.
     pub fn peer_unanswered(&self, peer: SocketAddr, error: &str) {
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
-            info!(self.log, "peer_unanswered"; "peer" => %peer, "error" => error, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
+            info!(self.log, "peer_unanswered"; "peer" => %peer, "error" => error, suppressed);
         }
     }
 
     /// A call to the store ended.
-    pub fn store(&self, task: &StoreTask, outcome: &StoreOutcome) {
+    pub fn store_call_ended(&self, task: &StoreTask, outcome: &StoreOutcome) {
         let name = store_outcome(outcome);
         let labels = StoreLabels {
             task: store_task(task).to_owned(),
@@ -210,13 +211,13 @@
         if !failed {
             return;
         }
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
-            info!(self.log, "store_call"; "task" => ?task, "outcome" => name, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
+            info!(self.log, "store_call"; "task" => ?task, "outcome" => name, suppressed);
         }
     }
 
-    /// An order ended, that long after it was decided on.
-    pub fn order(&self, task: &OrderTask, reply: &GrantReply, took: Duration) {
+    /// An order ended, `took` after it was decided on.
+    pub fn order_ended(&self, task: &OrderTask, reply: &GrantReply, took: Duration) {
         let order = &task.order;
         let kind = match order.kind {
             OrderKind::Grant { .. } => OrderName::Grant,
@@ -237,16 +238,16 @@
                 "reply" => ?reply, "took_ms" => took_ms);
             return;
         }
-        if let Some(left_out) = self.admit(LineKind::Dependency) {
+        if let Some(suppressed) = self.admit(LineKind::Dependency) {
             info!(log, "order"; "kind" => ?kind, "service" => %task.service,
                 "holder" => %order.holder, "range" => %order.range, "token" => %order.token,
-                "reply" => ?reply, "took_ms" => took_ms, left_out);
+                "reply" => ?reply, "took_ms" => took_ms, suppressed);
         }
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&self, id: &str, forward: &Forward, left: Duration) {
-        let Some(left_out) = self.admit(LineKind::Step) else {
+    pub fn attempt_sent(&self, id: &str, forward: &Forward, left: Duration) {
+        let Some(suppressed) = self.admit(LineKind::RequestStep) else {
             return;
         };
         let fields = KeyFields {
@@ -257,11 +258,11 @@
             "service" => %forward.service, "upstream" => %forward.upstream,
             "attempt" => forward.attempt, "occupied" => forward.occupied,
             "waited_ms" => forward.waited.as_millis() as u64,
-            "left_ms" => left.as_millis() as u64, fields, left_out);
+            "left_ms" => left.as_millis() as u64, fields, suppressed);
     }
 
-    /// The store has begun another era: it came back from an older copy, unless it is the first
-    /// one that this process sees.
+    /// The store has a new era. Unless it is the first one seen by this process, the store has
+    /// been restored from an older copy.
     pub fn store_era(&self, before: Option<StoreEra>, era: StoreEra) {
         self.metrics.store_era(era);
         match before {
@@ -272,33 +273,33 @@
         }
     }
 
-    /// An answer of the store names an era that can't be read.
+    /// An answer of the store has an unreadable era.
     pub fn era_unreadable(&self, text: &str) {
         const LONGEST: usize = 40;
-        if let Some(left_out) = self.admit(LineKind::Entry) {
+        if let Some(suppressed) = self.admit(LineKind::StoreEntry) {
             let shown: String = text.chars().take(LONGEST).collect();
-            warn!(self.log, "store_era_unreadable"; "value" => shown, left_out);
+            warn!(self.log, "store_era_unreadable"; "value" => shown, suppressed);
         }
     }
 
-    /// An upstream's answer says something of itself that can't be read.
-    pub fn word_unreadable(&self, upstream: &UpstreamId, subject: &str) {
-        if let Some(left_out) = self.admit(LineKind::Word) {
+    /// A header of an upstream's response is unreadable.
+    pub fn header_unreadable(&self, upstream: &UpstreamId, subject: &str) {
+        if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             warn!(self.log, "word_unreadable"; "upstream" => %upstream, "subject" => subject,
-                left_out);
+                suppressed);
         }
     }
 
-    /// An upstream turned a request away and asked this node for rest.
-    pub fn rest_asked(&self, upstream: &UpstreamId, rest: Duration) {
-        if let Some(left_out) = self.admit(LineKind::Word) {
+    /// An upstream rejected a request and asked this node to send it nothing for a while.
+    pub fn backoff_requested(&self, upstream: &UpstreamId, rest: Duration) {
+        if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             info!(self.log, "rest_asked"; "upstream" => %upstream,
-                "rest_ms" => rest.as_millis() as u64, left_out);
+                "rest_ms" => rest.as_millis() as u64, suppressed);
         }
     }
 
     /// An attempt ended.
-    pub fn ended(
+    pub fn attempt_ended(
         &self,
         request: &ClientRequest,
         forward: &Forward,
@@ -313,27 +314,27 @@
         self.metrics.attempts.get_or_create(&labels).inc();
         let kind = match outcome {
             AttemptOutcome::Answered { .. } => {
-                self.metrics.answered(&forward.upstream.name.0, took);
-                LineKind::Step
+                self.metrics.observe_attempt(&forward.upstream.name.0, took);
+                LineKind::RequestStep
             }
             _ => LineKind::Failure,
         };
-        if let Some(left_out) = self.admit(kind) {
+        if let Some(suppressed) = self.admit(kind) {
             let is_broken_off = outcome == AttemptOutcome::Unknown(UnknownCause::BrokenOff);
             let fingerprints = is_broken_off.then_some(request.fingerprints);
             info!(self.log, "attempt_ended"; "request" => &request.id,
                 "upstream" => %forward.upstream, "attempt" => forward.attempt,
                 "outcome" => name, "took_ms" => took.as_millis() as u64,
-                FingerprintFields(fingerprints), left_out);
+                FingerprintFields(fingerprints), suppressed);
         }
     }
 
-    /// A request got an upstream's answer.
-    pub fn answered(&self, route: &str, took: Duration) {
-        self.finished(route, "answered", took);
+    /// A request was answered with an upstream's response.
+    pub fn request_answered(&self, route: &str, took: Duration) {
+        self.count_request(route, "answered", took);
     }
 
-    fn finished(&self, route: &str, outcome: &str, took: Duration) {
+    fn count_request(&self, route: &str, outcome: &str, took: Duration) {
         let labels = RequestLabels {
             route: route.to_owned(),
             outcome: outcome.to_owned(),
@@ -346,32 +347,37 @@
         histogram.observe(took.as_secs_f64());
     }
 
-    /// A request is not admitted.
-    pub fn denied(&self, id: &str, admission: Admission) {
+    /// A request was not admitted.
+    pub fn request_denied(&self, id: &str, admission: AdmissionError) {
         let labels = RequestLabels {
             route: String::new(),
             outcome: format!("denied {admission:?}"),
         };
         self.metrics.requests.get_or_create(&labels).inc();
-        if let Some(left_out) = self.admit(LineKind::Failure) {
-            info!(self.log, "denied"; "request" => id, "reason" => ?admission, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Failure) {
+            info!(self.log, "denied"; "request" => id, "reason" => ?admission, suppressed);
         }
     }
 
-    /// A request got its final answer without one of an upstream.
-    pub fn concluded(&self, id: &str, fingerprints: Fingerprints, ending: &Ending) {
+    /// A request was answered by the router itself.
+    pub fn request_concluded(
+        &self,
+        id: &str,
+        fingerprints: Fingerprints,
+        ending: &ConcludedRequest,
+    ) {
         let (outcome, reason, retry_after) = match ending.conclusion {
             Conclusion::Refused {
                 reason,
                 retry_after,
             } => {
-                self.refused(ending, reason);
+                self.observe_refusal_latency(ending, reason);
                 ("refused", format!("{reason:?}"), retry_after)
             }
             Conclusion::Unknown(cause) => ("unknown", format!("{cause:?}"), Duration::ZERO),
         };
-        self.finished(&ending.route, &format!("{outcome} {reason}"), ending.age);
-        let Some(left_out) = self.admit(LineKind::Failure) else {
+        self.count_request(&ending.route, &format!("{outcome} {reason}"), ending.age);
+        let Some(suppressed) = self.admit(LineKind::Failure) else {
             return;
         };
         let fields = KeyFields {
@@ -392,10 +398,10 @@
             "arrivals" => ending.arrivals, "age_ms" => ending.age.as_millis() as u64,
             "left_ms" => ending.left.as_millis() as u64,
             "retry_after_ms" => retry_after.as_millis() as u64, fields, fingerprints, limit,
-            left_out);
+            suppressed);
     }
 
-    fn refused(&self, ending: &Ending, reason: RefusalReason) {
+    fn observe_refusal_latency(&self, ending: &ConcludedRequest, reason: RefusalReason) {
         let labels = RefusalLabels {
             route: ending.route.clone(),
             reason: format!("{reason:?}"),
@@ -405,15 +411,15 @@
         histogram.observe(ending.age.as_secs_f64());
     }
 
-    /// A client left before its answer.
-    pub fn cancelled(&self, id: &str, under_way: bool) {
+    /// A client disconnected before its response.
+    pub fn client_disconnected(&self, id: &str, under_way: bool) {
         let labels = RequestLabels {
             route: String::new(),
             outcome: "client left".to_owned(),
         };
         self.metrics.requests.get_or_create(&labels).inc();
-        if let Some(left_out) = self.admit(LineKind::Failure) {
-            info!(self.log, "client_left"; "request" => id, "under_way" => under_way, left_out);
+        if let Some(suppressed) = self.admit(LineKind::Failure) {
+            info!(self.log, "client_left"; "request" => id, "under_way" => under_way, suppressed);
         }
     }
 }
--- a/crates/router/src/shell/observer/rate_limits.rs
+++ b/crates/router/src/shell/observer/rate_limits.rs
@@ -1,13 +1,13 @@
-//! Lines of the rates that upstreams name.
+//! Log lines of the rate limits that upstreams announce.
 
 use super::Observer;
-use crate::shell::rate::LineKind;
+use crate::shell::log_rate::LineKind;
 use beamtray_catalog::UpstreamId;
-use beamtray_dispatch::{LimitFacts, LimitNotice};
+use beamtray_dispatch::{RateLimitEvent, RateLimitState};
 use slog::{Record, info, warn};
 
-/// The rate that a request was refused for.
-pub(super) struct LimitFields(pub Option<LimitFacts>);
+/// Log fields of the rate limit for which a request was refused.
+pub(super) struct LimitFields(pub Option<RateLimitState>);
 
 impl slog::KV for LimitFields {
     fn serialize(&self, _: &Record, serializer: &mut dyn slog::Serializer) -> slog::Result {
@@ -15,7 +15,7 @@
             return Ok(());
         };
         serializer.emit_u32("limited_by", facts.upstream.0)?;
-        let rate = facts.rate.map_or(f64::INFINITY, |rate| rate.a_second());
+        let rate = facts.rate.map_or(f64::INFINITY, |rate| rate.per_second());
         serializer.emit_f64("a_second", rate)?;
         serializer.emit_u64("next_in_ms", facts.next_in.as_millis() as u64)?;
         serializer.emit_u64("room_in_ms", facts.room_in.as_millis() as u64)
@@ -23,31 +23,31 @@
 }
 
 impl Observer {
-    /// What is known of an upstream's rate changed. `short` is the upstream's name in what
-    /// nodes tell each other, and in the lines of requests that were refused for its rate.
-    pub fn rate_limit(&self, upstream: Option<&UpstreamId>, notice: LimitNotice) {
-        let Some(left_out) = self.admit(LineKind::Limit) else {
+    /// The known rate limit of an upstream changed. `short` is the hash that stands for the
+    /// upstream in messages between nodes and in the lines of requests refused for its limit.
+    pub fn rate_limit_changed(&self, upstream: Option<&UpstreamId>, notice: RateLimitEvent) {
+        let Some(suppressed) = self.admit(LineKind::RateLimit) else {
             return;
         };
         let log = &self.log;
         let short = notice.upstream().0;
         let name = upstream.map_or("-", |upstream| upstream.name.0.as_str());
         match notice {
-            LimitNotice::Limited { rate, is_own, .. } => {
-                info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.a_second(),
-                    "heard_from" => heard_from(is_own), left_out);
+            RateLimitEvent::Limited { rate, is_local, .. } => {
+                info!(log, "rate_limited"; "upstream" => name, "short" => short, "a_second" => rate.per_second(),
+                    "heard_from" => heard_from(is_local), suppressed);
             }
-            LimitNotice::Ended { is_own, .. } => {
+            RateLimitEvent::Ended { is_local, .. } => {
                 info!(log, "rate_limit_ended"; "upstream" => name, "short" => short,
-                    "heard_from" => heard_from(is_own), left_out);
+                    "heard_from" => heard_from(is_local), suppressed);
             }
-            LimitNotice::Unreadable { .. } => {
-                warn!(log, "rate_unreadable"; "upstream" => name, "short" => short, left_out);
+            RateLimitEvent::Unreadable { .. } => {
+                warn!(log, "rate_unreadable"; "upstream" => name, "short" => short, suppressed);
             }
         }
     }
 }
 
-fn heard_from(is_own: bool) -> &'static str {
-    if is_own { "answer" } else { "node" }
+fn heard_from(is_local: bool) -> &'static str {
+    if is_local { "answer" } else { "node" }
 }
--- a/crates/router/src/shell/reload.rs
+++ b/crates/router/src/shell/reload.rs
@@ -1,5 +1,4 @@
-//! Reads the settings again when the process is told to, or when the file has
-//! changed.
+//! Reloads the settings on SIGHUP or when their file has changed.
 
 use crate::core::Input;
 use crate::settings::NodeSettings;
@@ -10,40 +9,39 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::Signal;
 
-/// Between looks at whether the file has changed.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the file's modification time is checked.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the settings file for the life of the process.
-pub(crate) async fn follow(
+/// Watches the settings file for the lifetime of the process.
+pub(crate) async fn watch_settings(
     shared: Rc<Shared>,
     file: String,
     settings: NodeSettings,
     mut hangup: Signal,
 ) {
     let mut in_force = settings;
-    // The file may have changed since it was read.
-    let mut changed_at = None;
+    // The file may have changed since start-up, so the first check always reloads.
+    let mut last_modified = None;
     loop {
-        let told = tokio::select! {
+        let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(LOOK) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
-        let seen = modified(&file);
-        if !told && seen == changed_at {
+        let modified = modified_time(&file);
+        if !signalled && modified == last_modified {
             continue;
         }
-        changed_at = seen;
-        reload(&shared, &file, &mut in_force, told);
+        last_modified = modified;
+        reload(&shared, &file, &mut in_force, signalled);
     }
 }
 
-fn modified(file: &str) -> Option<SystemTime> {
+fn modified_time(file: &str) -> Option<SystemTime> {
     std::fs::metadata(Path::new(file)).ok()?.modified().ok()
 }
 
-/// Puts in force what can change in a running process. A file that is refused
-/// changes nothing.
-fn reload(shared: &Shared, file: &str, in_force: &mut NodeSettings, told: bool) {
+/// Applies the settings that can change in a running process. An invalid file changes nothing.
+fn reload(shared: &Shared, file: &str, in_force: &mut NodeSettings, signalled: bool) {
     let log = &shared.observer.log;
     let next = match NodeSettings::load(file) {
         Ok(next) => next,
@@ -52,14 +50,14 @@
             return;
         }
     };
-    let fixed = in_force.fixed_changes(&next).join(",");
-    let changed = next.changeable() != in_force.changeable();
-    if told || changed || !fixed.is_empty() {
+    let needs_restart = in_force.changes_needing_restart(&next).join(",");
+    let changed = next.reloadable() != in_force.reloadable();
+    if signalled || changed || !needs_restart.is_empty() {
         info!(log, "reload"; "outcome" => if changed { "changed" } else { "same" },
-            "needs_restart" => fixed);
+            "needs_restart" => needs_restart);
     }
     if changed {
-        in_force.adopt(&next);
+        in_force.apply_reloadable(&next);
         let config = Box::new(in_force.core_config(shared.run));
         shared.input(Input::Settings(config));
     }
--- a/crates/router/src/shell/small_server.rs
+++ b/crates/router/src/shell/single_endpoint.rs
@@ -1,6 +1,6 @@
-//! A server of one answer, for the platform and for whoever collects figures.
+//! HTTP server with a single endpoint, for health checks and metrics collection.
 
-use crate::shell::handle::AnswerBody;
+use crate::shell::handle::ResponseBody;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long a connection may rest.
-const REST: Duration = Duration::from_secs(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// How long a connection may stay idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Gives the same answer to every request, whatever it asks for.
+/// Answers every request with the response of `answer`, whatever its path.
 pub(crate) async fn serve<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn() -> A + Clone + 'static,
-    A: Future<Output = Response<AnswerBody>> + 'static,
+    A: Future<Output = Response<ResponseBody>> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
@@ -33,10 +33,10 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(REST)
+            .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service);
         tokio::task::spawn_local(async move {
-            // Whoever asked and left needs no answer.
+            // The client may have disconnected.
             let _ = connection.await;
         });
     }
--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -1,11 +1,11 @@
-//! The router's own records when another writer has touched them.
+//! Behaviour when another writer has modified the router's own records.
 
 use beamtray_adapter::Platform;
 use beamtray_catalog::{DirectoryPolicy, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
 use beamtray_emulator::{StoreEmulator, StoreReply};
 use beamtray_metastore::{Epoch, GranterRecord, Item, Revision, StoreEvent, StoreOutcome};
-use beamtray_router::core::{Input, NodeCore, NodeRecord, Output, OwnKeys, ViewName, Views};
+use beamtray_router::core::{Input, NodeCore, NodeRecord, Output, RouterKeys, ViewName, Views};
 use beamtray_routersim::{SimDialect, World, usual_settings};
 use beamtray_sharding::{
     AssignmentRecord, FencingToken, GrantOrder, OrderKind, Part, SliceRecord, SliceState,
@@ -17,14 +17,16 @@
 use std::time::Duration;
 
 const KEYED: &str = "keyed";
-/// Well within the hold of a grant.
+/// Less than the hold of a grant, in milliseconds.
 const WITHIN_HOLD: u64 = 1_500;
-/// Longer than any grant of the granter before may last.
+/// Longer than any grant of the previous granter may last.
 const AFTER_HOLD: u64 = 9_000;
-/// Less than a standby's word and the last hold that it may order.
-const WITHIN_WORD: u64 = 11_000;
-/// More than that.
-const AFTER_WORD: u64 = 18_000;
+/// Less than the time for which a standby may prolong holds, plus the last hold that it may
+/// order.
+const WITHIN_STANDBY_SPAN: u64 = 11_000;
+/// More than the time for which a standby may prolong holds, plus the last hold that it may
+/// order.
+const AFTER_STANDBY_SPAN: u64 = 18_000;
 
 fn at(millis: u64) -> Time {
     Time(millis * 1_000)
@@ -73,20 +75,20 @@
     };
     let service = ServiceName::from(KEYED);
     let head = borsh::to_vec(&record.head()).expect("in memory");
-    store.put(at(0), &OwnKeys::assignment_head(&service), head);
+    store.put(at(0), &RouterKeys::assignment_head(&service), head);
     for part in record.parts() {
-        let key = OwnKeys::assignment_part(&service, part.part);
+        let key = RouterKeys::assignment_part(&service, part.part);
         store.put(at(0), &key, borsh::to_vec(&part).expect("in memory"));
     }
     store.put(
         at(0),
-        OwnKeys::EPOCH,
+        RouterKeys::EPOCH,
         borsh::to_vec(&Epoch(1)).expect("in memory"),
     );
     store
 }
 
-/// Runs a node that becomes the granter; the orders it gives, none of which is answered.
+/// Runs a node that becomes the granter and returns its orders, none of which is answered.
 fn orders(store: &mut StoreEmulator, dialect: SimDialect, until: u64) -> Vec<GrantOrder> {
     let mut core = NodeCore::new(usual_settings(0).core_config(3), Rc::new(dialect));
     let mut orders = Vec::new();
@@ -112,18 +114,18 @@
     orders
 }
 
-/// Orders of a granter that takes over a record of which one part can't be read.
+/// Orders of a granter that takes over a record with one unreadable part.
 fn orders_with_unreadable(part: Part, until: u64) -> Vec<GrantOrder> {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
-    let key = OwnKeys::assignment_part(&KEYED.into(), part);
+    let key = RouterKeys::assignment_part(&KEYED.into(), part);
     store.put(at(0), &key, b"not a part".to_vec());
     orders(&mut store, dialect, until)
 }
 
 #[test]
-fn keys_of_an_unreadable_part_go_to_nobody_before_their_grants_have_run_out() {
-    let part = Part::numbered(3).expect("a part");
+fn keys_of_an_unreadable_part_are_granted_to_nobody_else_before_their_grants_expire() {
+    let part = Part::from_number(3).expect("a part");
     let orders = orders_with_unreadable(part, WITHIN_HOLD);
     let other = |order: &&GrantOrder| {
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
@@ -134,8 +136,8 @@
 }
 
 #[test]
-fn keys_of_an_unreadable_part_are_granted_once_their_grants_have_run_out() {
-    let part = Part::numbered(3).expect("a part");
+fn keys_of_an_unreadable_part_are_granted_once_their_grants_have_expired() {
+    let part = Part::from_number(3).expect("a part");
     let orders = orders_with_unreadable(part, AFTER_HOLD);
     let is_granted = |order: &GrantOrder| {
         matches!(order.kind, OrderKind::Grant { .. }) && order.range.overlaps(part.range())
@@ -143,16 +145,17 @@
     assert!(orders.iter().any(is_granted));
 }
 
-/// Guards against a wait for unknown grants where the store never went back: the first granter
-/// was lost before it had written its record whole, so nobody was granted what is missing.
+/// Guards against waiting for unknown grants where the store was never rolled back: the first
+/// granter was lost before it had written its record completely, so the missing part was never
+/// granted.
 #[test]
 fn keys_that_no_record_of_the_first_era_names_are_granted_at_once() {
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
     let service = KEYED.into();
-    store.delete(at(0), &OwnKeys::assignment_part(&service, part));
-    store.delete(at(0), &OwnKeys::assignment_head(&service));
+    store.delete(at(0), &RouterKeys::assignment_part(&service, part));
+    store.delete(at(0), &RouterKeys::assignment_head(&service));
     let orders = orders(&mut store, dialect, WITHIN_HOLD);
     let is_granted = |order: &GrantOrder| {
         matches!(order.kind, OrderKind::Grant { .. }) && order.range.overlaps(part.range())
@@ -160,15 +163,15 @@
     assert!(orders.iter().any(is_granted));
 }
 
-/// Whether keys of a holder that is no upstream any more, and does not answer, are granted
-/// to another before `until`.
-fn passes_keys_on(head: Option<&[u8]>, until: u64) -> bool {
+/// Whether keys of a holder that is no longer registered and does not answer are granted to
+/// another upstream before `until`.
+fn regrants_keys(head: Option<&[u8]>, until: u64) -> bool {
     let dialect = SimDialect::default();
     let mut store = store(&dialect);
     let entry = format!("{}one", dialect.keys().upstream_prefix);
     store.put(at(0), &entry, Vec::new());
     if let Some(value) = head {
-        let key = OwnKeys::assignment_head(&KEYED.into());
+        let key = RouterKeys::assignment_head(&KEYED.into());
         store.put(at(0), &key, value.to_vec());
     }
     let orders = orders(&mut store, dialect, until);
@@ -178,29 +181,29 @@
     orders.iter().any(is_other)
 }
 
-/// The head names the standbys, which may prolong the holds for 11 s after their last word.
+/// The head names the standbys, which may prolong the holds for 11 s after their last contact.
 #[test]
 fn without_a_readable_head_a_silent_holder_keeps_its_keys_while_a_standby_may_prolong_them() {
-    assert!(passes_keys_on(None, WITHIN_WORD));
-    assert!(!passes_keys_on(Some(b"no head"), WITHIN_WORD));
-    assert!(passes_keys_on(Some(b"no head"), AFTER_WORD));
+    assert!(regrants_keys(None, WITHIN_STANDBY_SPAN));
+    assert!(!regrants_keys(Some(b"no head"), WITHIN_STANDBY_SPAN));
+    assert!(regrants_keys(Some(b"no head"), AFTER_STANDBY_SPAN));
 }
 
-/// Tokens count upwards with the epoch: one that fell would let two upstreams hold a key.
+/// Tokens must rise with the epoch: a lower one would let two upstreams hold the same key.
 #[test]
 fn tokens_rise_although_the_epoch_is_unreadable() {
     for value in [b"".to_vec(), b"seven".to_vec(), vec![0xff; 8]] {
         let dialect = SimDialect::default();
         let mut store = store(&dialect);
         for _ in 0..50 {
-            // Writes of earlier terms.
+            // Writes of earlier epochs.
             store.put(
                 at(0),
-                OwnKeys::EPOCH,
+                RouterKeys::EPOCH,
                 borsh::to_vec(&Epoch(9)).expect("in memory"),
             );
         }
-        store.put(at(0), OwnKeys::EPOCH, value.clone());
+        store.put(at(0), RouterKeys::EPOCH, value.clone());
         let orders = orders(&mut store, dialect, WITHIN_HOLD);
         let highest = FencingToken::new(Epoch(9), 1 << 20);
         let fresh = orders.iter().filter(|order| order.token != FencingToken(5));
@@ -214,8 +217,8 @@
 
 fn views() -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     let mut views = Views::new(Rc::new(Platform), policy, Duration::from_secs(8));
     for view in ViewName::ALL {
@@ -253,24 +256,24 @@
     }
 }
 
-/// Keys of the router's own records, each with the view that takes it.
+/// Keys of the router's own records, each with the view that contains it.
 fn own_keys() -> Vec<(ViewName, String)> {
     let service = ServiceName::from(KEYED);
-    let part = Part::numbered(3).expect("a part");
+    let part = Part::from_number(3).expect("a part");
     vec![
-        (ViewName::Members, OwnKeys::node("other")),
-        (ViewName::Members, OwnKeys::GRANTER.to_owned()),
-        (ViewName::State, OwnKeys::assignment_head(&service)),
-        (ViewName::State, OwnKeys::assignment_part(&service, part)),
-        (ViewName::State, OwnKeys::SPEEDS.to_owned()),
-        (ViewName::State, OwnKeys::SUSPICIONS.to_owned()),
-        (ViewName::State, format!("{}foreign", OwnKeys::STATE)),
-        (ViewName::Members, format!("{}foreign", OwnKeys::MEMBERS)),
+        (ViewName::Members, RouterKeys::node("other")),
+        (ViewName::Members, RouterKeys::GRANTER.to_owned()),
+        (ViewName::State, RouterKeys::assignment_head(&service)),
+        (ViewName::State, RouterKeys::assignment_part(&service, part)),
+        (ViewName::State, RouterKeys::SPEEDS.to_owned()),
+        (ViewName::State, RouterKeys::SUSPICIONS.to_owned()),
+        (ViewName::State, format!("{}foreign", RouterKeys::STATE)),
+        (ViewName::Members, format!("{}foreign", RouterKeys::MEMBERS)),
     ]
 }
 
 #[test]
-fn an_unreadable_record_is_told_of_and_counted() {
+fn an_unreadable_record_is_counted() {
     for (view, key) in own_keys().into_iter().take(6) {
         let mut views = views();
         write(&mut views, view, &key, b"?".to_vec(), 2);
@@ -279,28 +282,34 @@
 }
 
 #[test]
-fn an_unreadable_node_or_granter_is_none() {
+fn an_unreadable_node_or_granter_record_is_dropped() {
     let mut views = views();
     let record = node("other");
     let granter = GranterRecord {
         node: "other".to_owned(),
         run: 1,
         epoch: Epoch(4),
-        peers: record.peers,
+        peer_address: record.peers,
     };
-    let [key, other] = [OwnKeys::node("other"), OwnKeys::node("third")];
+    let [key, other] = [RouterKeys::node("other"), RouterKeys::node("third")];
     let encoded = borsh::to_vec(&record).expect("in memory");
     write(&mut views, ViewName::Members, &key, encoded, 2);
     let encoded = borsh::to_vec(&node("third")).expect("in memory");
     write(&mut views, ViewName::Members, &other, encoded, 3);
     let encoded = borsh::to_vec(&granter).expect("in memory");
-    write(&mut views, ViewName::Members, OwnKeys::GRANTER, encoded, 4);
+    write(
+        &mut views,
+        ViewName::Members,
+        RouterKeys::GRANTER,
+        encoded,
+        4,
+    );
     assert!(views.granter.is_some());
     write(&mut views, ViewName::Members, &key, b"?".to_vec(), 5);
     write(
         &mut views,
         ViewName::Members,
-        OwnKeys::GRANTER,
+        RouterKeys::GRANTER,
         b"?".to_vec(),
         6,
     );
@@ -310,7 +319,7 @@
 }
 
 #[test]
-fn speeds_that_are_no_numbers_are_not_taken() {
+fn invalid_speeds_are_rejected() {
     let record = |slowness: f32| beamtray_dispatch::SpeedRecord {
         upstreams: vec![beamtray_dispatch::UpstreamSpeed {
             upstream: beamtray_dispatch::UpstreamHash(1),
@@ -319,27 +328,27 @@
         routes: Vec::new(),
         services: Vec::new(),
     };
-    for (slowness, is_taken) in [
+    for (slowness, is_accepted) in [
         (1.5, true),
         (f32::NAN, false),
         (f32::INFINITY, false),
         (-1.0, false),
     ] {
         let mut views = views();
-        // The record's own encoder refuses what is no number.
+        // The record's encoder rejects NaN.
         let Ok(value) = borsh::to_vec(&record(slowness)) else {
             continue;
         };
-        write(&mut views, ViewName::State, OwnKeys::SPEEDS, value, 2);
-        assert_eq!(views.speeds.is_some(), is_taken, "{slowness}");
+        write(&mut views, ViewName::State, RouterKeys::SPEEDS, value, 2);
+        assert_eq!(views.speeds.is_some(), is_accepted, "{slowness}");
     }
 }
 
 quickcheck! {
-    /// Any bytes below any key, and a record of a node beside them.
-    fn any_record_leaves_the_others_alone(values: Vec<Vec<u8>>) -> bool {
+    /// Any bytes under any key leave the record of another node intact.
+    fn any_bytes_leave_other_records_intact(values: Vec<Vec<u8>>) -> bool {
         let mut views = views();
-        let key = OwnKeys::node("third");
+        let key = RouterKeys::node("third");
         let encoded = borsh::to_vec(&node("third")).expect("in memory");
         write(&mut views, ViewName::Members, &key, encoded, 2);
         let mut revision = 2;
@@ -352,8 +361,8 @@
         views.nodes.contains_key("third")
     }
 
-    /// A record that was cut, or in which one byte was changed.
-    fn a_damaged_assignment_ends_nothing(cut: usize, index: usize, mask: u8) -> bool {
+    /// A record that is truncated or has one changed byte.
+    fn a_damaged_assignment_leaves_consistent_state(cut: usize, index: usize, mask: u8) -> bool {
         let slices = Part::all().map(|part| SliceRecord {
             range: part.range(),
             state: SliceState::Held {
@@ -376,11 +385,11 @@
             let length = value.len();
             value[index % length] ^= mask;
             value.truncate(length - cut % 3);
-            let key = OwnKeys::assignment_part(&service, part.part);
+            let key = RouterKeys::assignment_part(&service, part.part);
             write(&mut views, ViewName::State, &key, value, 2 + number as u64);
         }
-        // Whatever was taken can be reckoned with.
+        // Whatever was accepted is consistent.
         let known = views.assignments.get(&service);
-        known.is_none_or(|known| known.held_share() <= 1.0 && known.whole().is_some())
+        known.is_none_or(|known| known.held_share() <= 1.0 && known.to_record().is_some())
     }
 }
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -1,10 +1,10 @@
-//! One node's core by itself.
+//! Behaviour of a single node's core.
 
 use beamtray_catalog::{UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
 use beamtray_metastore::{Item, Revision};
 use beamtray_router::core::{
-    Datagram, Input, NodeCore, NodeRecord, Output, OwnKeys, Snapshot, ViewHeads, ViewName,
+    Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, Snapshot, ViewName,
 };
 use beamtray_routersim::{SimDialect, usual_settings};
 use beamtray_types::Time;
@@ -29,22 +29,22 @@
     NodeCore::new(config, dialect)
 }
 
-/// Whom the node tells of the newest changes it has seen.
-fn told(outputs: Vec<Output>) -> Vec<SocketAddr> {
+/// Recipients of the node's reports of the latest changes it has seen.
+fn heads_recipients(outputs: Vec<Output>) -> Vec<SocketAddr> {
     outputs
         .into_iter()
         .filter_map(|output| match output {
-            Output::Send(Datagram::Heads(_), addresses) => Some(addresses),
+            Output::Send(Datagram::LatestRevisions(_), addresses) => Some(addresses),
             _ => None,
         })
         .flatten()
         .collect()
 }
 
-/// Found on a day: with 70 nodes each had to send a request to each of 15
-/// upstreams whose addresses had passed to others.
+/// Guards against repeated reports of a replaced upstream: in a system of 70 nodes, each node
+/// had to send a request to each of 15 upstreams whose addresses had passed to others.
 #[test]
-fn the_proof_that_an_upstream_is_gone_is_told_once() {
+fn proof_that_an_upstream_is_gone_is_sent_once() {
     let dialect = Rc::new(SimDialect::default());
     let mut core = core_with(dialect.clone());
     let upstream = UpstreamId::from("u-1".to_owned());
@@ -68,14 +68,18 @@
         at: Revision::new(3),
         items: vec![item],
         removals: Vec::new(),
-        is_whole: true,
+        is_full: true,
     };
     core.handle(at(10), Input::Snapshots(address(2), vec![snapshot]));
     let heard = Datagram::Answers(Vec::new());
     core.handle(at(20), Input::Datagram(address(2), heard));
     let gone = |outputs: Vec<Output>| {
-        let told = |output: &Output| matches!(output, Output::Send(Datagram::Gone(_), _));
-        outputs.iter().filter(|output| told(output)).count()
+        let is_gone_report =
+            |output: &Output| matches!(output, Output::Send(Datagram::UpstreamGone(_), _));
+        outputs
+            .iter()
+            .filter(|output| is_gone_report(output))
+            .count()
     };
     let replaced = || Input::Replaced {
         upstream: upstream.clone(),
@@ -86,23 +90,27 @@
     assert!(views.directory.get(&upstream).is_none());
 }
 
-/// Found by an incident: half of the nodes lost the store, so their entries
-/// lapsed and the granter told them of no further assignment.
+/// Guards against an incident in which half of the nodes lost the store, so that their entries
+/// expired and the granter sent them no further assignments.
 #[test]
-fn a_node_without_an_entry_is_told_as_long_as_it_is_heard() {
+fn a_node_without_an_entry_gets_reports_while_it_sends_its_own() {
     let mut core = core();
-    assert!(told(core.handle(at(10), Input::Tick)).is_empty());
+    assert!(heads_recipients(core.handle(at(10), Input::Tick)).is_empty());
     let latest = [Revision::new(0); ViewName::ALL.len()];
-    let heads = Datagram::Heads(ViewHeads {
+    let heads = Datagram::LatestRevisions(LatestRevisions {
         latest,
         contact: None,
     });
     core.handle(at(300), Input::Datagram(address(2), heads));
-    assert_eq!(told(core.handle(at(310), Input::Tick)), [address(2)]);
-    assert!(told(core.handle(at(4_000), Input::Tick)).is_empty());
+    assert_eq!(
+        heads_recipients(core.handle(at(310), Input::Tick)),
+        [address(2)]
+    );
+    assert!(heads_recipients(core.handle(at(4_000), Input::Tick)).is_empty());
 }
 
-/// A copy of the nodes: this one, and so many others of its zone, the ablest last.
+/// A copy of the members view with `count` other nodes of this zone, in order of rising
+/// capacity.
 fn members(count: u16) -> Snapshot {
     let own = usual_settings(0).core_config(3).control.record;
     let others = (1..=count).map(|index| NodeRecord {
@@ -113,7 +121,7 @@
         ..own.clone()
     });
     let item = |record: NodeRecord| Item {
-        key: OwnKeys::node(&record.name),
+        key: RouterKeys::node(&record.name),
         value: borsh::to_vec(&record).expect("a record in memory"),
         revision: Revision::new(4),
     };
@@ -122,31 +130,31 @@
         at: Revision::new(4),
         items: others.map(item).collect(),
         removals: Vec::new(),
-        is_whole: true,
+        is_full: true,
     }
 }
 
-/// Whom the node asks for copies.
-fn asked(outputs: Vec<Output>) -> Vec<SocketAddr> {
-    let asked = outputs.into_iter().filter_map(|output| match output {
-        Output::Ask(address, ..) => Some(address),
+/// Nodes from which the node requests copies of views.
+fn snapshot_sources(outputs: Vec<Output>) -> Vec<SocketAddr> {
+    let addresses = outputs.into_iter().filter_map(|output| match output {
+        Output::FetchSnapshots(address, ..) => Some(address),
         _ => None,
     });
-    asked.collect()
+    addresses.collect()
 }
 
-/// Found on a day at 78 machines: after all had lost power each asked the first of the
-/// seeds, and had no configuration for a third of a second.
+/// Guards against an overload of the first seed: after 78 machines had lost power, every node
+/// requested its copies there and had no configuration for a third of a second.
 #[test]
 fn a_node_that_has_just_started_asks_its_own_zones_relays() {
     let mut core = core();
-    assert_eq!(asked(core.handle(at(0), Input::Tick)), []);
-    assert_eq!(asked(core.handle(at(10), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(0), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(10), Input::Tick)), []);
     let nodes = Input::Snapshots(address(800), vec![members(30)]);
-    let first = asked(core.handle(at(18), nodes));
+    let first = snapshot_sources(core.handle(at(18), nodes));
     assert!(!first.is_empty());
     assert!(first.iter().all(|one| *one == address(30)), "{first:?}");
-    let next = asked(core.handle(at(19), Input::NotAnswered(address(30))));
+    let next = snapshot_sources(core.handle(at(19), Input::SnapshotsUnavailable(address(30))));
     assert!(next.contains(&address(29)), "{next:?}");
 }
 
@@ -154,8 +162,8 @@
 fn a_node_that_does_not_reach_the_store_asks_the_seeds() {
     let mut core = core();
     core.handle(at(0), Input::Tick);
-    assert_eq!(asked(core.handle(at(490), Input::Tick)), []);
+    assert_eq!(snapshot_sources(core.handle(at(490), Input::Tick)), []);
     let seeds = &usual_settings(0).seeds;
-    let first = asked(core.handle(at(510), Input::Tick));
+    let first = snapshot_sources(core.handle(at(510), Input::Tick));
     assert!(!first.is_empty() && first.iter().all(|one| seeds.contains(one)));
 }
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -1,9 +1,9 @@
-//! What a node does when an upstream starts again under its name.
+//! Behaviour when an upstream restarts under the same name.
 
-use beamtray_catalog::{Birth, UpstreamId, UpstreamRecord, UpstreamState};
+use beamtray_catalog::{StartTimestamp, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_dialect::Dialect;
 use beamtray_dispatch::{
-    AttemptOutcome, Fingerprint, Fingerprints, QuarantineNotice, RequestHead, Ticket, UnknownCause,
+    AttemptOutcome, Fingerprint, Fingerprints, QuarantineEvent, RequestHead, Ticket, UnknownCause,
     UpstreamHash,
 };
 use beamtray_metastore::{Item, Revision};
@@ -25,7 +25,7 @@
 }
 
 fn born(birth: u64) -> UpstreamId {
-    UpstreamId::born_at("u-1", Birth(birth))
+    UpstreamId::with_start("u-1", StartTimestamp(birth))
 }
 
 struct Node {
@@ -35,7 +35,7 @@
 }
 
 impl Node {
-    /// A node that knows a configuration and the first incarnation.
+    /// A node with a configuration and the first incarnation of the upstream.
     fn new() -> Self {
         let dialect = Rc::new(SimDialect::default());
         let config = usual_settings(0).core_config(3);
@@ -48,7 +48,7 @@
         let value = node.dialect.encode_configuration(configuration);
         let key = node.dialect.keys().configuration;
         node.adopt(0, ViewName::Operator, key.to_owned(), value);
-        node.registers(1, born(1));
+        node.register(1, born(1));
         node
     }
 
@@ -64,13 +64,13 @@
                 revision,
             }],
             removals: Vec::new(),
-            is_whole: true,
+            is_full: true,
         };
         let snapshots = Input::Snapshots(address(2), vec![snapshot]);
         self.core.handle(at(millis), snapshots)
     }
 
-    fn registers(&mut self, millis: u64, id: UpstreamId) -> Vec<Output> {
+    fn register(&mut self, millis: u64, id: UpstreamId) -> Vec<Output> {
         let key = format!("{}{}", self.dialect.keys().upstream_prefix, id.name);
         let value = self.dialect.encode_upstream(UpstreamRecord {
             id,
@@ -84,14 +84,14 @@
         self.adopt(millis, ViewName::Upstreams, key, value)
     }
 
-    /// Sends a request that may not be repeated; to whom.
+    /// Sends a request that must not be repeated and returns the chosen upstream.
     fn send(&mut self, millis: u64) -> Option<UpstreamId> {
         let route = &World::usual_configuration().routes[1];
         let head = RequestHead {
             id: "id".to_owned(),
             host: route.host.clone(),
             path: format!("{}1", route.path_prefix),
-            patience: Some(Duration::from_secs(1)),
+            client_timeout: Some(Duration::from_secs(1)),
             key: None,
             fingerprints: Fingerprints {
                 content: SUSPECT,
@@ -108,11 +108,11 @@
         })
     }
 
-    fn breaks_off(&mut self, millis: u64, ticket: u64) {
+    fn break_off(&mut self, millis: u64, ticket: u64) {
         let ticket = Ticket(ticket);
         let outcome = AttemptOutcome::Unknown(UnknownCause::BrokenOff);
         let rate = None;
-        let ended = Input::Ended {
+        let ended = Input::AttemptEnded {
             ticket,
             outcome,
             rate,
@@ -121,10 +121,10 @@
     }
 }
 
-/// Upstreams under whose ends the request is suspected by these outputs.
+/// Upstreams for whose end the request is suspected in these outputs.
 fn suspected(outputs: &[Output]) -> Vec<UpstreamHash> {
     let suspected = outputs.iter().filter_map(|output| match output {
-        Output::Quarantine(QuarantineNotice::Suspected {
+        Output::Quarantine(QuarantineEvent::Suspected {
             fingerprint,
             upstream,
             ..
@@ -135,47 +135,47 @@
 }
 
 #[test]
-fn requests_go_to_the_restart_at_once() {
+fn requests_go_to_the_new_incarnation_at_once() {
     let mut node = Node::new();
     assert_eq!(node.send(10), Some(born(1)));
-    node.registers(20, born(2));
+    node.register(20, born(2));
     assert_eq!(node.send(21), Some(born(2)));
 }
 
 #[test]
-fn a_restart_proves_the_end_of_the_one_before() {
+fn a_restart_proves_the_end_of_the_previous_incarnation() {
     let mut node = Node::new();
     node.send(10);
-    node.breaks_off(30, 10);
-    let outputs = node.registers(2_000, born(2));
+    node.break_off(30, 10);
+    let outputs = node.register(2_000, born(2));
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
-    let again = node.registers(2_010, born(2));
+    let again = node.register(2_010, born(2));
     assert_eq!(suspected(&again), []);
 }
 
-/// A restart may listen before it is registered: that something answers at the address
-/// does not show that it is the one before.
+/// A restarted upstream may listen before it is registered, so an answering probe does not
+/// show that the previous incarnation still runs.
 #[test]
-fn an_end_is_proved_also_where_the_restart_listens_already() {
+fn a_restart_proves_the_end_even_if_it_already_listens() {
     let mut node = Node::new();
     node.send(10);
-    node.breaks_off(30, 10);
+    node.break_off(30, 10);
     let listens = Input::Probed {
         upstream: born(1),
         liveness: Liveness::Listens,
     };
     node.core.handle(at(60), listens);
-    let outputs = node.registers(400, born(2));
+    let outputs = node.register(400, born(2));
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
 }
 
-/// Another node's word of the end of the one before comes after the restart.
+/// Another node's report that the previous incarnation ended may arrive after the restart.
 #[test]
-fn late_word_of_the_one_before_does_not_touch_the_restart() {
+fn a_late_report_on_the_previous_incarnation_does_not_affect_the_new_one() {
     let mut node = Node::new();
-    node.registers(20, born(2));
+    node.register(20, born(2));
     let upstream = born(1);
     node.core.handle(at(30), Input::Replaced { upstream });
-    node.registers(40, born(1));
+    node.register(40, born(1));
     assert_eq!(node.send(50), Some(born(2)));
 }
--- a/crates/router/tests/short_lived_entries.rs
+++ b/crates/router/tests/short_lived_entries.rs
@@ -1,12 +1,10 @@
-//! Entries that are written and removed between two looks at the store.
+//! Entries that are written and removed between two answers of the store.
 //!
-//! Seen: two of 11 nodes, which followed the store for their zones, sent 42 and 9 requests to
-//! an upstream after its entry was gone, the last 5.6 s after, where 2 s are allowed. How: the
-//! upstream wrote its entry once more and removed it, and both came with one answer of the
-//! store. Cause: a node took removals before all else, so the write came last and stood, for
-//! as long as nothing else told of the upstream. Proof: both nodes' lines name the upstream
-//! as removed and then, at the same moment, as ready; the third one, whose watch told of the
-//! two one after the other, does not.
+//! Guards against requests to an upstream whose entry is gone. The upstream rewrote its entry
+//! and removed it, and both events came in one answer of the store. A node applied removals
+//! first, so the write was applied last and the upstream stayed known until something else
+//! removed it: two of 11 nodes, which followed the store for their zones, sent 42 and 9
+//! requests to it, the last 5.6 s after the removal, where 2 s are allowed.
 
 use beamtray_catalog::{DirectoryPolicy, UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_metastore::{Item, Revision, StoreEvent, StoreOutcome};
@@ -20,11 +18,11 @@
     Time(millis * 1_000)
 }
 
-/// Has read a view that is empty at revision 10, and watches it.
+/// A node's views after reading the given view, empty at revision 10, and starting a watch.
 fn watching(dialect: &SimDialect, view: ViewName) -> Views {
     let policy = DirectoryPolicy {
-        distrust: Duration::from_millis(500),
-        patience: Duration::from_millis(1_600),
+        outage_grace: Duration::from_millis(500),
+        reregistration_timeout: Duration::from_millis(1_600),
     };
     let dialect = Rc::new(dialect.clone());
     let mut views = Views::new(dialect, policy, Duration::from_secs(8));
@@ -57,7 +55,7 @@
     }
 }
 
-fn tell(views: &mut Views, millis: u64, view: ViewName, events: Vec<StoreEvent>, revision: u64) {
+fn deliver(views: &mut Views, millis: u64, view: ViewName, events: Vec<StoreEvent>, revision: u64) {
     let outcome = StoreOutcome::Events {
         events,
         at: Revision::new(revision),
@@ -80,18 +78,18 @@
 
 const KEY: &str = "upstreams/u1";
 
-/// Whether the upstream may be sent requests, or its entry may be missing by mistake.
+/// Whether the upstream is known and its entry has not been missing since.
 fn is_confirmed(views: &Views) -> bool {
     let known = views.directory.get(&UpstreamId::from("u1".to_owned()));
     known.is_some_and(|known| known.unconfirmed_since.is_none())
 }
 
 #[test]
-fn an_upstream_that_writes_and_removes_its_entry_is_not_there() {
+fn an_upstream_that_writes_and_removes_its_entry_is_unconfirmed() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
-    tell(
+    deliver(
         &mut views,
         100,
         ViewName::Upstreams,
@@ -100,16 +98,16 @@
     );
     assert!(is_confirmed(&views));
     let events = vec![put(KEY, &value, 12), removed(KEY, 13)];
-    tell(&mut views, 200, ViewName::Upstreams, events, 13);
+    deliver(&mut views, 200, ViewName::Upstreams, events, 13);
     assert!(!is_confirmed(&views));
 }
 
 #[test]
-fn one_that_removes_its_entry_and_writes_it_again_is() {
+fn an_upstream_that_removes_its_entry_and_writes_it_again_is_confirmed() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Upstreams);
     let value = dialect.encode_upstream(record());
-    tell(
+    deliver(
         &mut views,
         100,
         ViewName::Upstreams,
@@ -117,17 +115,17 @@
         11,
     );
     let events = vec![removed(KEY, 12), put(KEY, &value, 13)];
-    tell(&mut views, 200, ViewName::Upstreams, events, 13);
+    deliver(&mut views, 200, ViewName::Upstreams, events, 13);
     assert!(is_confirmed(&views));
 }
 
 #[test]
-fn an_evacuation_that_is_taken_back_at_once_is_over() {
+fn an_evacuation_that_is_cancelled_at_once_is_over() {
     let dialect = SimDialect::default();
     let mut views = watching(&dialect, ViewName::Operator);
     let key = "operator/evacuation/a";
     let events = vec![put(key, &[], 11), removed(key, 12)];
-    tell(&mut views, 100, ViewName::Operator, events, 12);
+    deliver(&mut views, 100, ViewName::Operator, events, 12);
     views.poll(at(150), ViewName::Upstreams);
     let page = StoreOutcome::Page {
         items: vec![Item {
--- a/crates/router/tests/takeover.rs
+++ b/crates/router/tests/takeover.rs
@@ -1,11 +1,11 @@
-//! What a new granter tells of the assignments that it took over.
+//! What a new granter reports of the assignments that it took over.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_dialect::Dialect;
 use beamtray_emulator::{StoreEmulator, StoreReply};
 use beamtray_metastore::Epoch;
 use beamtray_router::core::{
-    Input, NodeCore, Output, OwnKeys, StoreTask, ViewName, ViewRequest, WantedView,
+    Input, NodeCore, Output, RouterKeys, StoreTask, ViewName, ViewRequest, WantedView,
 };
 use beamtray_routersim::{SimDialect, World, usual_settings};
 use beamtray_sharding::{AssignmentRecord, FencingToken, Part, SliceRecord, SliceState};
@@ -40,14 +40,15 @@
         slices: slices.collect(),
     };
     let head = borsh::to_vec(&record.head()).expect("in memory");
-    store.put(at(0), &OwnKeys::assignment_head(service), head);
+    store.put(at(0), &RouterKeys::assignment_head(service), head);
     for part in record.parts().into_iter().rev() {
-        let key = OwnKeys::assignment_part(service, part.part);
+        let key = RouterKeys::assignment_part(service, part.part);
         store.put(at(0), &key, borsh::to_vec(&part).expect("in memory"));
     }
 }
 
-/// Runs a node for 1.5 s, whose calls for those tasks get no answer; the orders it gave.
+/// Runs a node for 1.5 s, leaving its calls for the tasks in `silent` unanswered, and counts
+/// its orders.
 fn run(core: &mut NodeCore, mut store: StoreEmulator, silent: &[StoreTask]) -> usize {
     let is_silent = |task: &StoreTask| match task {
         StoreTask::View(view, _) => silent.contains(&StoreTask::View(*view, 0)),
@@ -76,11 +77,11 @@
     orders
 }
 
-/// A new granter may not have read the view of the assignments yet. It took the parts that
-/// it read for its term as if each were the newest change, so that it dropped those that
-/// were older than one before, and told all nodes that its copy was whole.
+/// Guards against an incomplete copy at a new granter that has not read the view of the
+/// assignments yet. It recorded each part that it read for its term as the newest change,
+/// dropped those that were older than one before, and reported its copy as complete.
 #[test]
-fn a_granter_that_knew_no_assignment_tells_all_that_it_took_over() {
+fn a_granter_that_had_read_no_assignment_sends_all_parts_that_it_took_over() {
     let dialect = Rc::new(SimDialect::default());
     let store = store(&dialect, &SliceState::Free);
     let mut core = NodeCore::new(usual_settings(0).core_config(3), dialect);
@@ -97,17 +98,17 @@
     let answer = core.answer(&ViewRequest {
         wanted: vec![wanted],
     });
-    let head = OwnKeys::assignment_head(&"keyed".into());
+    let head = RouterKeys::assignment_head(&"keyed".into());
     let items = answer.iter().flat_map(|snapshot| &snapshot.items);
     let parts = items.filter(|item| item.key != head);
     assert_eq!(parts.count(), Part::all().count());
 }
 
-/// Found at 295 machines after all had lost power: the new granter had its place 0.3 s
-/// before it had read the registrations. To it all holders had left, and it took all keys
-/// back, three quarters of which had no holder for the rest of the day.
+/// Guards against revoking all keys after a restart. After 295 machines had lost power, the
+/// new granter took its role 0.3 s before it had read the registrations. It assumed that all
+/// holders had left and revoked all keys, three quarters of which had no holder from then on.
 #[test]
-fn a_granter_that_knows_no_upstream_yet_takes_nothing_back() {
+fn a_granter_that_has_not_read_the_upstreams_revokes_nothing() {
     let dialect = Rc::new(SimDialect::default());
     let held = SliceState::Held {
         holder: UpstreamId::from("one".to_owned()),
