--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -5,7 +5,7 @@
 use crate::check::Sender;
 use crate::check::{COLD_OVERAGE, COLD_SLACK, DRAIN_TIME, EVACUATION_TIME};
 use crate::guard::Guard;
-use beamtray_dispatch::{Admission, Conclusion, RefusalReason};
+use beamtray_dispatch::{AdmissionError, Conclusion, RefusalReason};
 use beamtray_router::core::{
     CoreConfig, Datagram, GRANT_TIMEOUT, Input, NodeCore, OrderTask, Output,
 };
@@ -112,12 +112,12 @@
 /// The core's configuration, with a protection switched off or none.
 pub(crate) fn core_config(node: usize, run: Run, off: Option<Guard>) -> CoreConfig {
     let mut config = settings(node).core_config(run);
-    config.dispatch.keeps_named_rates = off != Some(Guard::NamedRates);
-    config.dispatch.keeps_rests = off != Some(Guard::Rests);
-    config.hears_leaving = off != Some(Guard::LeavingWords);
-    config.dispatch.proves_before_repeat = off != Some(Guard::ProofBeforeRepeat);
-    config.tells_suspicions = off != Some(Guard::SuspicionsTold);
-    config.control.keeps_suspicions = off != Some(Guard::SuspicionsKept);
+    config.dispatch.honors_rate_limits = off != Some(Guard::NamedRates);
+    config.dispatch.honors_rests = off != Some(Guard::Rests);
+    config.accept_leaving_notices = off != Some(Guard::LeavingWords);
+    config.dispatch.requires_proof_before_retry = off != Some(Guard::ProofBeforeRepeat);
+    config.share_suspicions = off != Some(Guard::SuspicionsTold);
+    config.control.persist_suspicions = off != Some(Guard::SuspicionsKept);
     config.control.grants.guards = GranterGuards {
         records_first: off != Some(Guard::RecordFirst),
         waits_for_lapse: off != Some(Guard::LapseWait),
@@ -130,7 +130,7 @@
         waits_for_doubt: off != Some(Guard::DoubtWait),
     };
     if off == Some(Guard::ShortDoubt) {
-        config.directory.patience = CONTACT * 3;
+        config.directory.reregistration_timeout = CONTACT * 3;
     }
     config
 }
@@ -190,7 +190,7 @@
             self.input(node, run, Input::Tick);
         }
         let core = self.nodes[node].core.as_ref();
-        let pause = core.map_or(TICK, |core| core.tick_pause(self.now));
+        let pause = core.map_or(TICK, |core| core.tick_interval(self.now));
         self.schedule(pause, Event::NodeTick { node, run });
     }
 
@@ -229,7 +229,7 @@
         let backlog = std::mem::take(&mut slot.backlog);
         if let Some(since) = slot.suspended_at.take() {
             slot.asleep += now.since(since);
-            self.input(node, run, Input::Woke);
+            self.input(node, run, Input::Resumed);
         }
         for input in backlog {
             self.input(node, run, input);
@@ -263,7 +263,7 @@
             Output::Deny(ticket, admission) => {
                 let refused = matches!(
                     admission,
-                    Admission::NoConfiguration | Admission::Overloaded
+                    AdmissionError::NoConfiguration | AdmissionError::Overloaded
                 );
                 self.concluded(node, run, ticket, refused);
             }
@@ -306,7 +306,7 @@
                 }
                 self.send(node, &datagram, &addresses);
             }
-            Output::Ask(address, request, wait) => {
+            Output::FetchSnapshots(address, request, wait) => {
                 if let Some(to) = node_at(address) {
                     let delay = self.millis(1, 4);
                     self.schedule(
@@ -325,8 +325,8 @@
                 self.note_remembered(node);
             }
             Output::RateLimit(..)
-            | Output::Limits(_)
-            | Output::Notice(_)
+            | Output::ClientLimits(_)
+            | Output::ViewChanged(_)
             | Output::Granter(_)
             | Output::StoreEra { .. }
             | Output::Ownership(..)
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -6,8 +6,10 @@
 use crate::check::COLD_START;
 use crate::check::Sender;
 use crate::fault::CutFrom;
-use beamtray_catalog::{Birth, RateWord, RequestRate, UpstreamId, UpstreamState as Announced};
-use beamtray_dispatch::{AttemptOutcome, Forward, Ticket, UnknownCause, Untouched};
+use beamtray_catalog::{
+    AdvertisedRate, RequestRate, StartTimestamp, UpstreamId, UpstreamState as Announced,
+};
+use beamtray_dispatch::{AttemptOutcome, Forward, NotExecuted, Ticket, UnknownCause};
 use beamtray_emulator::{
     Arrival, FullPolicy, Run as WorkRun, RunId, UpstreamConfig, UpstreamEmulator, WorkRequest,
 };
@@ -31,7 +33,7 @@
 pub(super) const MISSED: u32 = 3;
 
 /// How an attempt ends that an upstream turns away.
-const TURNED_AWAY: AttemptOutcome = AttemptOutcome::Untouched(Untouched::Full);
+const TURNED_AWAY: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
 /// An attempt that an upstream has taken.
 #[derive(Clone, Debug)]
@@ -50,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub upstream: UpstreamId,
-    pub rate: RateWord,
+    pub rate: AdvertisedRate,
     /// Whether the upstream leaves.
     pub leaves: bool,
     /// The rest that it asks for.
@@ -147,7 +149,7 @@
             self.upstream_state[index].cold_until = self.now + COLD_START;
         }
         let mut id = UpstreamId::from(format!("u{index}-{named}"));
-        id.born = tells_birth(index).then_some(Birth(self.now.0 / 1_000));
+        id.started_at = tells_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
         let divided = index < self.config.keyed;
         let slowness_percent = [70, 100, 160][self.random.random_range(0..3)];
         self.upstreams[index] = Some(UpstreamEmulator::new(UpstreamConfig {
@@ -310,7 +312,7 @@
             return;
         }
         let sender = Sender { node, run };
-        if matches!(answer.rate, RateWord::Limited(_)) {
+        if matches!(answer.rate, AdvertisedRate::Limited(_)) {
             self.checkers.told_rate(self.now, &answer.upstream, sender);
         }
         if answer.leaves {
@@ -374,14 +376,14 @@
         };
         if self.upstreams[index].is_none() {
             let (after, proof) = if self.upstream_state[index].dark {
-                (CONNECT_TIMEOUT, Untouched::Unconnected)
+                (CONNECT_TIMEOUT, NotExecuted::Unconnected)
             } else {
-                (Duration::from_millis(1), Untouched::ConnectionRefused)
+                (Duration::from_millis(1), NotExecuted::ConnectionRefused)
             };
-            return self.end_attempt(after, &taken, AttemptOutcome::Untouched(proof));
+            return self.end_attempt(after, &taken, AttemptOutcome::NotExecuted(proof));
         }
         if !self.reaches(node, index) {
-            let outcome = AttemptOutcome::Untouched(Untouched::Unconnected);
+            let outcome = AttemptOutcome::NotExecuted(NotExecuted::Unconnected);
             return self.end_attempt(CONNECT_TIMEOUT, &taken, outcome);
         }
         if self.now < self.upstream_state[index].cold_until {
@@ -453,7 +455,7 @@
                 self.answer_attempt(soon, index, &taken, TURNED_AWAY);
             }
             Arrival::Misdirected => {
-                let outcome = AttemptOutcome::Untouched(Untouched::Misdirected);
+                let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.answer_attempt(soon, index, &taken, outcome);
             }
             Arrival::Hangs => {}
@@ -509,7 +511,7 @@
         }
         for request in refused {
             if let Some(taken) = self.untake(index, &request.id) {
-                let outcome = AttemptOutcome::Untouched(Untouched::Misdirected);
+                let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.end_reached(index, &taken, outcome);
             }
         }
@@ -557,7 +559,7 @@
         let rest = state.rest.filter(|_| outcome == TURNED_AWAY);
         let answer = present.map(|upstream| Answer {
             upstream: upstream.config.id.clone(),
-            rate: rate.map_or(RateWord::Unlimited, RateWord::Limited),
+            rate: rate.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited),
             leaves,
             rest,
         });
@@ -607,18 +609,18 @@
             self.note_told(node, run, answer);
             if answer.leaves {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::Leaves { upstream });
+                self.input(node, run, Input::UpstreamLeaving { upstream });
             }
             if let Some(rest) = answer.rest {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::Rests { upstream, rest });
+                self.input(node, run, Input::RestRequested { upstream, rest });
             }
         }
         let rate = answer.map(|answer| answer.rate);
         self.input(
             node,
             run,
-            Input::Ended {
+            Input::AttemptEnded {
                 ticket,
                 outcome,
                 rate,
--- a/crates/sharding/src/granter/contact.rs
+++ b/crates/sharding/src/granter/contact.rs
@@ -1,103 +1,103 @@
-//! Whether a holder answers, and when it is sent grants.
+//! Tracks whether a holder replies, and when it may be sent grants.
 //!
-//! An order without an answer may have been taken, so each grant that is sent
-//! into silence puts off the moment in which the holder's keys can go to
-//! another. A holder that leaves a grant unanswered gets one at a time from then
-//! on, until it answers something: an order, or requests that nodes send it.
+//! An unanswered order may have been accepted, so each grant that is sent to an unresponsive
+//! holder postpones the moment at which its keys can be reassigned. After leaving a grant
+//! unanswered, a holder gets only one grant at a time until it answers an order or a request
+//! that nodes send it.
 
 use crate::order::CallId;
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a grant may be under way before further ones wait for its answer.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(100);
-/// Pause after a grant that was not answered.
-const RETRY: Duration = Duration::from_millis(200);
-/// How long after an answer to a request the granter may hear of it: nodes tell their
-/// relay every 0.5 s of the answers that they had, which passes them on.
-const HEARD_LATE: Duration = Duration::from_millis(600);
+/// How long a grant may be pending before further ones wait for its reply.
+const MAX_PENDING_AGE: Duration = Duration::from_millis(100);
+/// Delay after an unanswered grant.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// How long after an answer to a request the granter may learn of it: nodes report the
+/// answers that they received to their relay every 0.5 s, which forwards them.
+const REPORT_DELAY: Duration = Duration::from_millis(600);
 
-/// Grants that were left unanswered, by what the nodes know of their holders.
+/// Counts of unanswered grants, by whether nodes have heard from the holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnansweredGrants {
-    /// The holder answered requests after the grant was sent: the granter, or its path
-    /// to the holder, is late.
+    /// The holder answered requests after the grant was sent: the granter, or its path to the
+    /// holder, is slow.
     pub serving: u64,
-    /// The holder was not heard of since.
+    /// The holder has not been heard from since.
     pub silent: u64,
 }
 
-/// What is known of one holder.
+/// Responsiveness of one holder.
 #[derive(Clone, Debug, Default)]
 pub struct Contact {
-    /// Grants under way, and when they were sent.
-    under_way: BTreeMap<CallId, Time>,
-    /// Since when no grant was answered.
+    /// Pending grants, and when they were sent.
+    pending: BTreeMap<CallId, Time>,
+    /// Since when no grant has been answered.
     silent_since: Option<Time>,
-    /// When the first grant was sent that was not answered.
+    /// When the first unanswered grant was sent.
     unanswered_since: Option<Time>,
-    /// When the next grant may be sent to a silent holder.
+    /// When the next grant may be sent to an unresponsive holder.
     retry_at: Time,
 }
 
 impl Contact {
-    /// Whether a grant may be sent. `heard` is when the holder last answered a
+    /// Whether a grant may be sent. `last_answered` is when the holder last answered a
     /// request, as far as known.
-    pub fn takes_grants(&self, now: Time, heard: Option<Time>) -> bool {
+    pub fn may_send_grant(&self, now: Time, last_answered: Option<Time>) -> bool {
         if self.silent_since.is_some() {
-            return self.under_way.is_empty() && now >= self.retry_at;
+            return self.pending.is_empty() && now >= self.retry_at;
         }
-        let Some(oldest) = self.under_way.values().min() else {
+        let Some(oldest) = self.pending.values().min() else {
             return true;
         };
-        now.since(*oldest) < ANSWER_PATIENCE || heard.is_some_and(|heard| heard > *oldest)
+        now.since(*oldest) < MAX_PENDING_AGE || last_answered.is_some_and(|at| at > *oldest)
     }
 
-    /// Notes that a grant is sent.
+    /// Records that a grant is sent.
     pub fn sent(&mut self, now: Time, call: CallId) {
-        self.under_way.insert(call, now);
+        self.pending.insert(call, now);
     }
 
-    /// Notes that the holder answered a grant, whatever it said.
+    /// Records that the holder replied to a grant, whatever the reply.
     pub fn answered(&mut self, call: CallId) {
-        self.under_way.remove(&call);
-        self.forgive();
+        self.pending.remove(&call);
+        self.clear_silence();
     }
 
-    /// Forgets its silence: it answered a release, or gets new keys, whose first
-    /// grant it must have the time to answer.
-    pub fn forgive(&mut self) {
+    /// Resets the unresponsive state: the holder answered a release, or gets new keys and
+    /// must have time to answer their first grant.
+    pub fn clear_silence(&mut self) {
         self.silent_since = None;
         self.unanswered_since = None;
     }
 
-    /// Notes that a grant was given up on; when it was sent.
+    /// Records that a grant was given up on; returns when it was sent.
     pub fn unanswered(&mut self, now: Time, call: CallId) -> Time {
-        let sent = self.under_way.remove(&call).unwrap_or(now);
+        let sent = self.pending.remove(&call).unwrap_or(now);
         self.unanswered_since.get_or_insert(sent);
         self.silent_since.get_or_insert(now);
-        self.retry_at = now + RETRY;
+        self.retry_at = now + RETRY_DELAY;
         sent
     }
 
-    /// When the first grant was sent that was not answered, if none was since.
+    /// When the first unanswered grant was sent, if no grant has been answered since.
     pub fn unanswered_since(&self) -> Option<Time> {
         self.unanswered_since
     }
 
-    /// Whether it left grants unanswered for so long, and no node was answered by it
-    /// since. A holder that answers nodes is there: what is late is the granter or its
-    /// path to the holder, and taking the keys back would make it later still.
-    pub fn is_silent(&self, now: Time, for_time: Duration, heard: Option<Time>) -> bool {
+    /// Whether the holder has left grants unanswered for `timeout` and has answered no node
+    /// since. A holder that answers nodes is alive: the granter or its path to the holder is
+    /// slow, and revoking the keys would slow it down further.
+    pub fn is_silent(&self, now: Time, timeout: Duration, last_answered: Option<Time>) -> bool {
         let Some(since) = self.silent_since else {
             return false;
         };
-        now.since(since) >= for_time && heard.is_none_or(|heard| heard <= since + HEARD_LATE)
+        now.since(since) >= timeout && last_answered.is_none_or(|at| at <= since + REPORT_DELAY)
     }
 
     /// How long no grant has been answered.
-    pub fn silence(&self, now: Time) -> Option<Duration> {
+    pub fn unanswered_for(&self, now: Time) -> Option<Duration> {
         self.silent_since.map(|since| now.since(since))
     }
 }
--- a/crates/sharding/src/granter/restarts.rs
+++ b/crates/sharding/src/granter/restarts.rs
@@ -1,17 +1,18 @@
-//! Upstreams that start again under their names.
+//! Upstreams that restart under their name.
 //!
-//! A restart has forgotten all tokens, so it would take any old order that still comes to
-//! its address under its name, also of keys that the one before had given back. Invariant:
-//! it gets no keys before it has answered a release of all of them under a fresh token.
-//! Keys that the one before held are taken back from it as from any upstream that left:
-//! who answers at its address is the restart, and it answers at once.
+//! A restarted process knows no tokens, so it accepts any old order that still reaches its
+//! address under its name, even for keys that its predecessor had returned. Invariant: it
+//! gets no keys before it has answered a release of the whole key space under a fresh token.
+//! Keys that the predecessor held are revoked as from any upstream that left: the restarted
+//! process answers at its address, and it answers at once.
 //!
-//! So whoever was registered is remembered for as long as something of it may still come.
-//! Counter-case: an upstream gave its keys back, vanished and was up again a second later;
-//! nothing named the one before, so nobody told the restart of a token for three seconds.
+//! Therefore every upstream that was registered is remembered for as long as old orders to it
+//! may still arrive. Otherwise, when an upstream returned its keys, vanished and was up again
+//! a second later, nothing named its predecessor, so the restarted process was sent no token
+//! for three seconds.
 
 use super::{Candidate, Granter};
-use crate::lost_holders::FORGOTTEN_AFTER;
+use crate::lost_holders::FORGET_AFTER;
 use crate::range::KeyRange;
 use crate::slice::Slice;
 use beamtray_catalog::{UpstreamId, UpstreamName};
@@ -19,25 +20,25 @@
 use std::collections::BTreeMap;
 
 impl Granter {
-    /// Remembers those that are not among the next candidates.
-    pub(super) fn note_departed(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
-        self.departed
-            .retain(|id, at| now.since(*at) < FORGOTTEN_AFTER && !next.contains_key(id));
+    /// Remembers upstreams that are not among the next candidates.
+    pub(super) fn record_departures(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
+        self.departed_at
+            .retain(|id, at| now.since(*at) < FORGET_AFTER && !next.contains_key(id));
         let gone = self.candidates.keys().filter(|id| !next.contains_key(*id));
-        self.departed.extend(gone.map(|id| (id.clone(), now)));
+        self.departed_at.extend(gone.map(|id| (id.clone(), now)));
     }
 
-    /// Fences those of the next candidates that have started again.
+    /// Fences those of the next candidates that are restarts.
     pub(super) fn fence_restarts(&mut self, now: Time, next: &BTreeMap<UpstreamId, Candidate>) {
         let is_new = |id: &&UpstreamId| !self.candidates.contains_key(*id);
         let new: Vec<&UpstreamId> = next.keys().filter(is_new).collect();
         if new.is_empty() || !self.timing.guards.fences_lost_holders {
             return;
         }
-        let known = self.known_by_name();
+        let known = self.known_incarnations();
         let is_restart = |id: &&UpstreamId| {
             let before = known.get(&id.name);
-            before.is_some_and(|before| before.iter().any(|one| id.is_restart_of(one)))
+            before.is_some_and(|before| before.iter().any(|id_before| id.is_restart_of(id_before)))
         };
         let restarted = new.into_iter().filter(is_restart);
         let restarted: Vec<UpstreamId> = restarted.cloned().collect();
@@ -48,11 +49,11 @@
         }
     }
 
-    /// All incarnations that hold keys, did of late, or could have.
-    fn known_by_name(&self) -> BTreeMap<&UpstreamName, Vec<&UpstreamId>> {
-        let holders = self.slices.values().filter_map(Slice::current);
+    /// All incarnations that hold keys, recently did, or may have.
+    fn known_incarnations(&self) -> BTreeMap<&UpstreamName, Vec<&UpstreamId>> {
+        let holders = self.slices.values().filter_map(Slice::current_holder);
         let known = self.candidates.keys().chain(self.contacts.keys());
-        let known = known.chain(holders).chain(self.departed.keys());
+        let known = known.chain(holders).chain(self.departed_at.keys());
         let known = known.chain(self.lost_holders.upstreams());
         let mut by_name: BTreeMap<&UpstreamName, Vec<&UpstreamId>> = BTreeMap::new();
         for id in known {
@@ -61,10 +62,11 @@
         by_name
     }
 
-    /// Ends the fences of the incarnations before one that has answered for all keys.
+    /// Stops fencing earlier incarnations of an upstream that has confirmed the release of
+    /// all keys.
     pub(super) fn end_earlier_fences(&mut self, fenced: &UpstreamId) {
         let candidates = &self.candidates;
         self.lost_holders
-            .end(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
+            .remove_ended(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
     }
 }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,9 +1,8 @@
-//! Which upstream holds which keys of a divided service.
+//! Key ownership for sharded services: which upstream holds which keys.
 //!
-//! [`AssignmentRecord`] is who holds what, kept in the metadata store by
-//! [`AssignmentPart`]s; [`Granter`] the side
-//! that grants and takes back, [`LoadMap`] and [`plan_moves`] decide what is
-//! to move. All pure.
+//! [`AssignmentRecord`] is the assignment of keys to holders, stored in the metadata store as
+//! [`AssignmentPart`]s. [`Granter`] grants and revokes ownership; [`LoadMap`] and
+//! [`plan_moves`] decide which keys to move. The crate does no I/O and reads no clock.
 
 mod balance;
 mod granter;
@@ -16,10 +15,12 @@
 mod slice;
 mod standby;
 
-pub use balance::{BalanceLimits, Holding, MoveRoom, MoveStep, Seat, plan_moves};
+pub use balance::{
+    BalanceLimits, MoveBudget, SliceHolding, SliceMove, UpstreamCapacity, plan_moves,
+};
 pub use granter::{
-    Candidate, Contact, DoubtNotice, GrantPace, Granter, GranterGuards, GranterTiming, Standing,
-    UnansweredGrants,
+    Candidate, CandidateState, Contact, DoubtNotice, GrantPace, Granter, GranterGuards,
+    GranterTiming, UnansweredGrants,
 };
 pub use load::LoadMap;
 pub use lost_holders::{FenceNotice, UnfencedUpstream};
@@ -30,4 +31,4 @@
     AssignmentRecord, DoubtedKeys, FencingToken, RecordNumber, SliceRecord, SliceState,
 };
 pub use slice::{LossCause, OwnedAgain};
-pub use standby::{STANDBY_SPAN, StandbyAnswer, StandbyId};
+pub use standby::{STANDBY_AUTHORIZATION, StandbyId, StandbyStatus};
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -1,86 +1,87 @@
-//! Keys whose holder may have left a grant lying.
+//! Keys whose holder may still execute a delayed grant.
 
 mod common;
 
-use beamtray_catalog::{Birth, UpstreamId};
+use beamtray_catalog::{StartTimestamp, UpstreamId};
 use beamtray_metastore::Epoch;
 use beamtray_sharding::{
-    AssignmentRecord, Candidate, GrantOrder, GrantReply, Granter, KeyRange, OrderKind, SliceState,
-    Standing,
+    AssignmentRecord, Candidate, CandidateState, GrantOrder, GrantReply, Granter, KeyRange,
+    OrderKind, SliceState,
 };
 use common::*;
 
-/// From the moment in which a grant is given up on to that in which it has run out: the
-/// lifetime of orders and a hold by a clock that is 2% slow.
+/// Time from when a grant is given up on until it has expired: the lifetime of orders and a
+/// grant by a clock that is 2% slow.
 const DOUBT: u64 = 12_000 + 3_060;
 
 fn is_grant(order: &GrantOrder) -> bool {
     matches!(order.kind, OrderKind::Grant { .. })
 }
 
-/// Plays on: "a" leaves its first grant lying and can't be reached from then on. The keys of
-/// that grant, and the record when it was given up on.
-fn left_lying(granter: &mut Granter) -> (GrantOrder, u64, AssignmentRecord) {
+/// Runs the granter until "a" receives its first grant without replying; "a" is unreachable
+/// from then on. Returns that grant, when it was given up on, and the record written then.
+fn leave_grant_unanswered(granter: &mut Granter) -> (GrantOrder, u64, AssignmentRecord) {
     for now in (2_010..4_000).step_by(10) {
-        let mut lying = None;
+        let mut delayed = None;
         for order in granter.poll(at(now)) {
             if order.holder != id("a") {
                 answer(granter, at(now), &order);
-            } else if lying.is_none() {
-                lying = Some(order);
+            } else if delayed.is_none() {
+                delayed = Some(order);
             } else {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             }
         }
-        if let Some(lying) = lying {
+        if let Some(delayed) = delayed {
             let given_up = now + 500;
-            granter.handle(at(given_up), lying.call, GrantReply::InDoubt);
-            let record = write_record(granter, at(given_up)).expect("the doubt is told");
-            return (lying, given_up, record);
+            granter.handle_reply(at(given_up), delayed.call, GrantReply::InDoubt);
+            let record = write_record(granter, at(given_up)).expect("record with the doubt");
+            return (delayed, given_up, record);
         }
     }
-    panic!("a was asked nothing");
+    panic!("a was sent no order");
 }
 
-/// When the keys of an order have another holder, if "a" answers nothing.
-fn goes_on_at(granter: &mut Granter, begin: u64, lying: &GrantOrder) -> u64 {
+/// When the keys of an order are assigned to "b", if "a" never replies.
+fn reassigned_at(granter: &mut Granter, begin: u64, delayed: &GrantOrder) -> u64 {
     for now in (begin..begin + 40_000).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(granter, at(now), &order),
             }
         }
         let Some(record) = write_record(granter, at(now)) else {
             continue;
         };
-        let slice = record.slice(lying.range.first).expect("a slice");
+        let slice = record.slice(delayed.range.first).expect("a slice");
         if matches!(&slice.state, SliceState::Held { holder, .. } if *holder == id("b")) {
             return now;
         }
     }
-    panic!("the keys never went on");
+    panic!("the keys were never reassigned");
 }
 
-/// It stood still for 6.5 s, woke, and took the grant while another was at work on the keys.
+/// Guards against two owners: a holder was paused for 6.5 s, resumed, and accepted the grant
+/// while another upstream was serving the keys.
 #[test]
-fn keys_of_a_grant_that_may_lie_wait_until_it_has_run_out() {
+fn keys_of_a_delayed_grant_wait_until_it_has_expired() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
-    let went_on = goes_on_at(&mut granter, given_up, &lying);
-    assert!(went_on >= given_up + DOUBT, "went on at {went_on}");
-    assert!(went_on <= given_up + DOUBT + 200, "went on at {went_on}");
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
+    let moved_at = reassigned_at(&mut granter, given_up, &delayed);
+    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
+    assert!(moved_at <= given_up + DOUBT + 200, "moved at {moved_at}");
 }
 
 #[test]
-fn the_other_keys_of_its_holder_go_on_as_soon_as_any() {
+fn other_keys_of_the_holder_are_reassigned_without_extra_delay() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let mut left = usize::MAX;
     for now in (given_up..7_000).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(&mut granter, at(now), &order),
             }
         }
@@ -88,13 +89,14 @@
             left = slices_of(&record, "a");
         }
     }
-    assert_eq!(left, 1, "{lying:?}");
+    assert_eq!(left, 1, "{delayed:?}");
 }
 
-/// Plays on until 6 s after the give-up, when "a" can be reached again; then for so long. Who is
-/// granted the keys of the lying grant first, and when.
-fn goes_back(
-    lying: &GrantOrder,
+/// Runs the granter until 6 s after the grant was given up on, when "a" becomes reachable
+/// again, and then for up to 6 s more. Returns who is first granted the keys of the delayed
+/// grant, and when.
+fn reassigned_to(
+    delayed: &GrantOrder,
     granter: &mut Granter,
     given_up: u64,
     last: Option<Candidate>,
@@ -103,7 +105,7 @@
     for now in (given_up..begin).step_by(10) {
         for order in granter.poll(at(now)) {
             match order.holder == id("a") {
-                true => granter.handle(at(now), order.call, GrantReply::Undelivered),
+                true => granter.handle_reply(at(now), order.call, GrantReply::Undelivered),
                 false => answer(granter, at(now), &order),
             }
         }
@@ -112,7 +114,7 @@
     granter.set_candidates(at(begin), last.into_iter().chain([ready("b", None)]));
     for now in (begin..begin + 6_000).step_by(10) {
         for order in granter.poll(at(now)) {
-            if is_grant(&order) && order.range == lying.range {
+            if is_grant(&order) && order.range == delayed.range {
                 return (order.holder, now - begin);
             }
             answer(granter, at(now), &order);
@@ -123,78 +125,80 @@
 }
 
 #[test]
-fn they_go_on_at_once_when_an_upstream_that_leaves_gives_them_back() {
+fn keys_in_doubt_move_at_once_when_a_draining_upstream_returns_them() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let leaver = Candidate {
-        standing: Standing::Draining,
+        state: CandidateState::Draining,
         ..ready("a", None)
     };
-    let (holder, after) = goes_back(&lying, &mut granter, given_up, Some(leaver));
+    let (holder, after) = reassigned_to(&delayed, &mut granter, given_up, Some(leaver));
     assert_eq!(holder, id("b"));
     assert!(after <= 400, "after {after} ms");
 }
 
-/// A restart of it may be registered again in a moment; its entry had gone with that of the
-/// process before, and the next restart took the grant from who had got the keys meanwhile.
+/// Guards against two owners after a re-registration: the entry of a restarted process was
+/// removed together with that of the process before it, and the next restart executed the
+/// delayed grant while another upstream had the keys.
 #[test]
-fn they_wait_for_an_upstream_that_was_registered_a_moment_ago() {
+fn keys_in_doubt_wait_for_a_recently_registered_upstream() {
     let mut granter = granted();
-    let (lying, given_up, _) = left_lying(&mut granter);
-    let (holder, after) = goes_back(&lying, &mut granter, given_up, None);
+    let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
+    let (holder, after) = reassigned_to(&delayed, &mut granter, given_up, None);
     assert_eq!(holder, id("b"));
     assert!((4_000..=4_400).contains(&after), "after {after} ms");
 }
 
-/// The granter ended; its successor read the doubt in the record.
+/// The granter ends, and its successor finds the doubt in the record.
 #[test]
-fn a_successor_waits_for_the_grant_too() {
+fn a_successor_waits_for_the_delayed_grant() {
     let mut granter = granted();
-    let (lying, given_up, record) = left_lying(&mut granter);
+    let (delayed, given_up, record) = leave_grant_unanswered(&mut granter);
     let doubted: Vec<KeyRange> = record.doubted.iter().map(|keys| keys.range).collect();
-    assert_eq!(doubted, [lying.range]);
+    assert_eq!(doubted, [delayed.range]);
     let begin = given_up + 1_000;
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-    let went_on = goes_on_at(&mut successor, begin, &lying);
-    assert!(went_on >= given_up + DOUBT, "went on at {went_on}");
+    let moved_at = reassigned_at(&mut successor, begin, &delayed);
+    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
 }
 
 fn born(birth: u64) -> Candidate {
     Candidate {
-        id: UpstreamId::born_at("a", Birth(birth)),
+        id: UpstreamId::with_start("a", StartTimestamp(birth)),
         ..ready("", None)
     }
 }
 
-/// It ended with the grant, and was up again twice: the second restart took the grant when its
-/// keys had gone from the first one to another upstream.
+/// Guards against two owners after two restarts: an upstream ended with a delayed grant and
+/// was restarted twice. The second process executed the grant when its keys had moved from
+/// the first restart to another upstream.
 #[test]
-fn keys_go_back_to_the_restart_of_an_upstream_that_left_a_grant_lying() {
+fn keys_in_doubt_return_to_the_restart_of_their_holder() {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [born(1), ready("b", None)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
-    let mut lying = None;
+    grant_all(&mut granter, at(2_000));
+    let mut delayed = None;
     for now in (2_010..4_000).step_by(10) {
         for order in granter.poll(at(now)) {
-            if order.holder == born(1).id && lying.is_none() {
-                granter.handle(at(now), order.call, GrantReply::InDoubt);
-                lying = Some(order);
+            if order.holder == born(1).id && delayed.is_none() {
+                granter.handle_reply(at(now), order.call, GrantReply::InDoubt);
+                delayed = Some(order);
             } else {
                 answer(&mut granter, at(now), &order);
             }
         }
         write_record(&mut granter, at(now));
     }
-    let lying = lying.expect("a grant");
+    let delayed = delayed.expect("a grant");
     granter.set_candidates(at(4_000), [born(2), ready("b", None)]);
     let mut holders = Vec::new();
     for now in (4_000..4_400).step_by(10) {
         for order in granter.poll(at(now)) {
-            if is_grant(&order) && order.range == lying.range {
-                assert!(order.token > lying.token);
+            if is_grant(&order) && order.range == delayed.range {
+                assert!(order.token > delayed.token);
                 holders.push(order.holder.clone());
             }
             answer(&mut granter, at(now), &order);
@@ -205,9 +209,9 @@
 }
 
 #[test]
-fn doubt_ends_in_the_record_too() {
+fn the_record_drops_doubts_that_have_ended() {
     let mut granter = granted();
-    let (_, given_up, _) = left_lying(&mut granter);
+    let (_, given_up, _) = leave_grant_unanswered(&mut granter);
     let mut doubted = usize::MAX;
     for now in (given_up..given_up + DOUBT + 200).step_by(50) {
         for order in granter.poll(at(now)) {
@@ -220,54 +224,56 @@
     assert_eq!(doubted, 0);
 }
 
-/// A grant goes to a process only that has just answered: what lies in the buffers of one
-/// that stands still is a question.
+/// A grant is sent only to a process that has just replied to a probe, so that the buffers of
+/// a paused process contain probes.
 #[test]
-fn a_question_is_about_a_key_of_another_and_outdates_nothing() {
+fn a_liveness_probe_uses_a_key_of_another_holder_and_invalidates_nothing() {
     let mut granter = granted();
     let grants = granter.poll(at(2_700)).into_iter().filter(is_grant);
     let grants: Vec<GrantOrder> = grants.collect();
     assert!(!grants.is_empty());
-    granter.not_written();
-    let record = granter.record().expect("a record");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("a record");
     for grant in grants {
-        let key = granter.key_of_others(&grant.holder).expect("there are two");
+        let key = granter
+            .key_held_by_other(&grant.holder)
+            .expect("the other upstream holds keys");
         let slice = record.slice(key).expect("a slice");
         let holds = |state: &SliceState| matches!(state, SliceState::Held { holder, .. } if *holder == grant.holder);
         assert!(!holds(&slice.state));
-        let question = grant.question(key);
-        assert_eq!(question.kind, OrderKind::Release);
-        assert_eq!(question.range.len(), 1);
-        assert!(question.token < grant.token);
+        let probe = grant.liveness_probe(key);
+        assert_eq!(probe.kind, OrderKind::Release);
+        assert_eq!(probe.range.len(), 1);
+        assert!(probe.token < grant.token);
     }
 }
 
 #[test]
-fn who_holds_all_keys_is_asked_nothing() {
+fn a_holder_of_all_keys_is_not_probed() {
     let mut granter = Granter::new(at(0), timing(), Epoch(1), None);
     granter.set_candidates(at(0), [ready("a", None)]);
     granter.poll(at(1_500));
     write_record(&mut granter, at(1_510)).expect("the keys were divided");
-    give_all(&mut granter, at(2_000));
-    assert_eq!(granter.key_of_others(&id("a")), None);
+    grant_all(&mut granter, at(2_000));
+    assert_eq!(granter.key_held_by_other(&id("a")), None);
 }
 
-/// Each successor began the wait anew, and keys of an upstream that had ended were without an
-/// owner for 25 s.
+/// Guards against restarting the wait with each successor, which left keys of an ended
+/// upstream without an owner for 25 s.
 #[test]
-fn successors_do_not_begin_the_wait_anew() {
+fn successors_do_not_restart_the_wait() {
     let mut granter = granted();
-    let (lying, given_up, mut record) = left_lying(&mut granter);
+    let (delayed, given_up, mut record) = leave_grant_unanswered(&mut granter);
     let mut begin = given_up;
     for term in 2..6 {
         begin += 4_000;
         let mut successor = Granter::new(at(begin), timing(), Epoch(term), Some(&record));
         successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-        successor.not_written();
+        successor.mark_dirty();
         for now in (begin..begin + 3_000).step_by(10) {
             for order in successor.poll(at(now)) {
                 match order.holder == id("a") {
-                    true => successor.handle(at(now), order.call, GrantReply::Undelivered),
+                    true => successor.handle_reply(at(now), order.call, GrantReply::Undelivered),
                     false => answer(&mut successor, at(now), &order),
                 }
             }
@@ -276,24 +282,25 @@
     }
     let mut last = Granter::new(at(begin + 4_000), timing(), Epoch(6), Some(&record));
     last.set_candidates(at(begin + 4_000), [ready("a", None), ready("b", None)]);
-    let went_on = goes_on_at(&mut last, begin + 4_000, &lying);
-    assert!(went_on <= begin + 4_000 + 8_000, "went on at {went_on}");
+    let moved_at = reassigned_at(&mut last, begin + 4_000, &delayed);
+    assert!(moved_at <= begin + 4_000 + 8_000, "moved at {moved_at}");
 }
 
-/// A granter found that keys had gone on unseen, wrote them down as free and was killed; its
-/// successor gave them away while their holders had them.
+/// Guards against assigning keys that still have holders: a granter found that keys had moved
+/// without its knowledge, recorded them as free and was killed, and its successor assigned
+/// them.
 #[test]
-fn keys_that_go_to_nobody_go_to_nobody_at_a_successor() {
+fn a_successor_keeps_withholding_keys() {
     let mut granter = granted();
-    granter.not_written();
-    let record = granter.record().expect("a record");
+    granter.mark_dirty();
+    let record = granter.take_record().expect("a record");
     let mut doubting = Granter::new(at(5_000), timing(), Epoch(2), Some(&record));
     doubting.doubt_record(at(5_000));
     doubting.set_candidates(at(5_000), [ready("a", None), ready("b", None)]);
     for order in doubting.poll(at(5_010)) {
-        doubting.handle(at(5_020), order.call, GrantReply::Outdated);
+        doubting.handle_reply(at(5_020), order.call, GrantReply::Outdated);
     }
-    let record = write_record(&mut doubting, at(5_030)).expect("the keys are nobody's");
+    let record = write_record(&mut doubting, at(5_030)).expect("record with the free keys");
     assert!(
         record
             .slices
@@ -311,5 +318,5 @@
         granted += successor.poll(at(now)).len();
         write_record(&mut successor, at(now));
     }
-    assert!(granted > 0, "they never go to anybody");
+    assert!(granted > 0, "the keys were never assigned");
 }
--- a/crates/sharding/tests/old_grants.rs
+++ b/crates/sharding/tests/old_grants.rs
@@ -1,14 +1,16 @@
-//! Grants that outlive the patience of who gave them.
+//! Grants that arrive after the granter has given them up.
 //!
-//! Seen: two upstreams held the same keys. One took a renewal six seconds after it was
-//! written, when its keys had gone on to the other.
-//! How: a holder was cut off right after a renewal had been written to its connection. The
-//! granter gave the call up, closed the connection, asked for the keys back, which could not
-//! be delivered, waited until every hold had run out, and gave the keys to the next holder.
-//! The kernel went on sending what had been written, and delivered it after the cut.
-//! Cause: with the move of the keys the granter stopped telling the old holder. It had seen
-//! no higher token on these keys, so nothing at it refused the old one.
-//! Proof: here the old holder refuses the copy only if somebody told it in between.
+//! Guards against two upstreams holding the same keys: one accepted a renewal six seconds
+//! after it was written, when its keys had already been assigned to the other. The holder was
+//! partitioned right after the renewal had been written to its connection. The granter gave
+//! the call up, closed the connection, sent releases that could not be delivered, waited
+//! until all grants had expired, and assigned the keys to the next holder. The kernel kept
+//! retransmitting the renewal and delivered it after the partition. The granter had stopped
+//! sending releases to the old holder when the keys moved, so that holder had seen no higher
+//! token that would make it refuse the renewal.
+//!
+//! In these tests the old holder refuses the renewal only if it received a release in
+//! between.
 
 mod common;
 
@@ -19,21 +21,22 @@
 };
 use common::{LIMITS, answer, at, granted, id, ready, slices_of, timing, write_record};
 
-/// Between two ends of the time in which a path is whole and the old holder hears nothing.
-const LONGEST_PAUSE: u64 = 300;
+/// Longest time from when the path to the old holder is restored until an order reaches it,
+/// in milliseconds.
+const MAX_PAUSE: u64 = 300;
 
-/// A granter whose holder "a" is cut off from 2,010 ms on.
-struct Cut {
+/// A granter whose holder "a" is partitioned from 2,010 ms on.
+struct Partition {
     granter: Granter,
-    /// The first order, written to a connection that "a" had answered on.
+    /// The first order, written to a connection on which "a" had replied.
     written: Option<GrantOrder>,
-    /// Orders to "a" and when they are given up on.
+    /// Orders to "a", and when they are given up on.
     pending: Vec<(u64, GrantOrder)>,
     record: Option<AssignmentRecord>,
     now: u64,
 }
 
-impl Cut {
+impl Partition {
     fn begin() -> Self {
         Self {
             granter: granted(),
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Lets 10 ms pass; the orders to "a" that were given in that time.
+    /// Advances time by 10 ms and returns the orders sent to "a".
     fn step(&mut self) -> Vec<GrantOrder> {
         self.now += 10;
         let now = self.now;
@@ -57,7 +60,7 @@
                 true => GrantReply::Unanswered,
                 false => GrantReply::Undelivered,
             };
-            self.granter.handle(at(now), order.call, reply);
+            self.granter.handle_reply(at(now), order.call, reply);
         }
         let mut to_a = Vec::new();
         for order in self.granter.poll(at(now)) {
@@ -75,8 +78,8 @@
         to_a
     }
 
-    /// Goes on until "a" has no slice.
-    fn until_keys_went_on(&mut self) {
+    /// Advances time until "a" has no slice.
+    fn run_until_keys_moved(&mut self) {
         for _ in 0..1_000 {
             self.step();
             let record = self.record.as_ref();
@@ -88,10 +91,10 @@
     }
 }
 
-/// Tokens that an upstream has seen: it refuses lower ones.
-struct Floors(Vec<u64>);
+/// Highest token that an upstream has seen for each key; it refuses lower ones.
+struct SeenTokens(Vec<u64>);
 
-impl Floors {
+impl SeenTokens {
     fn new() -> Self {
         Self(vec![0; KeyRange::ALL.len() as usize])
     }
@@ -100,111 +103,117 @@
         &mut self.0[usize::from(range.first.0)..=usize::from(range.last.0)]
     }
 
-    /// Takes an order; whether it is refused.
-    fn take(&mut self, order: &GrantOrder) -> bool {
+    /// Applies an order; returns whether it is refused.
+    fn apply(&mut self, order: &GrantOrder) -> bool {
         let token = order.token.0;
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
         let keys = self.of(order.range);
-        if is_grant && keys.iter().any(|floor| *floor > token) {
+        if is_grant && keys.iter().any(|token_seen| *token_seen > token) {
             return true;
         }
-        for floor in keys {
-            *floor = token.max(*floor);
+        for token_seen in keys {
+            *token_seen = token.max(*token_seen);
         }
         false
     }
 }
 
 #[test]
-fn an_old_grant_is_refused_after_the_cut() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let whole_at = cut.now.max(7_010);
-    while cut.now < whole_at {
-        cut.step();
+fn an_old_grant_is_refused_after_a_partition() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let restored_at = partition.now.max(7_010);
+    while partition.now < restored_at {
+        partition.step();
     }
-    let mut floors = Floors::new();
-    while cut.now < whole_at + LONGEST_PAUSE {
-        for order in cut.step() {
-            floors.take(&order);
+    let mut seen = SeenTokens::new();
+    while partition.now < restored_at + MAX_PAUSE {
+        for order in partition.step() {
+            seen.apply(&order);
         }
     }
-    let written = cut.written.clone().expect("a renewal was written");
+    let written = partition.written.clone().expect("a renewal was sent");
     assert!(matches!(written.kind, OrderKind::Grant { .. }));
-    assert!(floors.take(&written), "the old grant is taken");
+    assert!(seen.apply(&written), "the old grant was accepted");
 }
 
 #[test]
-fn who_lost_keys_without_an_answer_is_told_until_it_answers() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let mut told_at = cut.now;
+fn a_lost_holder_is_sent_releases_until_it_replies() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let mut last_sent_at = partition.now;
     for _ in 0..3_000 {
-        if !cut.step().is_empty() {
-            told_at = cut.now;
+        if !partition.step().is_empty() {
+            last_sent_at = partition.now;
         }
-        let pause = cut.now - told_at;
-        assert!(pause <= LONGEST_PAUSE, "not told for {pause} ms");
+        let pause = partition.now - last_sent_at;
+        assert!(pause <= MAX_PAUSE, "no order for {pause} ms");
     }
 }
 
-/// It registers again and is idle, so that the balance asks for moves to it.
+/// The upstream registers again and is idle, so that load balancing wants to move keys to it.
 #[test]
-fn who_lost_keys_without_an_answer_gets_none_before_it_answers() {
+fn a_lost_holder_gets_no_keys_before_it_replies() {
     const ANSWERS_FROM: u64 = 12_000;
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let now = at(cut.now);
-    cut.granter.set_candidates(now, [ready("b", Some(now))]);
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let now = at(partition.now);
+    partition
+        .granter
+        .set_candidates(now, [ready("b", Some(now))]);
     let mut has_answered = false;
     let mut has_keys = false;
-    while cut.now < ANSWERS_FROM + 3_000 {
-        let now = at(cut.now);
+    while partition.now < ANSWERS_FROM + 3_000 {
+        let now = at(partition.now);
         let candidates = [ready("a", Some(now)), ready("b", Some(now))];
-        cut.granter.set_candidates(now, candidates);
+        partition.granter.set_candidates(now, candidates);
         for key in (0..u16::MAX).step_by(1_000) {
-            cut.granter.load.add(ShardKey(key), 1.0);
+            partition.granter.load.add(ShardKey(key), 1.0);
         }
-        cut.granter.load.decay(0.99);
-        cut.granter.rebalance(now, &LIMITS);
-        for order in cut.step() {
+        partition.granter.load.decay(0.99);
+        partition.granter.rebalance(now, &LIMITS);
+        for order in partition.step() {
             let is_grant = matches!(order.kind, OrderKind::Grant { .. });
             assert!(has_answered || !is_grant, "{order:?}");
             has_keys |= is_grant;
-            if cut.now >= ANSWERS_FROM {
+            if partition.now >= ANSWERS_FROM {
                 has_answered |= !is_grant;
-                cut.pending.retain(|(_, other)| other.call != order.call);
-                answer(&mut cut.granter, at(cut.now), &order);
+                partition
+                    .pending
+                    .retain(|(_, other)| other.call != order.call);
+                answer(&mut partition.granter, at(partition.now), &order);
             }
         }
     }
-    assert!(has_keys, "it never got keys again");
+    assert!(has_keys, "the holder never got keys again");
 }
 
 #[test]
-fn a_successor_tells_whom_its_predecessor_could_not_reach() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let record = cut.record.clone().expect("a record");
-    let begin = cut.now + 2_000;
+fn a_successor_fences_holders_that_its_predecessor_could_not_reach() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let record = partition.record.clone().expect("a record");
+    let begin = partition.now + 2_000;
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
-    let orders = (begin..begin + LONGEST_PAUSE).step_by(10);
+    let orders = (begin..begin + MAX_PAUSE).step_by(10);
     let mut orders = orders.flat_map(|now| successor.poll(at(now)));
-    let told = orders.find(|order| order.holder == id("a"));
-    let told = told.expect("a is told nothing");
-    assert_eq!(told.kind, OrderKind::Release);
-    assert!(told.token > FencingToken::new(Epoch(2), 0));
+    let release = orders.find(|order| order.holder == id("a"));
+    let release = release.expect("an order to a");
+    assert_eq!(release.kind, OrderKind::Release);
+    assert!(release.token > FencingToken::new(Epoch(2), 0));
 }
-/// A record that gives keys away names who may still take them, and so does the one before,
-/// by which a successor goes that finds only some parts of the newer one.
+
+/// The record that reassigns keys names who may still accept old grants of them, and so does
+/// the record before it, which a successor relies on if it finds only some parts of the newer
+/// one.
 #[test]
-fn who_is_asked_for_keys_stands_in_the_record() {
-    let mut cut = Cut::begin();
+fn the_record_names_holders_whose_keys_are_being_revoked() {
+    let mut partition = Partition::begin();
     let mut leaving_named = false;
     for _ in 0..1_000 {
-        cut.step();
-        let Some(record) = &cut.record else {
+        partition.step();
+        let Some(record) = &partition.record else {
             continue;
         };
         let leaving = record.slices.iter().any(
@@ -221,12 +230,12 @@
     assert!(leaving_named);
 }
 
-/// A release that waits for long work lets the hold run out at a holder that answers
-/// everything else: it keeps its other keys.
+/// A release that waits for long-running work lets the grant expire at a holder that answers
+/// everything else; it keeps its other keys.
 #[test]
-fn a_holder_of_other_keys_is_told_of_those_that_it_lost_alone() {
+fn a_holder_of_other_keys_is_sent_releases_of_lost_keys_only() {
     let mut granter = granted();
-    granter.not_written();
+    granter.mark_dirty();
     let record = write_record(&mut granter, at(2_000)).expect("a record");
     let SliceState::Held { holder, .. } = record.slices[0].state.clone() else {
         panic!("{:?}", record.slices[0]);
@@ -242,7 +251,7 @@
     for now in (2_800..12_000).step_by(10) {
         for order in granter.poll(at(now)) {
             if order.kind == OrderKind::Release && order.holder == holder {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
                 releases.push(order);
             } else {
                 answer(&mut granter, at(now), &order);
@@ -251,36 +260,38 @@
         write_record(&mut granter, at(now));
     }
     let last = releases.last().expect("releases");
-    assert!(last.token > releases[0].token, "no fresh token");
+    assert!(last.token > releases[0].token, "the token was not renewed");
     let all = releases.iter().find(|order| order.range == KeyRange::ALL);
     assert!(all.is_none(), "{all:?}");
 }
 
-/// An upstream that was cut off from the store as well registers again a second or more
-/// after the cut.
+/// An upstream that was partitioned from the store as well registers again a second or more
+/// after the partition.
 #[test]
-fn who_is_not_registered_is_told_as_often() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let lost = cut.now;
-    cut.granter.set_candidates(at(lost), [ready("b", None)]);
-    let mut told_at = lost;
-    while cut.now < lost + 30_000 {
-        if !cut.step().is_empty() {
-            told_at = cut.now;
+fn an_unregistered_holder_is_sent_releases_as_often() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let lost = partition.now;
+    partition
+        .granter
+        .set_candidates(at(lost), [ready("b", None)]);
+    let mut last_sent_at = lost;
+    while partition.now < lost + 30_000 {
+        if !partition.step().is_empty() {
+            last_sent_at = partition.now;
         }
-        let pause = cut.now - told_at;
-        assert!(pause <= LONGEST_PAUSE, "not told for {pause} ms");
+        let pause = partition.now - last_sent_at;
+        assert!(pause <= MAX_PAUSE, "no order for {pause} ms");
     }
     let both = [ready("a", None), ready("b", None)];
-    cut.granter.set_candidates(at(cut.now), both);
-    assert_eq!(cut.step().len(), 1);
+    partition.granter.set_candidates(at(partition.now), both);
+    assert_eq!(partition.step().len(), 1);
 }
 
-/// A successor of a granter that lost a hundred holders. All but the last one stay silent,
-/// and "z" answers from `answers_from` on; when it was told then, and the most releases in
-/// a second.
-fn told_among_a_hundred(answers_from: u64) -> (u64, usize) {
+/// Runs a successor of a granter that lost a hundred holders. All but the last one stay
+/// unresponsive, and "z" answers from `answers_from` on. Returns when "z" is first sent an
+/// order after that, and the maximum number of releases in a second.
+fn first_release_among_a_hundred(answers_from: u64) -> (u64, usize) {
     let lost = (0..100).map(|number| format!("dead-{number:02}"));
     let lost = lost.chain(["z".to_owned()]);
     let ranges = KeyRange::ALL.divide(101);
@@ -310,7 +321,7 @@
     for now in (0..20_000).step_by(10) {
         pending.retain(|(due, order)| {
             if *due <= now {
-                granter.handle(at(now), order.call, GrantReply::Undelivered);
+                granter.handle_reply(at(now), order.call, GrantReply::Undelivered);
             }
             *due > now
         });
@@ -325,28 +336,28 @@
                     let second = sent.iter().filter(|at| **at <= *end && **at + 1_000 > *end);
                     second.count()
                 };
-                let most = sent.iter().map(in_a_second).max();
-                return (now, most.unwrap_or_default());
+                let max_per_second = sent.iter().map(in_a_second).max();
+                return (now, max_per_second.unwrap_or_default());
             }
             pending.push((now + 350, order));
         }
         write_record(&mut granter, at(now));
     }
-    panic!("z is not told");
+    panic!("z was never sent a release");
 }
 
-/// The one that comes back is not kept waiting by those with lower names for good, and all
+/// An upstream that comes back is not starved by those with lower names, and all releases
 /// together stay within what a granter can send.
 #[test]
-fn one_of_a_hundred_lost_holders_is_told_in_its_turn() {
-    let (told, most) = told_among_a_hundred(5_000);
-    assert!(told <= 6_000, "told at {told}");
-    assert!(most <= 150, "{most} in a second");
+fn one_of_a_hundred_lost_holders_is_sent_a_release_in_turn() {
+    let (sent_at, max_per_second) = first_release_among_a_hundred(5_000);
+    assert!(sent_at <= 6_000, "sent at {sent_at}");
+    assert!(max_per_second <= 150, "{max_per_second} in a second");
 }
 
-/// A successor that finds keys on the move asks for them itself.
+/// A successor that finds keys being revoked sends the releases itself.
 #[test]
-fn a_holder_that_is_asked_for_keys_at_a_takeover_is_asked_once() {
+fn a_holder_with_a_pending_revocation_gets_one_release_at_a_takeover() {
     let range = KeyRange::ALL.divide(2);
     let holder = id("a");
     let token = FencingToken::new(Epoch(1), 1);
@@ -382,43 +393,45 @@
     assert_eq!(granter.unfenced_count(), 0);
 }
 
-/// A second release that is under way when the first is answered would take away what the
-/// upstream is given then.
+/// A second release that is still pending when the first is answered would revoke the keys
+/// that the upstream is granted next.
 #[test]
-fn who_has_answered_gets_no_keys_while_another_release_is_under_way() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
+fn a_holder_that_replied_gets_no_keys_while_another_release_is_pending() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
     // The releases of its slices have been given up on by then.
     for _ in 0..60 {
-        cut.step();
+        partition.step();
     }
-    while cut.granter.unfenced_count() == 1 {
-        let orders = cut.step();
-        if cut.pending.len() >= 2 && !orders.is_empty() {
-            let (_, first) = cut.pending.remove(0);
-            answer(&mut cut.granter, at(cut.now), &first);
+    while partition.granter.unfenced_count() == 1 {
+        let orders = partition.step();
+        if partition.pending.len() >= 2 && !orders.is_empty() {
+            let (_, first) = partition.pending.remove(0);
+            answer(&mut partition.granter, at(partition.now), &first);
             break;
         }
     }
-    assert_eq!(cut.granter.unfenced_count(), 1);
+    assert_eq!(partition.granter.unfenced_count(), 1);
     for _ in 0..60 {
-        cut.step();
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 0);
+    assert_eq!(partition.granter.unfenced_count(), 0);
 }
 
 #[test]
-fn who_is_not_registered_for_a_minute_is_forgotten() {
-    let mut cut = Cut::begin();
-    cut.until_keys_went_on();
-    let lost = cut.now;
-    cut.granter.set_candidates(at(lost), [ready("b", None)]);
-    while cut.now < lost + 59_000 {
-        cut.step();
+fn a_holder_unregistered_for_a_minute_is_forgotten() {
+    let mut partition = Partition::begin();
+    partition.run_until_keys_moved();
+    let lost = partition.now;
+    partition
+        .granter
+        .set_candidates(at(lost), [ready("b", None)]);
+    while partition.now < lost + 59_000 {
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 1);
-    while cut.now < lost + 61_000 {
-        cut.step();
+    assert_eq!(partition.granter.unfenced_count(), 1);
+    while partition.now < lost + 61_000 {
+        partition.step();
     }
-    assert_eq!(cut.granter.unfenced_count(), 0);
+    assert_eq!(partition.granter.unfenced_count(), 0);
 }
--- a/crates/sharding/tests/slow_granter.rs
+++ b/crates/sharding/tests/slow_granter.rs
@@ -1,5 +1,5 @@
-//! A granter that is itself slow: its machine has little processor time, so that orders
-//! and answers wait in it one behind the other.
+//! A granter whose machine has little processor time, so that orders and replies queue up in
+//! it.
 
 mod common;
 
@@ -14,14 +14,14 @@
 
 const HOLDERS: usize = 100;
 const SLICES: u32 = 400;
-/// How long an order is waited for, in milliseconds.
-const PATIENCE: u64 = 500;
+/// How long a reply is waited for, in milliseconds.
+const ORDER_TIMEOUT: u64 = 500;
 
 fn holder(number: usize) -> String {
     format!("holder-{number}")
 }
 
-/// What a lost granter left: all keys held.
+/// The record of a failed granter: all keys are held.
 fn record() -> AssignmentRecord {
     let ranges = KeyRange::ALL.divide(SLICES).into_iter().enumerate();
     let slices = ranges.map(|(number, range)| SliceRecord {
@@ -43,31 +43,31 @@
 
 fn successor(now: u64) -> Granter {
     let mut timing = timing();
-    timing.longest_renewal = Duration::from_millis(2_000);
+    timing.max_renewal = Duration::from_millis(2_000);
     Granter::new(at(now), timing, Epoch(2), Some(&record()))
 }
 
-/// All holders, each heard at `heard` by the nodes that send it requests.
-fn holders(heard: Option<u64>) -> Vec<Candidate> {
+/// All holders, each last heard from at `last_answered` by the nodes that send it requests.
+fn holders(last_answered: Option<u64>) -> Vec<Candidate> {
     let all = 0..HOLDERS;
-    all.map(|number| ready(&holder(number), heard.map(at)))
+    all.map(|number| ready(&holder(number), last_answered.map(at)))
         .collect()
 }
 
-/// The machine of a granter: each order takes that much of its time, one after the other.
+/// The granter's machine, which spends a fixed time on each order, one after the other.
 struct Machine {
-    millis_an_order: u64,
+    millis_per_order: u64,
     busy_until: u64,
-    /// Orders, when each was given, and when its answer is read.
+    /// Orders, when each was sent, and when its reply is read.
     queue: VecDeque<(GrantOrder, u64, u64)>,
     granted: usize,
     unanswered: usize,
 }
 
 impl Machine {
-    fn new(millis_an_order: u64) -> Self {
+    fn new(millis_per_order: u64) -> Self {
         Self {
-            millis_an_order,
+            millis_per_order,
             busy_until: 0,
             queue: VecDeque::new(),
             granted: 0,
@@ -75,23 +75,23 @@
         }
     }
 
-    fn give(&mut self, now: u64, order: GrantOrder) {
-        self.busy_until = self.busy_until.max(now) + self.millis_an_order;
+    fn send(&mut self, now: u64, order: GrantOrder) {
+        self.busy_until = self.busy_until.max(now) + self.millis_per_order;
         self.queue.push_back((order, now, self.busy_until));
     }
 
-    /// Hands the answers to the granter that were read by `now`; those that were read too
-    /// late were given up on.
-    fn answers(&mut self, now: u64, granter: &mut Granter) {
-        while let Some((order, given, read)) = self.queue.front().cloned() {
-            let given_up = given + PATIENCE;
+    /// Passes the replies read by `now` to the granter; orders whose replies are read too
+    /// late count as given up on.
+    fn deliver_replies(&mut self, now: u64, granter: &mut Granter) {
+        while let Some((order, sent, read)) = self.queue.front().cloned() {
+            let given_up = sent + ORDER_TIMEOUT;
             if read.min(given_up) > now {
                 return;
             }
             self.queue.pop_front();
             if read > given_up {
                 self.unanswered += 1;
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
                 self.granted += usize::from(matches!(order.kind, OrderKind::Grant { .. }));
                 answer(granter, at(now), &order);
@@ -100,36 +100,37 @@
     }
 }
 
-/// Runs a granter on such a machine, while all holders serve; slices that left theirs.
+/// Runs a granter on such a machine while all holders respond; returns how many slices were
+/// revoked.
 fn run(granter: &mut Granter, machine: &mut Machine, begin: u64, end: u64) -> usize {
-    let mut left = 0;
+    let mut revoked = 0;
     for now in (begin..end).step_by(10) {
-        machine.answers(now, granter);
+        machine.deliver_replies(now, granter);
         if now % 100 == 0 {
             granter.set_candidates(at(now), holders(Some(now)));
         }
         for order in granter.poll(at(now)) {
-            machine.give(now, order);
+            machine.send(now, order);
         }
         if let Some(record) = write_record(granter, at(now)) {
             let leaving = record.slices.iter();
-            left += leaving
+            revoked += leaving
                 .filter(|slice| matches!(slice.state, SliceState::Leaving { .. }))
                 .count();
         }
     }
-    left
+    revoked
 }
 
-/// SHORT on rkp-algas-grown: a new granter on a tenth of a core gave 440 orders at once,
-/// read nearly all answers too late, took the keys back from all holders, and so on for
-/// 20 s.
+/// Guards against overloading the granter (bench day `rkp-algas-grown`): a new granter on a
+/// tenth of a core sent 440 orders at once, read nearly all replies too late, revoked the
+/// keys of all holders, and repeated this for 20 s.
 #[test]
-fn a_slow_granter_gives_no_more_orders_at_once_than_it_can_handle() {
+fn a_slow_granter_limits_pending_orders_to_what_it_can_handle() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(4);
-    let left = run(&mut granter, &mut machine, 10_000, 14_000);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    let revoked = run(&mut granter, &mut machine, 10_000, 14_000);
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
     assert!(
         machine.unanswered < 20,
         "{} orders were given up on",
@@ -138,54 +139,54 @@
     assert!(machine.granted >= SLICES as usize, "{}", machine.granted);
 }
 
-/// However slow it is, its lateness says nothing of holders that answer other nodes.
+/// A granter's own slowness says nothing about holders that answer other nodes.
 #[test]
-fn a_granter_that_reads_all_answers_too_late_takes_nothing_from_holders_that_serve() {
+fn a_granter_that_reads_all_replies_too_late_revokes_nothing_from_responsive_holders() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(600);
-    let left = run(&mut granter, &mut machine, 10_000, 16_000);
+    let revoked = run(&mut granter, &mut machine, 10_000, 16_000);
     assert!(machine.unanswered > 0);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
 }
 
-/// Holders that neither answer the granter nor other nodes are silent.
+/// Holders that answer neither the granter nor other nodes are unresponsive.
 #[test]
-fn a_slow_granter_takes_keys_back_from_holders_that_nobody_hears() {
+fn a_slow_granter_revokes_keys_of_holders_that_answer_no_node() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(4);
-    let dark = id(&holder(3));
-    let mut taken_back = false;
+    let unreachable = id(&holder(3));
+    let mut was_revoked = false;
     for now in (10_000..14_000).step_by(10) {
-        machine.answers(now, &mut granter);
+        machine.deliver_replies(now, &mut granter);
         let mut candidates = holders(Some(now));
-        candidates[3].heard = Some(at(9_900));
+        candidates[3].last_answered = Some(at(9_900));
         granter.set_candidates(at(now), candidates);
         for order in granter.poll(at(now)) {
-            if order.holder == dark {
-                granter.handle(at(now), order.call, GrantReply::Unanswered);
+            if order.holder == unreachable {
+                granter.handle_reply(at(now), order.call, GrantReply::Unanswered);
             } else {
-                machine.give(now, order);
+                machine.send(now, order);
             }
         }
         if let Some(record) = write_record(&mut granter, at(now)) {
-            taken_back |= record.slices.iter().any(|slice| {
+            was_revoked |= record.slices.iter().any(|slice| {
                 let leaves = matches!(&slice.state, SliceState::Leaving { holder, .. }
-                    if *holder == dark);
+                    if *holder == unreachable);
                 leaves
             });
         }
     }
-    assert!(taken_back);
+    assert!(was_revoked);
 }
 
-/// It can renew 83 holds a second, where 94 are needed for all: it keeps what it can, and
-/// takes nothing back.
+/// The granter can renew 83 grants a second, while 94 are needed for all of them: it keeps
+/// what it can and revokes nothing.
 #[test]
-fn a_granter_too_slow_for_all_holds_keeps_some() {
+fn a_granter_too_slow_for_all_renewals_keeps_some_grants() {
     let mut granter = successor(10_000);
     let mut machine = Machine::new(12);
-    let left = run(&mut granter, &mut machine, 10_000, 30_000);
-    assert_eq!(left, 0, "slices were taken back from holders that serve");
+    let revoked = run(&mut granter, &mut machine, 10_000, 30_000);
+    assert_eq!(revoked, 0, "slices were revoked from responsive holders");
     let held = granter.held_count(at(30_000));
     assert!(held >= 150, "{held} of {SLICES} held");
 }
