--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -130,7 +130,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PermitWait {
     upstream: UpstreamHash,
-    /// When a permit may become available; `None` while a lender's reply is pending.
+    /// When a permit may become available; `None` while an issuer's reply is pending.
     until: Option<Time>,
 }
 
--- a/crates/dispatch/src/dispatcher/choice.rs
+++ b/crates/dispatch/src/dispatcher/choice.rs
@@ -44,7 +44,7 @@
     AskRelay,
     /// Wait for the relay's reply.
     Wait,
-    /// Ask a lender for permits.
+    /// Ask an issuer for permits.
     AskPermit(PermitRequest),
 }
 
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -1,7 +1,7 @@
 //! Requests to upstreams that advertise a rate limit.
 //!
 //! A request without a key goes to another upstream as long as one has room; the advertised
-//! rate is then used by the lenders themselves, which have permits at hand. Lenders are asked
+//! rate is then used by the issuers themselves, which have permits at hand. Issuers are asked
 //! only if no other upstream has room. A request whose key is held by a rate-limited upstream
 //! always needs a permit, and is refused at once if none can arrive in time. None of this makes
 //! the upstream count as slow or failing.
@@ -83,7 +83,7 @@
         self.limits.count()
     }
 
-    /// Counts of permits requested, used, lent and denied.
+    /// Counts of permits requested, used, issued and denied.
     pub fn permit_counts(&self) -> PermitCounts {
         self.limits.counts()
     }
@@ -93,12 +93,12 @@
         self.limits.rate(upstream)
     }
 
-    /// As a lender: handles a request for permits.
-    pub fn lend_permits(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
-        self.limits.lend(now, request)
+    /// As an issuer: handles a request for permits.
+    pub fn issue_permits(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
+        self.limits.issue(now, request)
     }
 
-    /// Handles a lender's reply.
+    /// Handles an issuer's reply.
     pub fn handle_permit_reply(&mut self, now: Time, reply: &PermitReply) {
         self.limits.handle_reply(now, reply);
     }
@@ -110,11 +110,11 @@
             PermitStep::Asked => wait(None),
             PermitStep::Empty { until } => wait(Some(until)),
             PermitStep::Ask {
-                lender,
+                issuer,
                 number,
                 wanted,
             } => {
-                let request = self.limits.request(now, upstream, lender, number, wanted);
+                let request = self.limits.request(now, upstream, issuer, number, wanted);
                 request.map_or(PermitAction::Send, PermitAction::Ask)
             }
         }
@@ -131,7 +131,7 @@
         match self.permit_action(now, hash) {
             PermitAction::Send => Ok(Choice::Send(registration.clone())),
             PermitAction::Ask(permit_request) => {
-                wait_for_lender(now, request);
+                wait_for_issuer(now, request);
                 Ok(Choice::AskPermit(permit_request))
             }
             PermitAction::Wait(wait) => {
@@ -142,7 +142,7 @@
     }
 
     /// Selects a rate-limited upstream for which this node has a permit, or, if the relay found
-    /// all other upstreams full, a lender to ask.
+    /// all other upstreams full, an issuer to ask.
     pub(super) fn choose_limited_early(
         &mut self,
         now: Time,
@@ -174,7 +174,7 @@
     }
 
     /// Selects a rate-limited upstream when no other has room: one for which there is a permit,
-    /// or the first one whose lenders may have one.
+    /// or the first one whose issuers may have one.
     pub(super) fn choose_limited(
         &mut self,
         now: Time,
@@ -200,7 +200,7 @@
             match self.permit_action(now, member.hash) {
                 PermitAction::Send => return Ok(Choice::Send(member.registration.clone())),
                 PermitAction::Ask(permit_request) => {
-                    wait_for_lender(now, request);
+                    wait_for_issuer(now, request);
                     return Ok(Choice::AskPermit(permit_request));
                 }
                 PermitAction::Wait(wait) => {
@@ -251,9 +251,9 @@
     }
 }
 
-/// Lets a request wait for the lender that is asked on its behalf, as long as it could still be
+/// Lets a request wait for the issuer that is asked on its behalf, as long as it could still be
 /// served in time afterwards: a permit that arrives after the refusal is lost.
-fn wait_for_lender(now: Time, request: &mut Request) {
+fn wait_for_issuer(now: Time, request: &mut Request) {
     let latest = request.arrived
         + request
             .route
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! When an upstream terminates, all requests that it was running are suspected, and none is
 //! blamed yet. From the first termination on, all nodes together run at most one attempt of a
-//! suspected request at a time, as in a half-open circuit breaker; [`lender`] decides which
+//! suspected request at a time, as in a half-open circuit breaker; [`issuer`] decides which
 //! node runs it. A request that merely ran beside the cause is cleared by its next success. One
 //! whose trials terminate upstreams too is taken for the cause: every node refuses it for some
 //! time, and only after that is another upstream risked for it.
@@ -11,7 +11,7 @@
 //! whether it was cleared. Sets of different nodes are merged by a union in which cleared
 //! flags win, so neither the order nor the repetition of updates makes a difference.
 
-mod lender;
+mod issuer;
 mod status;
 mod suspect;
 mod trials;
@@ -20,8 +20,8 @@
 use crate::report::UpstreamHash;
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
-use lender::Lender;
-pub use lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
+use issuer::Issuer;
+pub use issuer::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
 pub(crate) use status::RequestStatus;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -131,7 +131,7 @@
     /// The oldest first.
     unconfirmed: Vec<UnconfirmedTermination>,
     trials: LocalTrials,
-    lender: Lender,
+    issuer: Issuer,
     local_suspicions: Vec<Suspicion>,
     /// All suspicions that were new here, whichever node found them.
     new_suspicions: Vec<Suspicion>,
@@ -302,7 +302,7 @@
         self.unconfirmed
             .retain(|unconfirmed| now.since(unconfirmed.at) < CONFIRMATION_TIMEOUT);
         self.suspects.retain(|_, suspect| !suspect.is_expired(now));
-        self.lender.expire(now);
+        self.issuer.expire(now);
     }
 
     /// Merges the store's record.
--- a/crates/dispatch/src/quarantine/lender.rs
+++ b/crates/dispatch/src/quarantine/issuer.rs
@@ -1,7 +1,7 @@
-//! The node that lends the permits for trials of a request.
+//! The node that issues the permits for trials of a request.
 //!
 //! At most one attempt of a suspected request is in flight at a time: a node that wants to send
-//! it asks one node, the same for all, which lends one permit and then no other until it has
+//! it asks one node, the same for all, which issues one permit and then no other until it has
 //! learned the outcome of that trial. Request and reply carry what either node knows of the
 //! suspected request, so a node with a permit knows of all earlier terminations.
 //!
@@ -30,7 +30,7 @@
 /// upstreams survived: enough to clear a request that never succeeds, such as one for something
 /// that does not exist.
 const ANSWERED_TRIALS: u32 = 3;
-/// How long after the last activity the lender drops a request.
+/// How long after the last activity the issuer drops a request.
 const RETENTION: Duration = Duration::from_secs(20 * 60);
 
 /// Asks for a permit.
@@ -48,7 +48,7 @@
     pub known: Vec<Suspicion>,
 }
 
-/// The lender's reply.
+/// The issuer's reply.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TrialReply {
     /// The suspected request.
@@ -56,8 +56,8 @@
     /// Number of the permit request.
     pub number: u32,
     /// Whether the node may send the request once.
-    pub is_lent: bool,
-    /// What the lender knows of the suspected request.
+    pub is_issued: bool,
+    /// What the issuer knows of the suspected request.
     pub known: Vec<Suspicion>,
 }
 
@@ -74,7 +74,7 @@
     Unknown,
 }
 
-/// Reports the outcome of a trial to the lender.
+/// Reports the outcome of a trial to the issuer.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TrialReport {
     /// The suspected request.
@@ -124,17 +124,17 @@
     }
 }
 
-/// The permits that one node lends.
+/// The permits that one node issues.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Lender {
+pub(super) struct Issuer {
     trials: HashMap<Fingerprint, Trials>,
 }
 
-impl Lender {
+impl Issuer {
     /// Decides whether a node gets the permit that it asks for. A node asks only while it has
     /// none, so if the holder of the permit asks again, the reply was lost or the report of its
     /// trial is on the way.
-    pub fn lend(&mut self, now: Time, request: &TrialRequest) -> bool {
+    pub fn issue(&mut self, now: Time, request: &TrialRequest) -> bool {
         let trials = self.trials.entry(request.fingerprint).or_default();
         trials.last_activity = now;
         trials.expire_permit(now);
--- a/crates/dispatch/src/quarantine/status.rs
+++ b/crates/dispatch/src/quarantine/status.rs
@@ -1,7 +1,7 @@
 //! Quarantine status of requests, and their trials: at the node that wants to send the request,
-//! and at the node that lends the permits.
+//! and at the node that issues the permits.
 
-use super::lender::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
+use super::issuer::{TrialOutcome, TrialReply, TrialReport, TrialRequest};
 use super::trials::{PERMIT_LIFETIME, TrialStep};
 use super::{Quarantine, QuarantineEvent};
 use crate::fingerprint::{Fingerprint, Fingerprints};
@@ -39,7 +39,7 @@
         self.trials.step(now, fingerprint)
     }
 
-    /// Builds the permit request for the lender. The suspected request ends at most `timeout`
+    /// Builds the permit request for the issuer. The suspected request ends at most `timeout`
     /// after it is sent.
     pub(crate) fn trial_request(
         &self,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// As the lender: handles a permit request.
-    pub fn lend_permit(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
+    /// As the issuer: handles a permit request.
+    pub fn issue_permit(&mut self, now: Time, request: &TrialRequest) -> TrialReply {
         let fingerprint = request.fingerprint;
         for suspicion in &request.known {
             self.merge(now, *suspicion);
@@ -69,12 +69,12 @@
         TrialReply {
             fingerprint,
             number: request.number,
-            is_lent: is_on_trial && self.lender.lend(now, request),
+            is_issued: is_on_trial && self.issuer.issue(now, request),
             known: self.suspicions_of(fingerprint),
         }
     }
 
-    /// Handles the lender's reply.
+    /// Handles the issuer's reply.
     pub fn handle_trial_reply(&mut self, now: Time, reply: &TrialReply) {
         for suspicion in &reply.known {
             self.merge(now, *suspicion);
@@ -82,10 +82,11 @@
         let TrialReply {
             fingerprint,
             number,
-            is_lent,
+            is_issued,
             ..
         } = *reply;
-        self.trials.handle_reply(now, fingerprint, number, is_lent);
+        self.trials
+            .handle_reply(now, fingerprint, number, is_issued);
     }
 
     /// Records that a request is sent with a permit; its attempt ends by `ends`.
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Takes the outcomes of this node's trials since the last call, to be sent to the lenders.
+    /// Takes the outcomes of this node's trials since the last call, to be sent to the issuers.
     pub fn take_trial_reports(&mut self, node: &str) -> Vec<TrialReport> {
         let ended = self.trials.take_ended();
         let events = ended.iter().map(|ended| QuarantineEvent::TrialEnded {
@@ -120,12 +121,12 @@
             .collect()
     }
 
-    /// As the lender: handles the outcome of a trial.
+    /// As the issuer: handles the outcome of a trial.
     pub fn handle_trial_report(&mut self, now: Time, report: &TrialReport) {
         for suspicion in &report.known {
             self.merge(now, *suspicion);
         }
-        if self.lender.handle_report(now, report) {
+        if self.issuer.handle_report(now, report) {
             self.clear(now, report.fingerprint);
         }
     }
--- a/crates/dispatch/src/quarantine/trials.rs
+++ b/crates/dispatch/src/quarantine/trials.rs
@@ -1,18 +1,18 @@
 //! One node's trials of suspected requests.
 
-use super::lender::TrialOutcome;
+use super::issuer::TrialOutcome;
 use crate::fingerprint::Fingerprint;
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long the lender's reply is awaited: longer than a round trip between zones plus the
+/// How long the issuer's reply is awaited: longer than a round trip between zones plus the
 /// scheduling delay of a node with little CPU time.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long after the permit request a permit may be used. For the lender the time starts
+/// How long after the permit request a permit may be used. For the issuer the time starts
 /// later.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
-/// Delay after the lender denied a permit: about the duration of a request.
+/// Delay after the issuer denied a permit: about the duration of a request.
 const DENIAL_BACKOFF: Duration = Duration::from_millis(40);
 /// How long after the end of a trial's attempt the confirmation whether its upstream terminated
 /// is awaited.
@@ -20,9 +20,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The lender was asked.
+    /// The issuer was asked.
     Asked,
-    /// The lender denied a permit.
+    /// The issuer denied a permit.
     Denied,
     /// A permit is available.
     Held,
@@ -43,7 +43,7 @@
 /// Next step of a suspected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrialStep {
-    /// Ask the lender, using this number.
+    /// Ask the issuer, using this number.
     Ask(u32),
     /// Wait.
     Wait,
@@ -94,18 +94,18 @@
         TrialStep::Ask(trial.number)
     }
 
-    /// Handles the lender's reply.
+    /// Handles the issuer's reply.
     pub fn handle_reply(
         &mut self,
         now: Time,
         fingerprint: Fingerprint,
         number: u32,
-        is_lent: bool,
+        is_issued: bool,
     ) {
         let trial = self.trials.get_mut(&fingerprint);
         match trial.filter(|trial| trial.number == number) {
             Some(trial) if trial.stage != Stage::Asked => {}
-            Some(trial) if is_lent => {
+            Some(trial) if is_issued => {
                 trial.stage = Stage::Held;
                 trial.until = trial.asked_at + PERMIT_LIFETIME;
             }
@@ -113,9 +113,9 @@
                 trial.stage = Stage::Denied;
                 trial.until = now + DENIAL_BACKOFF;
             }
-            // The reply came too late. Reporting the permit as unused spares the lender from
+            // The reply came too late. Reporting the permit as unused spares the issuer from
             // waiting for an outcome.
-            None if is_lent => self.ended.push(EndedTrial {
+            None if is_issued => self.ended.push(EndedTrial {
                 fingerprint,
                 number,
                 outcome: TrialOutcome::Unused,
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -2,13 +2,13 @@
 //!
 //! An overloaded upstream advertises the number of requests per second that it accepts from all
 //! nodes. No node knows what the others are about to send, so each request to the upstream
-//! needs a permit from one of its [`MAX_LENDERS`] lenders. These are nodes selected by a hash
+//! needs a permit from one of its [`MAX_ISSUERS`] issuers. These are nodes selected by a hash
 //! of node and upstream, each with an equal share of the rate. A node without a permit asks one
-//! lender after the other. A lender that is lost costs its share of the rate until its
-//! registration lapses or another lender is asked; it never lets more requests through.
+//! issuer after the other. An issuer that is lost costs its share of the rate until its
+//! registration lapses or another issuer is asked; it never lets more requests through.
 
+mod issuer;
 mod known;
-mod lender;
 mod permits;
 mod recent;
 
@@ -17,48 +17,48 @@
 use beamtray_catalog::{AdvertisedRate, RequestRate};
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
+use issuer::{Buckets, Share, Tenure, WINDOW};
 use known::KnownLimits;
 pub use known::{RateLimitEvent, RateLimitUpdate};
-use lender::{Buckets, Share, Tenure, WINDOW};
 use permits::Permits;
 pub(crate) use permits::{PermitStep, REPLY_TIMEOUT};
 use recent::RecentSends;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Number of lenders per upstream: if one is lost two remain, and there are few enough that the
+/// Number of issuers per upstream: if one is lost two remain, and there are few enough that the
 /// first permits of all buckets, which may be used at the same moment, do no harm.
-const MAX_LENDERS: usize = 3;
-/// Delay before a node that was asked but is not a lender is asked again: nodes may briefly
-/// disagree about the lenders.
-const NO_LENDER_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_ISSUERS: usize = 3;
+/// Delay before a node that was asked but is not an issuer is asked again: nodes may briefly
+/// disagree about the issuers.
+const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Asks a lender for permits.
+/// Asks an issuer for permits.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PermitRequest {
     /// The upstream's rate limit, as known to the asking node.
     pub limit: RateLimitUpdate,
-    /// The lender that is asked.
-    pub lender: NodeHash,
+    /// The issuer that is asked.
+    pub issuer: NodeHash,
     /// Number of this permit request, unique within the node.
     pub number: u32,
     /// Number of permits that the node can use now.
     pub wanted: u32,
     /// Number of requests that the node sent in the window before it learned of the limit; zero
-    /// if this lender has been told before.
+    /// if this issuer has been told before.
     pub sent_before: u32,
 }
 
-/// The lender's reply.
+/// The issuer's reply.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PermitReply {
-    /// The upstream's rate limit, as known to the lender.
+    /// The upstream's rate limit, as known to the issuer.
     pub limit: RateLimitUpdate,
     /// Number of the permit request.
     pub number: u32,
-    /// Number of permits lent. Each is for one request, to be sent right away.
+    /// Number of permits issued. Each is for one request, to be sent right away.
     pub permits: u32,
-    /// Milliseconds until the lender has a permit again.
+    /// Milliseconds until the issuer has a permit again.
     pub next_in_ms: u32,
     /// Milliseconds until it would have had a permit for each one that it recently denied.
     pub room_in_ms: u32,
@@ -67,19 +67,19 @@
 /// Counts of permits since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitCounts {
-    /// Permit requests to lenders, this node included.
+    /// Permit requests to issuers, this node included.
     pub asked: u64,
     /// Permits that were used.
     pub used: u64,
-    /// As a lender: permits that were lent.
-    pub lent: u64,
-    /// As a lender: permits that were requested and denied.
+    /// As an issuer: permits that were issued.
+    pub issued: u64,
+    /// As an issuer: permits that were requested and denied.
     pub denied: u64,
 }
 
-/// The lenders of an upstream's permits.
+/// The issuers of an upstream's permits.
 #[derive(Clone, Debug)]
-struct Lenders {
+struct Issuers {
     nodes: Vec<NodeHash>,
     /// Since when this node is one of them.
     since: Option<Time>,
@@ -87,17 +87,17 @@
     /// it learned.
     sent_before: u32,
     learned: Time,
-    /// Lenders that have been told of these requests.
+    /// Issuers that have been told of these requests.
     informed: Vec<NodeHash>,
 }
 
-/// The rate limits that a node knows, and the permits that it lends and holds.
+/// The rate limits that a node knows, and the permits that it issues and holds.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimits {
     own: NodeHash,
     nodes: Vec<NodeHash>,
     nodes_changed: Time,
-    lenders: HashMap<UpstreamHash, Lenders>,
+    issuers: HashMap<UpstreamHash, Issuers>,
     known: KnownLimits,
     buckets: Buckets,
     permits: Permits,
@@ -115,7 +115,7 @@
             own,
             nodes: Vec::new(),
             nodes_changed: Time::ZERO,
-            lenders: HashMap::new(),
+            issuers: HashMap::new(),
             known: KnownLimits::default(),
             buckets: Buckets::default(),
             permits,
@@ -132,15 +132,15 @@
         self.nodes = nodes.to_vec();
         self.nodes_changed = now;
         self.known.set_nodes(nodes.len());
-        for (upstream, lenders) in &mut self.lenders {
-            lenders.nodes = rendezvous::top_ranked(nodes, *upstream, MAX_LENDERS);
-            let is_lender = lenders.nodes.contains(&self.own);
-            lenders.since = is_lender.then(|| lenders.since.unwrap_or(now));
+        for (upstream, issuers) in &mut self.issuers {
+            issuers.nodes = rendezvous::top_ranked(nodes, *upstream, MAX_ISSUERS);
+            let is_issuer = issuers.nodes.contains(&self.own);
+            issuers.since = is_issuer.then(|| issuers.since.unwrap_or(now));
         }
-        let lenders = &self.lenders;
+        let issuers = &self.issuers;
         self.buckets.retain(|upstream| {
-            let lenders = lenders.get(&upstream);
-            lenders.is_some_and(|lenders| lenders.since.is_some())
+            let issuers = issuers.get(&upstream);
+            issuers.is_some_and(|issuers| issuers.since.is_some())
         });
     }
 
@@ -167,7 +167,7 @@
         self.known.rate(upstream)
     }
 
-    /// Whether a request may be sent to an upstream now without asking a lender.
+    /// Whether a request may be sent to an upstream now without asking an issuer.
     pub fn has_permit(&self, now: Time, upstream: UpstreamHash) -> bool {
         let Some(rate) = self.rate(upstream) else {
             return true;
@@ -185,7 +185,7 @@
         if self.has_permit(now, upstream) {
             return PermitStep::Send;
         }
-        let others = self.other_lenders(upstream);
+        let others = self.other_issuers(upstream);
         let step = self.permits.step(now, upstream, &others);
         match step {
             PermitStep::Send | PermitStep::Asked => {}
@@ -199,62 +199,62 @@
         step
     }
 
-    /// The other lenders of an upstream. Nodes start with different ones.
-    fn other_lenders(&self, upstream: UpstreamHash) -> Vec<NodeHash> {
-        let lenders = self.lenders.get(&upstream);
-        let all = lenders.map_or(&[][..], |lenders| &lenders.nodes);
+    /// The other issuers of an upstream. Nodes start with different ones.
+    fn other_issuers(&self, upstream: UpstreamHash) -> Vec<NodeHash> {
+        let issuers = self.issuers.get(&upstream);
+        let all = issuers.map_or(&[][..], |issuers| &issuers.nodes);
         let mut others: Vec<NodeHash> = all
             .iter()
             .copied()
-            .filter(|lender| *lender != self.own)
+            .filter(|issuer| *issuer != self.own)
             .collect();
         let first = self.own.0 as usize % others.len().max(1);
         others.rotate_left(first);
         others
     }
 
-    /// When this node's own bucket has a permit again, if this node is a lender.
+    /// When this node's own bucket has a permit again, if this node is an issuer.
     fn local_permit_at(&self, now: Time, upstream: UpstreamHash) -> Option<Time> {
         let rate = self.rate(upstream)?;
         let (share, tenure) = self.local_share(upstream, rate)?;
         Some(now + self.buckets.next_in(now, upstream, share, tenure))
     }
 
-    /// Builds the permit request for a lender; `None` if the upstream no longer advertises a
+    /// Builds the permit request for an issuer; `None` if the upstream no longer advertises a
     /// limit.
     pub fn request(
         &mut self,
         now: Time,
         upstream: UpstreamHash,
-        lender: NodeHash,
+        issuer: NodeHash,
         number: u32,
         wanted: u32,
     ) -> Option<PermitRequest> {
         let limit = self.known.update(now, upstream)?;
         Some(PermitRequest {
             limit,
-            lender,
+            issuer,
             number,
             wanted,
-            sent_before: self.report_sent_before(now, upstream, lender),
+            sent_before: self.report_sent_before(now, upstream, issuer),
         })
     }
 
-    /// Number of requests before the limit was known that a lender has yet to be told of.
-    fn report_sent_before(&mut self, now: Time, upstream: UpstreamHash, lender: NodeHash) -> u32 {
-        let Some(lenders) = self.lenders.get_mut(&upstream) else {
+    /// Number of requests before the limit was known that an issuer has yet to be told of.
+    fn report_sent_before(&mut self, now: Time, upstream: UpstreamHash, issuer: NodeHash) -> u32 {
+        let Some(issuers) = self.issuers.get_mut(&upstream) else {
             return 0;
         };
-        let is_old = now.since(lenders.learned) >= WINDOW;
-        if is_old || lenders.informed.contains(&lender) {
+        let is_old = now.since(issuers.learned) >= WINDOW;
+        if is_old || issuers.informed.contains(&issuer) {
             return 0;
         }
-        lenders.informed.push(lender);
-        lenders.sent_before
+        issuers.informed.push(issuer);
+        issuers.sent_before
     }
 
-    /// As a lender: handles a permit request.
-    pub fn lend(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
+    /// As an issuer: handles a permit request.
+    pub fn issue(&mut self, now: Time, request: &PermitRequest) -> PermitReply {
         self.apply_update(now, &request.limit);
         let upstream = request.limit.upstream;
         let limit = self.known.update(now, upstream).unwrap_or(request.limit);
@@ -267,18 +267,18 @@
         };
         let rate = self.known.rate(upstream);
         let Some((share, tenure)) = rate.and_then(|rate| self.local_share(upstream, rate)) else {
-            return reply(0, NO_LENDER_BACKOFF, NO_LENDER_BACKOFF);
+            return reply(0, NO_ISSUER_BACKOFF, NO_ISSUER_BACKOFF);
         };
         let wanted = request.wanted;
         self.buckets
             .charge(now, upstream, share, tenure, request.sent_before);
-        let lent = self.buckets.lend(now, upstream, share, tenure, wanted);
-        self.counts.lent += u64::from(lent.permits);
-        self.counts.denied += u64::from(wanted - lent.permits);
-        reply(lent.permits, lent.next_in, lent.room_in)
+        let issued = self.buckets.issue(now, upstream, share, tenure, wanted);
+        self.counts.issued += u64::from(issued.permits);
+        self.counts.denied += u64::from(wanted - issued.permits);
+        reply(issued.permits, issued.next_in, issued.room_in)
     }
 
-    /// Handles a lender's reply.
+    /// Handles an issuer's reply.
     pub fn handle_reply(&mut self, now: Time, reply: &PermitReply) {
         self.apply_update(now, &reply.limit);
         self.permits.handle_reply(
@@ -304,14 +304,14 @@
         is_permitted
     }
 
-    /// Takes a permit from this node's own bucket, if it is a lender and has one.
+    /// Takes a permit from this node's own bucket, if it is an issuer and has one.
     fn take_local_permit(&mut self, now: Time, upstream: UpstreamHash, rate: RequestRate) -> bool {
         let Some((share, tenure)) = self.local_share(upstream, rate) else {
             return false;
         };
-        let lent = self.buckets.lend(now, upstream, share, tenure, 1);
-        self.counts.lent += u64::from(lent.permits);
-        lent.permits > 0
+        let issued = self.buckets.issue(now, upstream, share, tenure, 1);
+        self.counts.issued += u64::from(issued.permits);
+        issued.permits > 0
     }
 
     /// When those who were denied a permit before will have had one.
@@ -319,11 +319,11 @@
         self.permits.room_at(upstream)
     }
 
-    /// This node's share of an upstream's rate, if it is a lender.
+    /// This node's share of an upstream's rate, if it is an issuer.
     fn local_share(&self, upstream: UpstreamHash, rate: RequestRate) -> Option<(Share, Tenure)> {
-        let lenders = self.lenders.get(&upstream)?;
-        let (since, count) = (lenders.since?, lenders.nodes.len());
-        let tenure = Tenure::of(rate, lenders.learned, since);
+        let issuers = self.issuers.get(&upstream)?;
+        let (since, count) = (issuers.since?, issuers.nodes.len());
+        let tenure = Tenure::of(rate, issuers.learned, since);
         Some((Share::of(rate, count), tenure))
     }
 
@@ -333,39 +333,39 @@
             return;
         }
         self.known.observe(now, upstream, sent, word);
-        self.update_lenders(now, upstream);
+        self.update_issuers(now, upstream);
     }
 
     /// Applies another node's update. Returns whether it was new.
     pub fn apply_update(&mut self, now: Time, update: &RateLimitUpdate) -> bool {
         let is_new = self.known.apply_update(now, update);
-        self.update_lenders(now, update.upstream);
+        self.update_issuers(now, update.upstream);
         is_new
     }
 
-    /// Determines the lenders of an upstream that has started to advertise a limit, and drops
+    /// Determines the issuers of an upstream that has started to advertise a limit, and drops
     /// all state of one that has stopped.
-    fn update_lenders(&mut self, now: Time, upstream: UpstreamHash) {
+    fn update_issuers(&mut self, now: Time, upstream: UpstreamHash) {
         let Some(rate) = self.known.rate(upstream) else {
-            if self.lenders.remove(&upstream).is_some() {
+            if self.issuers.remove(&upstream).is_some() {
                 self.buckets.retain(|other| other != upstream);
                 self.permits.retain(|other| other != upstream);
             }
             return;
         };
-        if self.lenders.contains_key(&upstream) {
+        if self.issuers.contains_key(&upstream) {
             return;
         }
-        let nodes = rendezvous::top_ranked(&self.nodes, upstream, MAX_LENDERS);
-        let is_lender = nodes.contains(&self.own);
-        let lenders = Lenders {
+        let nodes = rendezvous::top_ranked(&self.nodes, upstream, MAX_ISSUERS);
+        let is_issuer = nodes.contains(&self.own);
+        let issuers = Issuers {
             nodes,
-            since: is_lender.then_some(self.nodes_changed),
+            since: is_issuer.then_some(self.nodes_changed),
             sent_before: self.recent.count(now, upstream),
             learned: self.known.learned(upstream).unwrap_or(now),
             informed: Vec::new(),
         };
-        self.lenders.insert(upstream, lenders);
+        self.issuers.insert(upstream, issuers);
         if let Some((share, tenure)) = self.local_share(upstream, rate) {
             let sent_before = self.report_sent_before(now, upstream, self.own);
             self.buckets
@@ -379,7 +379,7 @@
         self.buckets.retain(&keep);
         self.permits.retain(&keep);
         self.recent.retain(&keep);
-        self.lenders.retain(|upstream, _| keep(*upstream));
+        self.issuers.retain(|upstream, _| keep(*upstream));
     }
 }
 
--- a/crates/dispatch/src/rate_limit/lender.rs
+++ b/crates/dispatch/src/rate_limit/issuer.rs
@@ -1,9 +1,9 @@
-//! Token buckets from which a node lends permits.
+//! Token buckets from which a node issues permits.
 //!
-//! Invariant: in any [`WINDOW`], the permits that all lenders of an upstream lend, and the
+//! Invariant: in any [`WINDOW`], the permits that all issuers of an upstream issue, and the
 //! requests sent with them, stay below the advertised rate over that time plus
-//! [`BURST_PERMITS`] requests per lender. A bucket that replaces another one starts empty, so
-//! nothing is lent twice. Buckets fill more slowly than the rate, by what they may hold at once
+//! [`BURST_PERMITS`] requests per issuer. A bucket that replaces another one starts empty, so
+//! nothing is issued twice. Buckets fill more slowly than the rate, by what they may hold at once
 //! and by how long a permit may stay unused, which makes up for permits that are used together
 //! or late.
 //!
@@ -12,8 +12,8 @@
 //! would not shrink at the full rate. If it got fewer requests than it accepts, nothing is held
 //! back.
 //!
-//! The invariant does not hold if two nodes disagree about the lenders for longer than
-//! [`SETTLE_TIME`], or if the rate falls: permits lent at the higher rate may still be used for
+//! The invariant does not hold if two nodes disagree about the issuers for longer than
+//! [`SETTLE_TIME`], or if the rate falls: permits issued at the higher rate may still be used for
 //! [`PERMIT_LIFETIME`].
 
 use crate::report::UpstreamHash;
@@ -24,7 +24,7 @@
 
 /// Time over which an upstream's rate limit is enforced.
 pub(super) const WINDOW: Duration = Duration::from_secs(4);
-/// How long after the permit request a permit may be used. For the lender the time starts
+/// How long after the permit request a permit may be used. For the issuer the time starts
 /// later.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(150);
 /// Number of permits that a bucket may hold at once, in addition to [`BURST_TIME`]. With only
@@ -34,7 +34,7 @@
 /// Additional capacity of a bucket, as time at its rate: at high rates many permits are
 /// requested at once.
 const BURST_TIME: Duration = Duration::from_millis(150);
-/// How long a node has been a lender before its bucket fills: by then the previous lender has
+/// How long a node has been an issuer before its bucket fills: by then the previous issuer has
 /// learned that it no longer is one.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Upper bound on the time to work off requests sent before the limit was known, at the
@@ -46,7 +46,7 @@
 /// Time in which the count of denied permits halves.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// One lender's share of an upstream's rate.
+/// One issuer's share of an upstream's rate.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Share {
     /// Permits per second.
@@ -60,9 +60,9 @@
 }
 
 impl Share {
-    /// Returns the share of each lender.
-    pub fn of(rate: RequestRate, lenders: usize) -> Self {
-        let shares = lenders.max(1) as f64;
+    /// Returns the share of each issuer.
+    pub fn of(rate: RequestRate, issuers: usize) -> Self {
+        let shares = issuers.max(1) as f64;
         let each = rate.per_second().max(MIN_RATE) / shares;
         let window = WINDOW.as_secs_f64();
         let excess = PERMIT_LIFETIME + BURST_TIME;
@@ -83,7 +83,7 @@
 
 /// Result of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Lent {
+pub(super) struct IssuedPermits {
     pub permits: u32,
     /// Time until there will be a permit again.
     pub next_in: Duration,
@@ -146,33 +146,33 @@
     }
 }
 
-/// Determines from when a lender of an upstream may fill its bucket: once the limit is known
-/// and the lender has been one for [`SETTLE_TIME`].
+/// Determines from when an issuer of an upstream may fill its bucket: once the limit is known
+/// and the issuer has been one for [`SETTLE_TIME`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Tenure {
     pub learned: Time,
-    pub lender_since: Time,
+    pub issuer_since: Time,
     /// Whether the upstream accepts no requests; then the bucket starts empty too.
     pub is_closed: bool,
 }
 
 impl Tenure {
     /// Builds the tenure for a rate.
-    pub fn of(rate: RequestRate, learned: Time, lender_since: Time) -> Self {
+    pub fn of(rate: RequestRate, learned: Time, issuer_since: Time) -> Self {
         Self {
             learned,
-            lender_since,
+            issuer_since,
             is_closed: Share::is_closed(rate),
         }
     }
 
-    /// Whether another node may have lent permits since the rate was learned.
+    /// Whether another node may have issued permits since the rate was learned.
     fn is_takeover(self) -> bool {
-        self.learned < self.lender_since + SETTLE_TIME
+        self.learned < self.issuer_since + SETTLE_TIME
     }
 
     fn starts(self) -> Time {
-        self.learned.max(self.lender_since + SETTLE_TIME)
+        self.learned.max(self.issuer_since + SETTLE_TIME)
     }
 }
 
@@ -220,20 +220,20 @@
         bucket.charge(share, sent_before);
     }
 
-    /// Lends as many of the wanted permits as are available.
-    pub fn lend(
+    /// Issues as many of the wanted permits as are available.
+    pub fn issue(
         &mut self,
         now: Time,
         upstream: UpstreamHash,
         share: Share,
         tenure: Tenure,
         wanted: u32,
-    ) -> Lent {
+    ) -> IssuedPermits {
         let bucket = self.filled(now, upstream, share, tenure);
         let permits = wanted.min(bucket.permits.max(0.0) as u32);
         bucket.permits -= f64::from(permits);
         bucket.denied += f64::from(wanted - permits);
-        Lent {
+        IssuedPermits {
             permits,
             next_in: bucket.next_in(now, share),
             room_in: Duration::from_secs_f64(bucket.denied / share.rate),
@@ -253,7 +253,7 @@
         bucket
     }
 
-    /// Drops upstreams that this node does not lend for.
+    /// Drops upstreams that this node does not issue for.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.0.retain(|upstream, _| keep(*upstream));
     }
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -1,23 +1,23 @@
 //! One node's permits to send requests to rate-limited upstreams.
 
-use super::lender::PERMIT_LIFETIME;
+use super::issuer::PERMIT_LIFETIME;
 use crate::report::{NodeHash, UpstreamHash};
 use beamtray_types::Time;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a lender's reply is awaited: a round trip between zones plus the scheduling delay
+/// How long an issuer's reply is awaited: a round trip between zones plus the scheduling delay
 /// of a node with little CPU time.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long a lender that did not reply once is not asked; doubles with each further time. The
-/// message may have been lost, or the lender may be gone.
-const INITIAL_LENDER_BACKOFF: Duration = Duration::from_millis(50);
+/// How long an issuer that did not reply once is not asked; doubles with each further time. The
+/// message may have been lost, or the issuer may be gone.
+const INITIAL_ISSUER_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper bound on that delay.
-const MAX_LENDER_BACKOFF: Duration = Duration::from_secs(1);
-/// Delay if no lender is known.
-const NO_LENDER_WAIT: Duration = Duration::from_millis(500);
-/// Lower bound on the delay before a lender that had no permit is asked again.
-const MIN_LENDER_BACKOFF: Duration = Duration::from_millis(1);
+const MAX_ISSUER_BACKOFF: Duration = Duration::from_secs(1);
+/// Delay if no issuer is known.
+const NO_ISSUER_WAIT: Duration = Duration::from_millis(500);
+/// Lower bound on the delay before an issuer that had no permit is asked again.
+const MIN_ISSUER_BACKOFF: Duration = Duration::from_millis(1);
 /// Maximum number of permits requested at once.
 const MAX_PERMITS_PER_REQUEST: u32 = 16;
 
@@ -26,22 +26,22 @@
 pub(crate) enum PermitStep {
     /// Send it now.
     Send,
-    /// Ask a lender.
+    /// Ask an issuer.
     Ask {
-        lender: NodeHash,
+        issuer: NodeHash,
         number: u32,
         wanted: u32,
     },
-    /// Wait for a lender's reply.
+    /// Wait for an issuer's reply.
     Asked,
-    /// No lender has a permit before then.
+    /// No issuer has a permit before then.
     Empty { until: Time },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     number: u32,
-    lender: NodeHash,
+    issuer: NodeHash,
     asked_at: Time,
     wanted: u32,
 }
@@ -52,9 +52,9 @@
     }
 }
 
-/// A lender that has no permits, or did not reply.
+/// An issuer that has no permits, or did not reply.
 #[derive(Clone, Copy, Debug)]
-struct LenderState {
+struct IssuerState {
     node: NodeHash,
     ask_from: Time,
     /// Number of consecutive permit requests without a reply.
@@ -66,9 +66,9 @@
 struct Account {
     /// Expiry time of each permit.
     held: VecDeque<Time>,
-    /// At most one per lender.
+    /// At most one per issuer.
     pending: Vec<PendingRequest>,
-    lenders: Vec<LenderState>,
+    issuers: Vec<IssuerState>,
     /// When all denied requests would have had a permit, according to the latest reply.
     room_at: Time,
     /// Number of requests that looked for a permit at the time `demand_at`, and at the time
@@ -86,10 +86,10 @@
             .extract_if(.., |request| now >= request.expires())
             .collect();
         for request in unanswered {
-            let lender = self.lender(request.lender);
-            let backoff = INITIAL_LENDER_BACKOFF * 2u32.saturating_pow(lender.unanswered.min(8));
-            lender.unanswered += 1;
-            lender.ask_from = now + backoff.min(MAX_LENDER_BACKOFF);
+            let issuer = self.issuer(request.issuer);
+            let backoff = INITIAL_ISSUER_BACKOFF * 2u32.saturating_pow(issuer.unanswered.min(8));
+            issuer.unanswered += 1;
+            issuer.ask_from = now + backoff.min(MAX_ISSUER_BACKOFF);
         }
     }
 
@@ -98,34 +98,34 @@
         self.pending.iter().map(|request| request.wanted).sum()
     }
 
-    /// The first lender that may have permits and has no pending permit request.
-    fn next_lender(&self, now: Time, lenders: &[NodeHash]) -> Option<NodeHash> {
-        let is_backed_off = |lender| {
-            let mut known = self.lenders.iter();
-            known.any(|known| known.node == lender && now < known.ask_from)
+    /// The first issuer that may have permits and has no pending permit request.
+    fn next_issuer(&self, now: Time, issuers: &[NodeHash]) -> Option<NodeHash> {
+        let is_backed_off = |issuer| {
+            let mut known = self.issuers.iter();
+            known.any(|known| known.node == issuer && now < known.ask_from)
         };
-        let is_asked = |lender| self.pending.iter().any(|one| one.lender == lender);
-        let mut free = lenders.iter().copied();
-        free.find(|lender| !is_backed_off(*lender) && !is_asked(*lender))
+        let is_asked = |issuer| self.pending.iter().any(|one| one.issuer == issuer);
+        let mut free = issuers.iter().copied();
+        free.find(|issuer| !is_backed_off(*issuer) && !is_asked(*issuer))
     }
 
-    fn lender(&mut self, node: NodeHash) -> &mut LenderState {
-        let known = self.lenders.iter().position(|lender| lender.node == node);
+    fn issuer(&mut self, node: NodeHash) -> &mut IssuerState {
+        let known = self.issuers.iter().position(|issuer| issuer.node == node);
         let index = known.unwrap_or_else(|| {
-            self.lenders.push(LenderState {
+            self.issuers.push(IssuerState {
                 node,
                 ask_from: Time::ZERO,
                 unanswered: 0,
             });
-            self.lenders.len() - 1
+            self.issuers.len() - 1
         });
-        &mut self.lenders[index]
+        &mut self.issuers[index]
     }
 
-    /// When the first of these lenders may be asked again.
-    fn ask_from(&self, lenders: &[NodeHash]) -> Option<Time> {
-        let known = self.lenders.iter();
-        let known = known.filter(|known| lenders.contains(&known.node));
+    /// When the first of these issuers may be asked again.
+    fn ask_from(&self, issuers: &[NodeHash]) -> Option<Time> {
+        let known = self.issuers.iter();
+        let known = known.filter(|known| issuers.contains(&known.node));
         known.map(|known| known.ask_from).min()
     }
 
@@ -158,10 +158,10 @@
         account.is_some_and(|account| account.held.iter().any(|until| now < *until))
     }
 
-    /// Returns the next step of a request that found no permit. `lenders` are asked in order,
+    /// Returns the next step of a request that found no permit. `issuers` are asked in order,
     /// and several at a time only if there are more requests than permits requested so far:
-    /// permits that are lent but not used are lost.
-    pub fn step(&mut self, now: Time, upstream: UpstreamHash, lenders: &[NodeHash]) -> PermitStep {
+    /// permits that are issued but not used are lost.
+    pub fn step(&mut self, now: Time, upstream: UpstreamHash, issuers: &[NodeHash]) -> PermitStep {
         let account = self.accounts.entry(upstream).or_default();
         account.expire(now);
         account.record_demand(now);
@@ -169,30 +169,30 @@
         if outstanding >= account.demand {
             return PermitStep::Asked;
         }
-        let Some(lender) = account.next_lender(now, lenders) else {
+        let Some(issuer) = account.next_issuer(now, issuers) else {
             if outstanding > 0 {
                 return PermitStep::Asked;
             }
-            let until = account.ask_from(lenders).unwrap_or(now + NO_LENDER_WAIT);
+            let until = account.ask_from(issuers).unwrap_or(now + NO_ISSUER_WAIT);
             return PermitStep::Empty { until };
         };
         self.last_number = self.last_number.wrapping_add(1);
         let demand = account.last_demand.max(account.demand);
         let request = PendingRequest {
             number: self.last_number,
-            lender,
+            issuer,
             asked_at: now,
             wanted: (demand - outstanding).clamp(1, MAX_PERMITS_PER_REQUEST),
         };
         account.pending.push(request);
         PermitStep::Ask {
-            lender,
+            issuer,
             number: request.number,
             wanted: request.wanted,
         }
     }
 
-    /// Handles a lender's reply. A late reply is ignored; the lender relies on that.
+    /// Handles an issuer's reply. A late reply is ignored; the issuer relies on that.
     pub fn handle_reply(
         &mut self,
         now: Time,
@@ -213,10 +213,10 @@
         let until = request.asked_at + PERMIT_LIFETIME;
         let permits = permits.min(MAX_PERMITS_PER_REQUEST) as usize;
         account.held.extend(std::iter::repeat_n(until, permits));
-        let lender = account.lender(request.lender);
-        lender.unanswered = 0;
+        let issuer = account.issuer(request.issuer);
+        issuer.unanswered = 0;
         if permits < request.wanted as usize {
-            lender.ask_from = now + next_in.max(MIN_LENDER_BACKOFF);
+            issuer.ask_from = now + next_in.max(MIN_ISSUER_BACKOFF);
         }
         account.room_at = now + room_in;
     }
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -166,7 +166,7 @@
     /// Requests per second accepted from all nodes together; `None` if the upstream has just
     /// stopped advertising a limit.
     pub rate: Option<RequestRate>,
-    /// Time until a lender has a permit again, as far as known.
+    /// Time until an issuer has a permit again, as far as known.
     pub next_in: Duration,
     /// Time until enough permits for all recently denied requests would have become available.
     pub room_in: Duration,
@@ -204,8 +204,8 @@
     Conclude(Ticket, ConcludedRequest),
     /// Ask the zone's relay to select an upstream.
     AskSlot(SlotRequest),
-    /// Ask the lender for a permit to send a suspected request.
+    /// Ask the issuer for a permit to send a suspected request.
     AskTrial(TrialRequest),
-    /// Ask a lender for permits to send to a rate-limited upstream.
+    /// Ask an issuer for permits to send to a rate-limited upstream.
     AskPermit(PermitRequest),
 }
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -3,7 +3,7 @@
 //! Guards against exceeding an advertised rate. Two holders of keys advertised 4.5 requests per
 //! second each and still got 12, from all of eleven nodes that had passed on such a response,
 //! each of which sent 1 to 8 in four seconds: nobody read the advertised rate, and no node
-//! knows what the others are about to send. With permits lent by three nodes, each for a share
+//! knows what the others are about to send. With permits issued by three nodes, each for a share
 //! of the rate, all nodes together stay below the rate over any four seconds below, and use it.
 
 mod common;
@@ -141,7 +141,7 @@
                 }
                 Message::Ask(request) => {
                     self.knows_limit[to] = true;
-                    let reply = self.nodes[to].lend_permits(at(millis), &request);
+                    let reply = self.nodes[to].issue_permits(at(millis), &request);
                     self.send(millis, to, from, Message::Reply(reply));
                 }
                 Message::Reply(reply) => self.nodes[to].handle_permit_reply(at(millis), &reply),
@@ -197,7 +197,7 @@
                 }
                 Decision::AskPermit(request) => {
                     let to = (0..self.nodes.len())
-                        .find(|node| NodeHash::of(&name(*node)) == request.lender);
+                        .find(|node| NodeHash::of(&name(*node)) == request.issuer);
                     if let Some(to) = to {
                         self.send(millis, node, to, Message::Ask(request));
                     }
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_lost_lender_costs_part_of_the_rate_for_a_while() {
+fn a_lost_issuer_costs_part_of_the_rate_for_a_while() {
     let rate = 9.0;
     for lost in 0..11 {
         let mut world = World::new(lost as u64, 11);
@@ -326,12 +326,12 @@
         let used = used_fraction(&world, rate);
         assert!(
             used >= 0.8,
-            "without lender {lost}: {used:.2} of the rate used"
+            "without issuer {lost}: {used:.2} of the rate used"
         );
     }
 }
 
-/// A request for which no lender has a permit in time is refused at once, with a Retry-After
+/// A request for which no issuer has a permit in time is refused at once, with a Retry-After
 /// time that tells when there will be one.
 #[test]
 fn requests_without_a_permit_in_time_are_refused_at_once() {
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -67,7 +67,7 @@
         self.decide(millis)
     }
 
-    /// Polls the node, which lends the trial permits that it asks for itself.
+    /// Polls the node, which issues the trial permits that it asks for itself.
     fn decide(&mut self, millis: u64) -> Vec<Decision> {
         let mut decisions = self.node.poll(at(millis), &self.directory);
         for decision in std::mem::take(&mut decisions) {
@@ -76,7 +76,7 @@
                 continue;
             };
             let quarantine = self.node.quarantine_mut();
-            let reply = quarantine.lend_permit(at(millis), &request);
+            let reply = quarantine.issue_permit(at(millis), &request);
             quarantine.handle_trial_reply(at(millis), &reply);
             decisions.extend(self.node.poll(at(millis), &self.directory));
         }
--- a/crates/dispatch/tests/trials.rs
+++ b/crates/dispatch/tests/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of suspected requests, one at a time, with permits lent by one node.
+//! Trials of suspected requests, one at a time, with permits issued by one node.
 
 mod common;
 
@@ -8,14 +8,14 @@
 };
 use common::*;
 
-/// The lender of trial permits.
-struct TrialLender {
+/// The issuer of trial permits.
+struct TrialIssuer {
     quarantine: Quarantine,
     numbers: u32,
 }
 
-impl TrialLender {
-    /// The lender knows of `runs` attempts that ended with the termination of one upstream.
+impl TrialIssuer {
+    /// The issuer knows of `runs` attempts that ended with the termination of one upstream.
     fn after(attempts: u32) -> Self {
         let mut quarantine = Quarantine::default();
         for attempt in 0..attempts {
@@ -28,7 +28,7 @@
     }
 
     /// Asks for a permit for a trial that takes at most a second; returns its number if it was
-    /// lent.
+    /// issued.
     fn ask(&mut self, millis: u64, node: &str) -> Option<u32> {
         self.numbers += 1;
         let request = TrialRequest {
@@ -38,8 +38,8 @@
             timeout_ms: 1_000,
             known: vec![terminated(1, 0, false)],
         };
-        let reply = self.quarantine.lend_permit(at(millis), &request);
-        reply.is_lent.then_some(self.numbers)
+        let reply = self.quarantine.issue_permit(at(millis), &request);
+        reply.is_issued.then_some(self.numbers)
     }
 
     fn report(&mut self, millis: u64, node: &str, number: u32, outcome: TrialOutcome) {
@@ -70,64 +70,64 @@
 }
 
 #[test]
-fn a_permit_is_lent_once_until_its_outcome_is_reported() {
-    let mut lender = TrialLender::after(1);
-    let first = lender.ask(100, "a").expect("the permit is lent");
-    assert_eq!(lender.ask(101, "b"), None);
-    lender.report(150, "a", first, TrialOutcome::Unused);
-    assert!(lender.ask(151, "b").is_some());
+fn a_permit_is_issued_once_until_its_outcome_is_reported() {
+    let mut issuer = TrialIssuer::after(1);
+    let first = issuer.ask(100, "a").expect("the permit is issued");
+    assert_eq!(issuer.ask(101, "b"), None);
+    issuer.report(150, "a", first, TrialOutcome::Unused);
+    assert!(issuer.ask(151, "b").is_some());
 }
 
 /// All suspected attempts were at one upstream and none was a trial, so a single trial tells
 /// whether the request was the cause.
 #[test]
 fn a_trial_that_terminates_its_upstream_after_three_attempts_starts_a_quarantine() {
-    let mut lender = TrialLender::after(3);
-    let number = lender
+    let mut issuer = TrialIssuer::after(3);
+    let number = issuer
         .ask(100, "a")
         .expect("all three attempts may be bystanders");
-    lender.report(150, "a", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lender.ask(151, "b"), None);
-    assert_eq!(lender.ask(119_000, "b"), None);
-    let number = lender.ask(121_000, "b").expect("a second trial is allowed");
-    lender.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lender.ask(1_900_000, "a"), None);
-    let number = lender
+    issuer.report(150, "a", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(issuer.ask(151, "b"), None);
+    assert_eq!(issuer.ask(119_000, "b"), None);
+    let number = issuer.ask(121_000, "b").expect("a second trial is allowed");
+    issuer.report(121_050, "b", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(issuer.ask(1_900_000, "a"), None);
+    let number = issuer
         .ask(1_930_000, "a")
         .expect("a third trial is allowed");
-    lender.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
-    assert_eq!(lender.ask(80_000_000, "a"), None, "no trial within a day");
+    issuer.report(1_930_050, "a", number, TrialOutcome::UpstreamTerminated);
+    assert_eq!(issuer.ask(80_000_000, "a"), None, "no trial within a day");
 }
 
 #[test]
 fn a_trial_without_a_reported_outcome_is_not_a_success() {
-    let mut lender = TrialLender::after(1);
-    assert!(lender.ask(100, "a").is_some());
+    let mut issuer = TrialIssuer::after(1);
+    assert!(issuer.ask(100, "a").is_some());
     assert_eq!(
-        lender.ask(2_050, "b"),
+        issuer.ask(2_050, "b"),
         None,
         "the trial may still be running"
     );
     assert_eq!(
-        lender.ask(2_150, "b"),
+        issuer.ask(2_150, "b"),
         None,
         "the trial may have terminated its upstream"
     );
-    assert_eq!(lender.ask(3_050, "b"), None);
-    let second = lender
+    assert_eq!(issuer.ask(3_050, "b"), None);
+    let second = issuer
         .ask(3_200, "b")
         .expect("a trial is allowed after the delay");
-    lender.report(3_300, "b", second, TrialOutcome::Unknown);
-    assert_eq!(lender.ask(11_200, "a"), None, "the delay grows");
-    assert!(lender.ask(11_400, "a").is_some());
+    issuer.report(3_300, "b", second, TrialOutcome::Unknown);
+    assert_eq!(issuer.ask(11_200, "a"), None, "the delay grows");
+    assert!(issuer.ask(11_400, "a").is_some());
 }
 
 #[test]
 fn three_failure_responses_to_trials_clear_a_request() {
-    let mut lender = TrialLender::after(2);
+    let mut issuer = TrialIssuer::after(2);
     for millis in [100, 200, 300] {
-        let number = lender.ask(millis, "a").expect("the permit is lent");
-        lender.report(millis + 50, "a", number, TrialOutcome::Answered);
+        let number = issuer.ask(millis, "a").expect("the permit is issued");
+        issuer.report(millis + 50, "a", number, TrialOutcome::Answered);
     }
-    assert_eq!(lender.quarantine.counts(at(400)), (0, 0));
+    assert_eq!(issuer.quarantine.counts(at(400)), (0, 0));
 }
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -152,7 +152,7 @@
     StandbyReport(StandbyReport),
     /// Asks for a permit to send a suspected request.
     TrialRequest(TrialRequest),
-    /// The lender's reply to a trial request.
+    /// The issuer's reply to a trial request.
     TrialReply(TrialReply),
     /// The outcome of a trial.
     TrialReport(TrialReport),
@@ -160,7 +160,7 @@
     RateLimits(Vec<RateLimitUpdate>),
     /// Asks for permits to send requests to a rate-limited upstream.
     PermitRequest(PermitRequest),
-    /// The lender's reply to a permit request.
+    /// The issuer's reply to a permit request.
     PermitReply(PermitReply),
 }
 
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -1,8 +1,8 @@
-//! Exchange of rate limits announced by upstreams, and requesting and lending of permits.
+//! Exchange of rate limits announced by upstreams, and requesting and issuing of permits.
 //!
 //! In a small deployment, each node informs all others. In a large one, each node informs the
 //! relays, which inform the nodes of their zones, including newly started ones. A node that missed
-//! the message learns of the rate limit from the upstream's first response to it, and a lender from
+//! the message learns of the rate limit from the upstream's first response to it, and an issuer from
 //! the first permit request.
 
 use super::NodeCore;
@@ -78,18 +78,18 @@
         self.send_limits(&news, &audience);
     }
 
-    /// Requests permits from a lender. A lender that is no longer registered can't be reached and
+    /// Requests permits from an issuer. An issuer that is no longer registered can't be reached and
     /// counts as silent.
     pub(super) fn request_permits(&mut self, request: PermitRequest) {
-        let lender = self.membership.address(request.lender);
+        let issuer = self.membership.address(request.issuer);
         let datagram = Datagram::PermitRequest(request);
         self.outputs
-            .push(Output::Send(datagram, lender.into_iter().collect()));
+            .push(Output::Send(datagram, issuer.into_iter().collect()));
     }
 
-    /// As a lender, answers a permit request.
-    pub(super) fn lend_permits(&mut self, now: Time, from: SocketAddr, request: &PermitRequest) {
-        let reply = self.dispatcher.lend_permits(now, request);
+    /// As an issuer, answers a permit request.
+    pub(super) fn issue_permits(&mut self, now: Time, from: SocketAddr, request: &PermitRequest) {
+        let reply = self.dispatcher.issue_permits(now, request);
         let datagram = Datagram::PermitReply(reply);
         self.outputs.push(Output::Send(datagram, vec![from]));
     }
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -255,7 +255,7 @@
         registry.register(
             "permits",
             "Permits for upstreams that name a rate: questions and what was used here; lent and \
-             denied as a lender",
+             denied as an issuer",
             self.permits.clone(),
         );
         registry.register(
@@ -356,7 +356,7 @@
         for (outcome, count) in [
             ("asked", permits.asked),
             ("used", permits.used),
-            ("lent", permits.lent),
+            ("lent", permits.issued),
             ("denied", permits.denied),
         ] {
             let label = PermitLabel { outcome };
