--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,5 +1,6 @@
 //! The requests of one node and the decisions about them.
 
+mod backoff;
 mod choice;
 mod cold_starts;
 mod decide;
@@ -8,7 +9,6 @@
 mod outcome;
 mod pools;
 mod reports;
-mod resting;
 mod slots;
 mod unheld_keys;
 
@@ -19,7 +19,7 @@
 use crate::rate_limit::RateLimits;
 use crate::report::{NodeHash, UpstreamHash};
 use crate::request::{AdmissionError, AssignmentNumber, RequestHead, Ticket, UnknownCause};
-use crate::rests::Rests;
+use crate::requested_backoffs::RequestedBackoffs;
 use crate::speed::SpeedTable;
 use beamtray_catalog::{ColdStart, UpstreamState, WeightedBackend};
 use beamtray_catalog::{Configuration, Directory, Route, RouteTable, UpstreamId};
@@ -67,9 +67,9 @@
     /// Whether requests to upstreams that advertise a rate limit need permits. Disabled only by
     /// tests that demonstrate the need for it.
     pub honors_rate_limits: bool,
-    /// Whether an upstream that asked for a rest is sent nothing until the rest is over.
+    /// Whether an upstream that requested a backoff is sent nothing until it ends.
     /// Disabled only by tests that demonstrate the need for it.
-    pub honors_rests: bool,
+    pub honors_backoff: bool,
     /// Whether a request that is not repeatable is retried only on proof that it was not
     /// executed. Disabled only by tests that demonstrate the need for it.
     pub requires_proof_before_retry: bool,
@@ -122,8 +122,8 @@
     denied: Option<Denial>,
     /// The rate-limited upstream that the request last waited for.
     limited_by: Option<PermitWait>,
-    /// Earliest end of a rest among the upstreams that could take the request.
-    rests_until: Option<Time>,
+    /// Earliest end of a requested backoff among the upstreams that could take the request.
+    backoff_until: Option<Time>,
 }
 
 /// A request that waits for a permit to be sent to a rate-limited upstream.
@@ -200,10 +200,10 @@
     /// When each upstream last responded to a request of any node.
     last_answers: HashMap<UpstreamHash, Time>,
     limits: RateLimits,
-    rests: Rests,
-    /// Upstreams that asked some node for a rest: other upstreams are better holders for their
-    /// keys.
-    rests_at_any_node: Rests,
+    requested_backoffs: RequestedBackoffs,
+    /// Upstreams that requested a backoff from some node: other upstreams are better holders for
+    /// their keys.
+    backoffs_at_any_node: RequestedBackoffs,
     key_loads: HashMap<ServiceName, HashMap<ShardKey, u16>>,
     node_count: usize,
     sequence: u32,
@@ -246,8 +246,8 @@
             probed_at: HashMap::new(),
             last_answers: HashMap::new(),
             limits: RateLimits::new(own, random.clone().random()),
-            rests: Rests::default(),
-            rests_at_any_node: Rests::default(),
+            requested_backoffs: RequestedBackoffs::default(),
+            backoffs_at_any_node: RequestedBackoffs::default(),
             key_loads: HashMap::new(),
             node_count: 1,
             sequence: 0,
@@ -382,7 +382,7 @@
                 is_client_retry,
                 denied: None,
                 limited_by: None,
-                rests_until: None,
+                backoff_until: None,
                 route,
             },
         );
--- a/crates/dispatch/src/dispatcher/choice.rs
+++ b/crates/dispatch/src/dispatcher/choice.rs
@@ -72,7 +72,7 @@
             let hash = UpstreamHash::of(&holder.record.id);
             return self.send_with_permit(now, request, hash, &holder);
         }
-        self.check_rests(now, request)?;
+        self.check_all_backoffs(now, request)?;
         if let Some(cold) = self.choose_cold(now, request) {
             return Ok(Choice::Send(cold));
         }
@@ -179,7 +179,7 @@
             return Err(RefusalReason::KeyUnheld);
         }
         let hash = UpstreamHash::of(holder);
-        self.check_rest(now, request, hash)?;
+        self.check_backoff(now, request, hash)?;
         if self.is_paused(now, hash) {
             return Err(RefusalReason::Busy);
         }
@@ -363,7 +363,7 @@
     fn is_paused(&self, now: Time, upstream: UpstreamHash) -> bool {
         let health = self.health.get(&upstream);
         let failed = health.is_some_and(|health| now < health.paused_until);
-        failed || self.is_resting(now, upstream)
+        failed || self.is_backed_off(now, upstream)
     }
 
     /// The assignment that a keyed request is routed by.
--- a/crates/dispatch/src/dispatcher/decide.rs
+++ b/crates/dispatch/src/dispatcher/decide.rs
@@ -156,7 +156,7 @@
             return until.is_some_and(|until| until > request.wait_until);
         }
         if reason == RefusalReason::Resting {
-            let until = request.rests_until;
+            let until = request.backoff_until;
             return until.is_some_and(|until| until > request.wait_until);
         }
         let Some(key) = request.key else {
@@ -206,7 +206,7 @@
             Some(key) if reason == RefusalReason::KeyUnheld => {
                 self.unheld_keys.remaining(now, &request.service, key)
             }
-            _ => self.rest_left(now, request, reason),
+            _ => self.remaining_backoff(now, request, reason),
         };
         let spread = MIN_RETRY_AFTER_JITTER + expected.mul_f64(RETRY_AFTER_JITTER_RATIO);
         let least = expected.max(MIN_RETRY_AFTER);
--- a/crates/dispatch/src/dispatcher/outcome.rs
+++ b/crates/dispatch/src/dispatcher/outcome.rs
@@ -246,9 +246,9 @@
                 // retry budget.
                 request.arrivals -= 1;
             }
-            // No backoff while the upstream rests: whether the request waits or is refused can
-            // be decided at once.
-            NotExecuted::Full if self.is_resting(now, attempt.hash) => {}
+            // No further delay while the upstream is in backoff: whether the request waits or is
+            // refused can be decided at once.
+            NotExecuted::Full if self.is_backed_off(now, attempt.hash) => {}
             NotExecuted::Full => request.not_before = now + FULL_BACKOFF,
             NotExecuted::Misdirected if request.key.is_some() => {
                 request.denied = Some(Denial {
@@ -262,7 +262,7 @@
         if request.key.is_none() {
             request.tried.push(attempt.hash);
         } else {
-            request.rests_until = self.rests.until(now, attempt.hash);
+            request.backoff_until = self.requested_backoffs.until(now, attempt.hash);
         }
         let half = request.route.target_latency / 2;
         request.wait_until = request.wait_until.max(now + half).min(request.deadline);
--- a/crates/dispatch/src/dispatcher/reports.rs
+++ b/crates/dispatch/src/dispatcher/reports.rs
@@ -22,11 +22,11 @@
         self.last_answers.get(&upstream).copied()
     }
 
-    /// Drops expired state: peers that stopped reporting, rests, suspicions and cold starts.
+    /// Drops expired state: peers that stopped reporting, backoffs, suspicions and cold starts.
     pub fn expire(&mut self, now: Time) {
         self.quarantine.expire(now);
-        self.rests.expire(now);
-        self.rests_at_any_node.expire(now);
+        self.requested_backoffs.expire(now);
+        self.backoffs_at_any_node.expire(now);
         self.occupancy.expire(now);
         self.cold_starts.expire(now);
     }
--- a/crates/dispatch/src/dispatcher/slots.rs
+++ b/crates/dispatch/src/dispatcher/slots.rs
@@ -187,8 +187,8 @@
             .collect();
         let mut excluded = request.tried.clone();
         excluded.extend(&unreachable);
-        let resting = pool.iter().map(|member| member.hash);
-        excluded.extend(resting.filter(|upstream| self.is_resting(now, *upstream)));
+        let backed_off = pool.iter().map(|member| member.hash);
+        excluded.extend(backed_off.filter(|upstream| self.is_backed_off(now, *upstream)));
         let query = self.query(now, request);
         SlotRequest {
             ticket,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -15,7 +15,7 @@
 mod rendezvous;
 mod report;
 mod request;
-mod rests;
+mod requested_backoffs;
 mod speed;
 
 pub use budget::{RetryBudget, RetryBudgetConfig};
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -143,7 +143,7 @@
             slack: 8.0,
         },
         honors_rate_limits: true,
-        honors_rests: true,
+        honors_backoff: true,
         requires_proof_before_retry: true,
     }
 }
--- a/crates/dispatch/tests/rests.rs
+++ b/crates/dispatch/tests/rests.rs
@@ -1,4 +1,4 @@
-//! Resting upstreams are sent nothing before the rest is over.
+//! Upstreams that requested a backoff are sent nothing before it ends.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::*;
 use std::time::Duration;
 
-const REST: Duration = Duration::from_millis(3_000);
+const BACKOFF: Duration = Duration::from_millis(3_000);
 const FULL: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
 fn upstream(name: &str) -> UpstreamId {
@@ -27,13 +27,13 @@
     Some(forward.upstream.name.0)
 }
 
-/// Guards against ending a rest early because of a later response without a rest or with a
+/// Guards against ending a backoff early because of a later response that requests none or a
 /// shorter one.
 #[test]
-fn the_rest_that_ends_last_counts() {
+fn the_backoff_that_ends_last_counts() {
     let mut dispatcher = dispatcher();
-    dispatcher.begin_rest(at(0), &upstream("near"), REST);
-    dispatcher.begin_rest(at(10), &upstream("near"), Duration::from_millis(100));
+    dispatcher.start_backoff(at(0), &upstream("near"), BACKOFF);
+    dispatcher.start_backoff(at(10), &upstream("near"), Duration::from_millis(100));
     for (number, millis) in [(1, 200), (2, 1_500), (3, 2_900)] {
         let to = sent_to(&mut dispatcher, at(millis), number, "/read/1");
         assert_eq!(to.as_deref(), Some("far"), "at {millis} ms");
@@ -44,15 +44,15 @@
     assert_eq!(to.as_deref(), Some("near"));
 }
 
-/// Guards against retries at a resting holder, and against Retry-After times that end before
+/// Guards against retries at a holder in backoff, and against Retry-After times that end before
 /// the holder accepts requests again.
 #[test]
-fn requests_for_a_resting_holder_are_refused_until_the_rest_is_over() {
+fn requests_for_a_holder_in_backoff_are_refused_until_it_ends() {
     let mut dispatcher = dispatcher();
     assign(&mut dispatcher, 1, held());
     let to = sent_to(&mut dispatcher, at(0), 1, "/keyed/1");
     assert_eq!(to.as_deref(), Some("holder"));
-    dispatcher.begin_rest(at(4), &upstream("holder"), REST);
+    dispatcher.start_backoff(at(4), &upstream("holder"), BACKOFF);
     assert!(dispatcher.attempt_ended(at(4), Ticket(1), FULL).is_none());
     for (number, millis) in [(1, 4), (2, 1_000)] {
         if number != 1 {
@@ -70,17 +70,17 @@
         else {
             panic!("expected a refusal at {millis} ms");
         };
-        assert!(at(millis) + retry_after >= at(4) + REST);
+        assert!(at(millis) + retry_after >= at(4) + BACKOFF);
     }
 }
 
-/// Guards against the case that all upstreams of a pool rest: nothing must be sent anywhere,
-/// and clients must be told to retry when the first rest ends.
+/// Guards against the case that all upstreams of a pool are in backoff: nothing must be sent
+/// anywhere, and clients must be asked to retry when the first backoff ends.
 #[test]
-fn requests_are_refused_while_all_upstreams_rest() {
+fn requests_are_refused_while_all_upstreams_are_in_backoff() {
     let mut dispatcher = dispatcher();
-    dispatcher.begin_rest(at(0), &upstream("near"), REST);
-    dispatcher.begin_rest(at(0), &upstream("far"), REST / 2);
+    dispatcher.start_backoff(at(0), &upstream("near"), BACKOFF);
+    dispatcher.start_backoff(at(0), &upstream("far"), BACKOFF / 2);
     dispatcher
         .admit(at(10), Ticket(1), &head("/order/1", None))
         .expect("admitted");
@@ -91,17 +91,17 @@
     else {
         panic!("expected a refusal");
     };
-    assert!(retry_after >= Duration::from_millis(1_490) && retry_after < REST);
+    assert!(retry_after >= Duration::from_millis(1_490) && retry_after < BACKOFF);
     let to = sent_to(&mut dispatcher, at(1_501), 2, "/order/1");
     assert_eq!(to.as_deref(), Some("far"));
 }
 
-/// Guards against a rest that ends with the lapse of the registration, or that a new
+/// Guards against a backoff that ends when the registration expires, or that a new
 /// incarnation inherits.
 #[test]
-fn a_rest_outlasts_the_registration_but_not_the_incarnation() {
+fn a_backoff_outlasts_the_registration_but_not_the_incarnation() {
     let mut dispatcher = dispatcher();
-    dispatcher.begin_rest(at(0), &upstream("near"), REST);
+    dispatcher.start_backoff(at(0), &upstream("near"), BACKOFF);
     let empty = beamtray_catalog::Directory::new(beamtray_catalog::DirectoryPolicy {
         outage_grace: Duration::ZERO,
         reregistration_timeout: Duration::ZERO,
@@ -110,7 +110,7 @@
     dispatcher.expire(at(10));
     let mut again = directory();
     dispatcher.apply_directory(at(20), &again);
-    assert_eq!(dispatcher.resting_count(at(20)), 1);
+    assert_eq!(dispatcher.backed_off_count(at(20)), 1);
     let mut restarted = record("near", "pool", "here", 8_000);
     restarted.id.started_at = Some(beamtray_catalog::StartTimestamp(5));
     again.register(at(30), restarted);
--- a/crates/router/src/core/grants.rs
+++ b/crates/router/src/core/grants.rs
@@ -373,7 +373,7 @@
             }
         })
         .collect();
-    drain_resting(now, &mut candidates, dispatcher);
+    drain_backed_off(now, &mut candidates, dispatcher);
     candidates
 }
 
@@ -382,19 +382,19 @@
 ///
 /// Without this limit, keys would circulate unserved when all candidates are overloaded, each by
 /// the load that the others gave up.
-fn drain_resting(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
+fn drain_backed_off(now: Time, candidates: &mut [Candidate], dispatcher: &Dispatcher) {
     let ready = candidates.iter_mut();
     let ready: Vec<&mut Candidate> = ready
         .filter(|one| one.state == CandidateState::Ready)
         .collect();
     let count = ready.len();
-    let rests =
-        |one: &&mut Candidate| dispatcher.rests_for_any_node(now, UpstreamHash::of(&one.id));
-    let resting: Vec<&mut Candidate> = ready.into_iter().filter(rests).collect();
-    if resting.len() * 2 > count {
+    let is_backed_off =
+        |one: &&mut Candidate| dispatcher.is_backed_off_at_any_node(now, UpstreamHash::of(&one.id));
+    let backed_off: Vec<&mut Candidate> = ready.into_iter().filter(is_backed_off).collect();
+    if backed_off.len() * 2 > count {
         return;
     }
-    for candidate in resting {
+    for candidate in backed_off {
         candidate.state = CandidateState::Draining;
     }
 }
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -133,7 +133,7 @@
     /// An upstream is gone: a different one answered at its address.
     UpstreamGone(UpstreamId),
     /// To the granter: an upstream asked the sender to stop sending requests for a while.
-    Rest(RestNotice),
+    Backoff(BackoffNotice),
     /// Upstreams that announced in responses that they are shutting down.
     UpstreamsLeaving(Vec<UpstreamId>),
     /// Requests suspected to have crashed upstreams.
@@ -166,11 +166,11 @@
 
 /// An upstream's request to receive no requests for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct RestNotice {
+pub struct BackoffNotice {
     /// The upstream that asked.
     pub upstream: UpstreamHash,
     /// Duration asked for, in milliseconds.
-    pub rest_ms: u32,
+    pub backoff_ms: u32,
 }
 
 /// The result of a connection attempt to an upstream.
@@ -210,11 +210,11 @@
         upstream: UpstreamId,
     },
     /// An upstream rejected a request and asked this node to send none for a while.
-    RestRequested {
+    BackoffRequested {
         /// The upstream that asked.
         upstream: UpstreamId,
         /// How long no requests are to be sent.
-        rest: Duration,
+        backoff: Duration,
     },
     /// The client disconnected.
     Cancelled {
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -1,12 +1,12 @@
 //! The core of one node: it handles timestamped inputs and returns outputs.
 
+mod backoff;
 mod fetch;
 mod gossip;
 mod leaving;
 mod load;
 mod quarantine;
 mod rate_limits;
-mod rests;
 mod slots;
 mod standby;
 mod store_health;
@@ -178,8 +178,8 @@
                 }
             }
             Input::UpstreamLeaving { upstream } => self.handle_leaving(now, upstream),
-            Input::RestRequested { upstream, rest } => {
-                self.handle_rest_request(now, &upstream, rest)
+            Input::BackoffRequested { upstream, backoff } => {
+                self.handle_backoff_request(now, &upstream, backoff)
             }
             Input::Cancelled { ticket } => {
                 self.dispatcher.cancel(ticket);
@@ -248,7 +248,7 @@
                 self.apply_view_changes(now);
                 self.handle_upstream_ended(now, upstream);
             }
-            Datagram::Rest(notice) => self.handle_rest_notice(now, notice),
+            Datagram::Backoff(notice) => self.handle_backoff_notice(now, notice),
             Datagram::UpstreamsLeaving(upstreams) => self.handle_leaving_notice(now, upstreams),
             Datagram::SlotRequest(request) => self.assign_slot(now, from, request),
             Datagram::SlotReply(reply) => self.dispatcher.handle_slot_reply(now, *reply),
@@ -520,7 +520,7 @@
                 | Datagram::TrialRequest(_)
                 | Datagram::PermitRequest(_)
                 | Datagram::KeyReport(_)
-                | Datagram::Rest(_)
+                | Datagram::Backoff(_)
                 | Datagram::Answers(_)
                 | Datagram::StandbyReport(_)
                 | Datagram::StandbyLease(_)
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -101,7 +101,7 @@
             },
             evacuation_grace: Duration::from_millis(self.bounds.evacuate_ms) / 2,
             honors_rate_limits: true,
-            honors_rests: true,
+            honors_backoff: true,
             requires_proof_before_retry: true,
         }
     }
--- a/crates/router/src/shell/attempt.rs
+++ b/crates/router/src/shell/attempt.rs
@@ -98,11 +98,13 @@
             upstream: forward.upstream.clone(),
         });
     }
-    if let Some(rest) = result.backoff {
-        shared.observer.backoff_requested(&forward.upstream, rest);
-        shared.input(Input::RestRequested {
+    if let Some(backoff) = result.backoff {
+        shared
+            .observer
+            .backoff_requested(&forward.upstream, backoff);
+        shared.input(Input::BackoffRequested {
             upstream: forward.upstream.clone(),
-            rest,
+            backoff,
         });
     }
     if let Some(response) = result.response {
@@ -273,7 +275,7 @@
     let names = shared.dialect.headers();
     let values = header_values(&answer.head.headers, names.retry_after);
     match shared.dialect.decode_retry_after(&values) {
-        RetryAfter::Delay(rest) => Some(rest),
+        RetryAfter::Delay(backoff) => Some(backoff),
         RetryAfter::Unspecified => None,
         RetryAfter::Unreadable => {
             shared.observer.header_unreadable(&forward.upstream, "rest");
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -351,7 +351,7 @@
         self.limited_upstreams
             .set(dispatcher.rate_limited_count() as i64);
         self.resting_upstreams
-            .set(dispatcher.resting_count(now) as i64);
+            .set(dispatcher.backed_off_count(now) as i64);
         let permits = dispatcher.permit_counts();
         for (outcome, count) in [
             ("asked", permits.asked),
--- a/crates/router/src/shell/observer.rs
+++ b/crates/router/src/shell/observer.rs
@@ -291,10 +291,10 @@
     }
 
     /// An upstream rejected a request and asked this node to send it nothing for a while.
-    pub fn backoff_requested(&self, upstream: &UpstreamId, rest: Duration) {
+    pub fn backoff_requested(&self, upstream: &UpstreamId, backoff: Duration) {
         if let Some(suppressed) = self.admit(LineKind::UpstreamReport) {
             info!(self.log, "rest_asked"; "upstream" => %upstream,
-                "rest_ms" => rest.as_millis() as u64, suppressed);
+                "rest_ms" => backoff.as_millis() as u64, suppressed);
         }
     }
 
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -113,7 +113,7 @@
 pub(crate) fn core_config(node: usize, run: Run, off: Option<Guard>) -> CoreConfig {
     let mut config = settings(node).core_config(run);
     config.dispatch.honors_rate_limits = off != Some(Guard::NamedRates);
-    config.dispatch.honors_rests = off != Some(Guard::Rests);
+    config.dispatch.honors_backoff = off != Some(Guard::Rests);
     config.accept_leaving_notices = off != Some(Guard::LeavingWords);
     config.dispatch.requires_proof_before_retry = off != Some(Guard::ProofBeforeRepeat);
     config.share_suspicions = off != Some(Guard::SuspicionsTold);
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -613,7 +613,14 @@
             }
             if let Some(rest) = answer.rest {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::RestRequested { upstream, rest });
+                self.input(
+                    node,
+                    run,
+                    Input::BackoffRequested {
+                        upstream,
+                        backoff: rest,
+                    },
+                );
             }
         }
         let rate = answer.map(|answer| answer.rate);
