--- a/crates/catalog/src/directory.rs
+++ b/crates/catalog/src/directory.rs
@@ -23,7 +23,7 @@
 /// a store failure.
 const MASS_LOSS_PERCENT: usize = 40;
 
-/// How long late writes of an upstream that is gone are expected.
+/// How long late writes of a terminated upstream are expected.
 const GONE_RETENTION: Duration = Duration::from_secs(120);
 /// Interval between cleanups of outdated records.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
@@ -65,7 +65,7 @@
     Evacuated(Zone),
     /// The evacuation of a zone ended.
     Readmitted(Zone),
-    /// An upstream restarted under the same name: the previous incarnation has ended.
+    /// An upstream restarted under the same name: the previous incarnation has terminated.
     Restarted {
         /// The previous incarnation.
         earlier: UpstreamId,
@@ -90,8 +90,8 @@
     /// Last time at which some node was known to have responses to all of its store calls.
     /// Only a report for the very time at which registrations go missing is used.
     last_store_healthy: Option<Time>,
-    /// Upstreams known to be gone, and when that was established.
-    gone: BTreeMap<UpstreamId, Time>,
+    /// Upstreams known to have terminated, and when that was established.
+    terminated: BTreeMap<UpstreamId, Time>,
     /// Upstreams that reported in responses or entries that they are leaving, and when that
     /// was first learned. An incarnation never returns from that state; an entry that says
     /// otherwise is older, and the store may have reverted to it.
@@ -113,7 +113,7 @@
             next_cleanup: Time::ZERO,
             last_store_failure: None,
             last_store_healthy: None,
-            gone: BTreeMap::new(),
+            terminated: BTreeMap::new(),
             leaving: BTreeMap::new(),
             evacuations: Evacuations::default(),
             incarnations: Incarnations::default(),
@@ -141,15 +141,15 @@
         self.last_store_healthy = self.last_store_healthy.max(Some(at));
     }
 
-    /// Applies a registration. A registration of an upstream that is known to be gone, or
+    /// Applies a registration. A registration of an upstream that is known to have terminated, or
     /// that has restarted since, is a late write and is ignored.
     ///
-    /// Two upstreams may have the same address for a while, the one that ended and the one
-    /// that uses the address now, and either entry may be the newer one, since a dead
+    /// Two upstreams may have the same address for a while, the terminated one and the one
+    /// that uses the address now, and either entry may be the newer one, since a terminated
     /// upstream's write can arrive late. Only a response from the address shows which one
     /// is live.
     pub fn register(&mut self, now: Time, record: UpstreamRecord) -> Vec<DirectoryChange> {
-        if self.gone.contains_key(&record.id) {
+        if self.terminated.contains_key(&record.id) {
             return Vec::new();
         }
         match self.incarnations.observe_entry(now, &record) {
@@ -277,9 +277,9 @@
         Some(DirectoryChange::Unconfirmed(id.clone()))
     }
 
-    /// Removes an upstream that is known to be gone: another one answers at its address.
-    pub fn confirm_gone(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
-        self.gone.insert(id.clone(), now);
+    /// Removes an upstream that is known to have terminated: another one answers at its address.
+    pub fn confirm_terminated(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
+        self.terminated.insert(id.clone(), now);
         self.remove(id)
     }
 
@@ -287,7 +287,7 @@
     /// incarnation for as long as it exists, whatever its entry says: the store may not have
     /// the change yet, or the entry may have been written before the response.
     pub fn mark_leaving(&mut self, now: Time, id: &UpstreamId) -> Option<DirectoryChange> {
-        if self.leaving.contains_key(id) || self.gone.contains_key(id) {
+        if self.leaving.contains_key(id) || self.terminated.contains_key(id) {
             return None;
         }
         self.leaving.insert(id.clone(), now);
@@ -305,7 +305,7 @@
     }
 
     /// Removes an upstream whose entry no longer describes it. This is not an expired lease,
-    /// so there is nothing to wait for, and not evidence that the upstream ended, so it may
+    /// so there is nothing to wait for, and not evidence that the upstream terminated, so it may
     /// register again.
     pub fn withdraw(&mut self, now: Time, name: &UpstreamName) -> Option<DirectoryChange> {
         self.incarnations.observe_absence(now, name);
@@ -326,7 +326,7 @@
         let mut changes = Vec::new();
         if now >= self.next_cleanup {
             self.next_cleanup = now + CLEANUP_INTERVAL;
-            self.gone
+            self.terminated
                 .retain(|_, since| now.since(*since) < GONE_RETENTION);
             let upstreams = &self.upstreams;
             self.leaving.retain(|id, since| {
--- a/crates/catalog/src/incarnations.rs
+++ b/crates/catalog/src/incarnations.rs
@@ -3,10 +3,10 @@
 //! Start timestamps distinguish incarnations but do not order them, so incarnations are
 //! ordered by when their entries first appear: a new incarnation replaces the current one.
 //! A replaced incarnation does not return because of a late write, which the store may
-//! apply seconds after the writer has ended; the live incarnation overwrites it with its
+//! apply seconds after the writer has terminated; the live incarnation overwrites it with its
 //! next heartbeat.
 //!
-//! A node that knows neither of two incarnations may see a late write of the dead one after
+//! A node that knows neither of two incarnations may see a late write of the terminated one after
 //! the entry of the live one, and mistake it for a restart. The live incarnation then soon
 //! overwrites the entry and keeps it, which only a live writer can do, so after
 //! [`REINSTATEMENT_DELAY`] it is current again. Until then requests and orders still reach
@@ -29,7 +29,7 @@
 pub(crate) enum Observation {
     /// The entry is of the current incarnation, or of the first one of its name.
     Current,
-    /// The entry is of a new incarnation that replaces the given one, which has ended.
+    /// The entry is of a new incarnation that replaces the given one, which has terminated.
     RestartOf(UpstreamId),
     /// The entry is a late write of a replaced incarnation.
     Replaced,
--- a/crates/catalog/tests/directory.rs
+++ b/crates/catalog/tests/directory.rs
@@ -98,7 +98,7 @@
     assert_eq!(changes, [DirectoryChange::Removed(id(3))]);
 }
 
-/// Guards against a late write of an ended upstream that makes the current user of its
+/// Guards against a late write of a terminated upstream that makes the current user of its
 /// address look replaced: its keys were reassigned while it was still working on them.
 #[test]
 fn registration_at_the_same_address_does_not_replace_another() {
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn late_write_does_not_restore_an_upstream_found_gone() {
+fn late_write_does_not_restore_an_upstream_found_terminated() {
     let mut directory = directory(3);
-    let change = directory.confirm_gone(at(5_000), &id(1));
+    let change = directory.confirm_terminated(at(5_000), &id(1));
     assert_eq!(change, Some(DirectoryChange::Removed(id(1))));
     assert!(directory.register(at(9_000), record(1, 8_001)).is_empty());
     assert!(directory.get(&id(1)).is_none());
--- a/crates/catalog/tests/incarnations.rs
+++ b/crates/catalog/tests/incarnations.rs
@@ -13,7 +13,7 @@
     outage_grace: Duration::from_millis(500),
     reregistration_timeout: Duration::from_millis(1_600),
 };
-/// Maximum delay of a write by an upstream that has ended.
+/// Maximum delay of a write by an upstream that has terminated.
 const MAX_WRITE_DELAY_MILLIS: u64 = 6_000;
 
 fn at(millis: u64) -> Time {
@@ -97,15 +97,15 @@
     assert_eq!(registered_ids(&directory), [incarnation(200)]);
 }
 
-/// A node that knows neither incarnation sees a late write of the dead one after the entry of
+/// A node that knows neither incarnation sees a late write of the terminated one after the entry of
 /// the live one.
 #[test]
 fn persistent_entry_reinstates_its_incarnation() {
     let mut directory = directory();
-    let (live, dead) = (incarnation(200), incarnation(100));
+    let (live, terminated) = (incarnation(200), incarnation(100));
     directory.register(at(0), record(live.clone()));
-    directory.register(at(100), record(dead.clone()));
-    assert_eq!(registered_ids(&directory), [dead]);
+    directory.register(at(100), record(terminated.clone()));
+    assert_eq!(registered_ids(&directory), [terminated]);
     directory.register(at(1_100), record(live.clone()));
     let reinstated_at = at(1_100) + REINSTATEMENT_DELAY;
     assert_eq!(
@@ -132,7 +132,7 @@
 fn removal_applies_to_one_incarnation() {
     let mut directory = directory();
     directory.register(at(0), record(incarnation(100)));
-    directory.confirm_gone(at(1_000), &incarnation(100));
+    directory.confirm_terminated(at(1_000), &incarnation(100));
     directory.register(at(1_500), record(incarnation(100)));
     assert_eq!(registered_ids(&directory), []);
     directory.register(at(2_000), record(incarnation(200)));
@@ -148,7 +148,7 @@
     let changes = directory.register(at(2_000), record(without_start.clone()));
     let registered = DirectoryChange::Registered(without_start.clone(), UpstreamState::Ready);
     assert_eq!(changes, [registered]);
-    directory.confirm_gone(at(3_000), &without_start);
+    directory.confirm_terminated(at(3_000), &without_start);
     directory.register(at(4_000), record(without_start));
     assert_eq!(registered_ids(&directory), []);
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -302,7 +302,7 @@
         self.node_count = nodes.max(1);
     }
 
-    /// Applies the directory: drops the state of upstreams that are gone and records when
+    /// Applies the directory: drops the state of upstreams that are deregistered and records when
     /// upstreams start to drain.
     pub fn apply_directory(&mut self, now: Time, directory: &Directory) {
         if self.directory_changes == Some(directory.change_count()) {
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -373,7 +373,7 @@
         }
     }
 
-    /// Drops upstreams that are gone.
+    /// Drops upstreams that are deregistered.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.known.retain(&keep);
         self.buckets.retain(&keep);
--- a/crates/dispatch/src/rate_limit/known.rs
+++ b/crates/dispatch/src/rate_limit/known.rs
@@ -227,7 +227,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Drops upstreams that are gone: another incarnation starts without a limit.
+    /// Drops upstreams that are deregistered: another incarnation starts without a limit.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.known.retain(|upstream, _| keep(*upstream));
         self.unsent.retain(|upstream| keep(*upstream));
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -10,7 +10,7 @@
 /// of a node with little CPU time.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long an issuer that did not reply once is not asked; doubles with each further time. The
-/// message may have been lost, or the issuer may be gone.
+/// message may have been lost, or the issuer may have terminated.
 const INITIAL_ISSUER_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper bound on that delay.
 const MAX_ISSUER_BACKOFF: Duration = Duration::from_secs(1);
--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -200,7 +200,7 @@
         self.unreported.drain().collect()
     }
 
-    /// Drops upstreams that are gone.
+    /// Drops upstreams that are deregistered.
     pub fn retain(&mut self, keep: impl Fn(UpstreamHash) -> bool) {
         self.upstreams.retain(|upstream, _| keep(*upstream));
     }
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -41,7 +41,7 @@
 impl Deployment {
     fn new() -> Self {
         let mut directory = directory();
-        directory.confirm_gone(at(0), &UpstreamId::from("near".to_owned()));
+        directory.confirm_terminated(at(0), &UpstreamId::from("near".to_owned()));
         Self {
             node: dispatcher(),
             directory,
@@ -50,7 +50,8 @@
     }
 
     fn restart_upstream(&mut self, millis: u64) {
-        self.directory.confirm_gone(at(millis), &self.upstream);
+        self.directory
+            .confirm_terminated(at(millis), &self.upstream);
         let id = format!("life-{millis}");
         let record = record(&id, "pool", "here", 9_000);
         self.directory.register(at(millis), record);
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -381,11 +381,11 @@
         }
     }
 
-    /// Records that an upstream's process has ended.
-    pub fn proved_gone(&mut self, id: &UpstreamId) {
+    /// Records that an upstream's process has terminated.
+    pub fn confirm_terminated(&mut self, id: &UpstreamId) {
         let all = self.term.as_mut().and_then(|term| term.grants.as_mut());
         for grants in all.into_iter().flat_map(|all| all.values_mut()) {
-            grants.granter.mark_ended(id);
+            grants.granter.mark_terminated(id);
         }
     }
 
--- a/crates/router/src/core/membership.rs
+++ b/crates/router/src/core/membership.rs
@@ -165,9 +165,9 @@
         &self.relays
     }
 
-    /// The node that issues permits for a request, chosen among the registered nodes, including this
-    /// one, by rendezvous hashing. When a node joins or leaves, only the requests that it issues for
-    /// move.
+    /// The node that issues permits for a request, chosen among the registered nodes, including
+    /// this one, by rendezvous hashing. When a node joins or leaves, only the requests that it
+    /// issues for move.
     pub fn issuer(&self, fingerprint: Fingerprint) -> Option<SocketAddr> {
         let weight = |address: &&SocketAddr| (rendezvous_weight(fingerprint, address), **address);
         self.entries.iter().max_by_key(weight).copied()
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -130,8 +130,8 @@
     AllLoad(LoadSum),
     /// Response statistics of upstreams, forwarded by a relay.
     Answers(Vec<AnswerStats>),
-    /// An upstream is gone: a different one answered at its address.
-    UpstreamGone(UpstreamId),
+    /// An upstream has terminated: a different one answered at its address.
+    UpstreamTerminated(UpstreamId),
     /// To the granter: an upstream asked the sender to stop sending requests for a while.
     Backoff(BackoffNotice),
     /// Upstreams that announced in responses that they are shutting down.
@@ -244,7 +244,7 @@
     },
     /// A different incarnation answers at an upstream's address.
     Replaced {
-        /// The upstream that is gone.
+        /// The upstream that has terminated.
         upstream: UpstreamId,
     },
     /// A connection attempt that checks an upstream has completed.
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -193,7 +193,7 @@
                 reply,
             } => {
                 if reply == GrantReply::Replaced {
-                    self.views.proved_gone(now, &order.holder);
+                    self.views.confirm_terminated(now, &order.holder);
                     self.apply_view_changes(now);
                 }
                 if epoch == STANDBY_TERM {
@@ -205,8 +205,8 @@
                 self.poll_control(now);
             }
             Input::Replaced { upstream } => {
-                self.control.proved_gone(&upstream);
-                self.handle_gone(now, upstream);
+                self.control.confirm_terminated(&upstream);
+                self.handle_replaced(now, upstream);
             }
             Input::Probed { upstream, liveness } => self.handle_probe(now, &upstream, liveness),
             Input::Resumed => self.resumed(now),
@@ -243,10 +243,10 @@
             Datagram::AllLoad(sum) => self.handle_all_load(now, from, sum),
             Datagram::Answers(answers) => self.handle_answers(now, from, answers),
             // The granter reassigns keys only on evidence of its own.
-            Datagram::UpstreamGone(upstream) => {
-                self.views.proved_gone(now, upstream);
+            Datagram::UpstreamTerminated(upstream) => {
+                self.views.confirm_terminated(now, upstream);
                 self.apply_view_changes(now);
-                self.handle_upstream_ended(now, upstream);
+                self.handle_upstream_terminated(now, upstream);
             }
             Datagram::Backoff(notice) => self.handle_backoff_notice(now, notice),
             Datagram::UpstreamsLeaving(upstreams) => self.handle_leaving_notice(now, upstreams),
@@ -273,15 +273,15 @@
         }
     }
 
-    /// Handles proof that an upstream is gone, and informs the other nodes so that they need not
-    /// each send it a request to find out.
-    fn handle_gone(&mut self, now: Time, upstream: UpstreamId) {
+    /// Handles proof that an upstream has terminated, and informs the other nodes so that they need
+    /// not each send it a request to find out.
+    fn handle_replaced(&mut self, now: Time, upstream: UpstreamId) {
         let was_known = self.views.directory.get(&upstream).is_some();
-        self.views.proved_gone(now, &upstream);
+        self.views.confirm_terminated(now, &upstream);
         self.apply_view_changes(now);
-        self.handle_upstream_ended(now, &upstream);
+        self.handle_upstream_terminated(now, &upstream);
         if was_known {
-            self.send(Datagram::UpstreamGone(upstream), Audience::All);
+            self.send(Datagram::UpstreamTerminated(upstream), Audience::All);
         }
     }
 
--- a/crates/router/src/core/node/quarantine.rs
+++ b/crates/router/src/core/node/quarantine.rs
@@ -106,7 +106,7 @@
     /// Handles the result of a connection attempt to an upstream.
     pub(super) fn handle_probe(&mut self, now: Time, upstream: &UpstreamId, liveness: Liveness) {
         match liveness {
-            Liveness::Ended => self.handle_upstream_ended(now, upstream),
+            Liveness::Ended => self.handle_upstream_terminated(now, upstream),
             // The listening process may be a restarted one, which its registration will soon show.
             Liveness::Listens if upstream.started_at.is_some() => {}
             Liveness::Listens => {
@@ -118,8 +118,9 @@
         }
     }
 
-    /// Suspects the requests whose connections to an upstream broke, since the upstream has ended.
-    pub(super) fn handle_upstream_ended(&mut self, now: Time, upstream: &UpstreamId) {
+    /// Suspects the requests whose connections to an upstream broke, since the upstream has
+    /// terminated.
+    pub(super) fn handle_upstream_terminated(&mut self, now: Time, upstream: &UpstreamId) {
         let hash = UpstreamHash::of(upstream);
         self.dispatcher
             .quarantine_mut()
@@ -127,11 +128,11 @@
     }
 
     /// Takes the restart of an upstream under the same name as proof that its earlier incarnation
-    /// has ended.
+    /// has terminated.
     pub(super) fn note_restarts(&mut self, now: Time, notices: &[ViewNotice]) {
         for notice in notices {
             if let ViewNotice::Directory(DirectoryChange::Restarted { earlier, .. }) = notice {
-                self.handle_upstream_ended(now, earlier);
+                self.handle_upstream_terminated(now, earlier);
             }
         }
     }
--- a/crates/router/src/core/node/rate_limits.rs
+++ b/crates/router/src/core/node/rate_limits.rs
@@ -2,8 +2,8 @@
 //!
 //! In a small deployment, each node informs all others. In a large one, each node informs the
 //! relays, which inform the nodes of their zones, including newly started ones. A node that missed
-//! the message learns of the rate limit from the upstream's first response to it, and an issuer from
-//! the first permit request.
+//! the message learns of the rate limit from the upstream's first response to it, and an issuer
+//! from the first permit request.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
--- a/crates/router/src/core/node/trials.rs
+++ b/crates/router/src/core/node/trials.rs
@@ -2,8 +2,8 @@
 //!
 //! The issuer of a request is chosen among the registered nodes by rendezvous hashing. All nodes
 //! that see the same registrations thus ask the same issuer, and no node is asked for all requests.
-//! Another node becomes the issuer only once the registration of the current one is gone; a node
-//! that can't reach the issuer sends no such request in the meantime.
+//! Another node becomes the issuer only once the registration of the current one has expired; a
+//! node that can't reach the issuer sends no such request in the meantime.
 
 use super::NodeCore;
 use crate::core::message::{Datagram, Output};
--- a/crates/router/src/core/standby.rs
+++ b/crates/router/src/core/standby.rs
@@ -1,7 +1,7 @@
 //! This node's standby role: prolonging recorded holds while there is no granter.
 //!
-//! [`beamtray_sharding::STANDBY_AUTHORIZATION`] describes what a standby may do and what its granter relies
-//! on. The standby's part is the following:
+//! [`beamtray_sharding::STANDBY_AUTHORIZATION`] describes what a standby may do and what its
+//! granter relies on. The standby's part is the following:
 //! - It acts on the newest record that it knows, if that record names it, and never on an older
 //!   one.
 //! - It declines as soon as the store answers while the granter is silent, since another granter
--- a/crates/router/src/core/standby_leases.rs
+++ b/crates/router/src/core/standby_leases.rs
@@ -42,7 +42,7 @@
         }
         self.next_leases_at = now + LEASE_INTERVAL;
         for granter in granters.iter_mut() {
-            mark_ended(now, own, granter, views);
+            mark_terminated(now, own, granter, views);
         }
         let mut recipients: BTreeSet<StandbyId> = BTreeSet::new();
         for granter in granters.iter_mut() {
@@ -94,15 +94,15 @@
 }
 
 /// Marks standbys that no longer prolong holds: nodes that decline, and nodes registered at the
-/// same address with a different run, whose earlier process has therefore ended. This node's own
-/// standby role ended when it became the granter.
-fn mark_ended(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
+/// same address with a different run, whose earlier process has therefore terminated. This node's
+/// own standby role ended when it became the granter.
+fn mark_terminated(now: Time, own: StandbyId, granter: &mut Granter, views: &Views) {
     for id in granter.standbys() {
         let mut nodes = views.nodes.values();
         let node = nodes.find(|node| node.peers == id.address);
         let ended = node.is_some_and(|node| node.run != id.run || node.declines_standby);
         if ended || id == own {
-            granter.standby_ended(now, &id);
+            granter.standby_terminated(now, &id);
         }
     }
 }
--- a/crates/router/src/core/views.rs
+++ b/crates/router/src/core/views.rs
@@ -352,9 +352,9 @@
         self.note_directory(changes);
     }
 
-    /// Removes an upstream that is proven to be gone.
-    pub fn proved_gone(&mut self, now: Time, id: &UpstreamId) {
-        let change = self.directory.confirm_gone(now, id);
+    /// Removes an upstream that is proven to have terminated.
+    pub fn confirm_terminated(&mut self, now: Time, id: &UpstreamId) {
+        let change = self.directory.confirm_terminated(now, id);
         self.note_directory(change);
     }
 
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -323,7 +323,7 @@
         self.waiting.set(waiting as i64);
         self.under_way.set(under_way as i64);
         self.slots_in_use.clear();
-        self.remove_gone_upstreams(core);
+        self.remove_deregistered_upstreams(core);
         for registration in views.directory.iter() {
             let id = &registration.record.id;
             let label = UpstreamLabel {
@@ -418,8 +418,8 @@
         }
     }
 
-    /// Removes the histograms of upstreams that are gone.
-    fn remove_gone_upstreams(&self, core: &NodeCore) {
+    /// Removes the histograms of deregistered upstreams.
+    fn remove_deregistered_upstreams(&self, core: &NodeCore) {
         let directory = &core.inspect().0.directory;
         let known = |name: &String| directory.registered(&UpstreamName(name.clone())).is_some();
         self.upstreams_with_latency.borrow_mut().retain(|id| {
--- a/crates/router/src/shell/observer/names.rs
+++ b/crates/router/src/shell/observer/names.rs
@@ -21,7 +21,7 @@
 pub(super) fn loss_cause(cause: LossCause) -> &'static str {
     match cause {
         LossCause::Silent => "silent",
-        LossCause::Ended => "ended",
+        LossCause::Terminated => "ended",
         LossCause::Left => "left",
         LossCause::Balance => "balance",
     }
--- a/crates/router/src/shell/probe.rs
+++ b/crates/router/src/shell/probe.rs
@@ -16,7 +16,7 @@
 const MAX_TRIES: u32 = 3;
 /// Delay before an upstream that listened is probed again. On a busy machine a process that
 /// ends closes its connections some milliseconds before it stops listening. Without the second
-/// probe it was taken for alive, and did not count as ended in 3 of 10 runs with real
+/// probe it was taken for alive, and did not count as terminated in 3 of 10 runs with real
 /// processes under load.
 const RECHECK_DELAY: Duration = Duration::from_millis(50);
 /// Delay between attempts.
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -44,7 +44,7 @@
 /// Guards against repeated reports of a replaced upstream: in a system of 70 nodes, each node
 /// had to send a request to each of 15 upstreams whose addresses had passed to others.
 #[test]
-fn proof_that_an_upstream_is_gone_is_sent_once() {
+fn proof_that_an_upstream_terminated_is_sent_once() {
     let dialect = Rc::new(SimDialect::default());
     let mut core = core_with(dialect.clone());
     let upstream = UpstreamId::from("u-1".to_owned());
@@ -73,19 +73,19 @@
     core.handle(at(10), Input::Snapshots(address(2), vec![snapshot]));
     let heard = Datagram::Answers(Vec::new());
     core.handle(at(20), Input::Datagram(address(2), heard));
-    let gone = |outputs: Vec<Output>| {
-        let is_gone_report =
-            |output: &Output| matches!(output, Output::Send(Datagram::UpstreamGone(_), _));
+    let termination_reports = |outputs: Vec<Output>| {
+        let is_termination_report =
+            |output: &Output| matches!(output, Output::Send(Datagram::UpstreamTerminated(_), _));
         outputs
             .iter()
-            .filter(|output| is_gone_report(output))
+            .filter(|output| is_termination_report(output))
             .count()
     };
     let replaced = || Input::Replaced {
         upstream: upstream.clone(),
     };
-    assert_eq!(gone(core.handle(at(30), replaced())), 1);
-    assert_eq!(gone(core.handle(at(40), replaced())), 0);
+    assert_eq!(termination_reports(core.handle(at(30), replaced())), 1);
+    assert_eq!(termination_reports(core.handle(at(40), replaced())), 0);
     let (views, _, _) = core.inspect();
     assert!(views.directory.get(&upstream).is_none());
 }
--- a/crates/router/tests/removals_by_reading.rs
+++ b/crates/router/tests/removals_by_reading.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against nodes that go on sending to a removed upstream. The store discarded its
 //! history right after the removal, so the relays' watches were answered with lost history,
-//! and only the new read showed that the entry was gone. Such a removal has no revision of its
+//! and only the new read showed that the entry was removed. Such a removal has no revision of its
 //! own and was not counted as a change, so the relays did not report it: three relays dropped
 //! the upstream within 16 ms, while the other eight of eleven nodes sent to it for seconds.
 
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -169,7 +169,7 @@
     assert_eq!(suspected(&outputs), [UpstreamHash::of(&born(1))]);
 }
 
-/// Another node's report that the previous incarnation ended may arrive after the restart.
+/// Another node's report that the previous incarnation terminated may arrive after the restart.
 #[test]
 fn a_late_report_on_the_previous_incarnation_does_not_affect_the_new_one() {
     let mut node = Node::new();
--- a/crates/router/tests/short_lived_entries.rs
+++ b/crates/router/tests/short_lived_entries.rs
@@ -1,7 +1,7 @@
 //! Entries that are written and removed between two answers of the store.
 //!
-//! Guards against requests to an upstream whose entry is gone. The upstream rewrote its entry
-//! and removed it, and both events came in one answer of the store. A node applied removals
+//! Guards against requests to an upstream whose entry has been removed. The upstream rewrote its
+//! entry and removed it, and both events came in one answer of the store. A node applied removals
 //! first, so the write was applied last and the upstream stayed known until something else
 //! removed it: two of 11 nodes, which followed the store for their zones, sent 42 and 9
 //! requests to it, the last 5.6 s after the removal, where 2 s are allowed.
--- a/crates/sharding/src/granter.rs
+++ b/crates/sharding/src/granter.rs
@@ -4,7 +4,7 @@
 //! - A grant is sent only after a record that names its holder is durable, so that a
 //!   successor knows every upstream that may hold keys.
 //! - A slice goes to another holder only after the previous one has released it under a token
-//!   above all its grants, is known to have ended, or cannot hold an unexpired grant. An
+//!   above all its grants, is known to have terminated, or cannot hold an unexpired grant. An
 //!   unanswered grant counts as accepted at the time it was given up on, which is correct
 //!   only if nothing of it arrives later.
 //! - A grant that its upstream may execute later counts as accepted at the end of the
@@ -212,7 +212,7 @@
     /// Whether the list of upstreams has ever been set. Before that, a holder that is not in
     /// it has not left.
     knows_candidates: bool,
-    ended: Vec<UpstreamId>,
+    terminated: Vec<UpstreamId>,
     withheld: Vec<WithheldKeys>,
     /// Until when grants that the adopted record does not contain may be in force.
     record_doubted_until: Time,
@@ -261,7 +261,7 @@
             slices: BTreeMap::new(),
             candidates: BTreeMap::new(),
             knows_candidates: false,
-            ended: Vec::new(),
+            terminated: Vec::new(),
             withheld: Vec::new(),
             record_doubted_until: Time::ZERO,
             probed_at: BTreeMap::new(),
@@ -356,7 +356,7 @@
         }
     }
 
-    /// Drops contacts of upstreams that are gone and hold nothing.
+    /// Drops contacts of upstreams that are deregistered and hold nothing.
     fn prune_contacts(&mut self) {
         let holders: BTreeSet<&UpstreamId> = self
             .slices
@@ -368,12 +368,12 @@
             .retain(|id, _| candidates.contains_key(id) || holders.contains(id));
     }
 
-    /// Records that an upstream has ended, so that it holds nothing.
-    pub fn mark_ended(&mut self, id: &UpstreamId) {
-        if !self.ended.contains(id) {
-            self.ended.push(id.clone());
+    /// Records that an upstream has terminated, so that it holds nothing.
+    pub fn mark_terminated(&mut self, id: &UpstreamId) {
+        if !self.terminated.contains(id) {
+            self.terminated.push(id.clone());
         }
-        self.lost_holders.mark_ended(id);
+        self.lost_holders.mark_terminated(id);
     }
 
     /// Schedules one grant of a holder immediately, to learn whether it still has its
--- a/crates/sharding/src/granter/doubt.rs
+++ b/crates/sharding/src/granter/doubt.rs
@@ -14,7 +14,7 @@
 //!   after 4 s; it resumed and accepted the renewals while the next holder was serving the
 //!   keys.
 //! - An upstream received a grant without executing it, answered others under higher tokens,
-//!   ended, and restarted under its name: the new process knew no token and accepted the
+//!   terminated, and restarted under its name: the new process knew no token and accepted the
 //!   grant. So a reply does not end the doubt. Keys that were returned meanwhile are assigned
 //!   to the upstream of the same name again, unless it is draining.
 //!
@@ -108,7 +108,8 @@
         for (first, upstream) in doubted {
             let mut candidates = self.candidates.values();
             let last = candidates.find(|one| {
-                let stays = one.state != CandidateState::Draining && !self.ended.contains(&one.id);
+                let stays =
+                    one.state != CandidateState::Draining && !self.terminated.contains(&one.id);
                 stays && one.id.name == upstream
             });
             match last.map(|one| one.id.clone()) {
--- a/crates/sharding/src/granter/holders.rs
+++ b/crates/sharding/src/granter/holders.rs
@@ -69,7 +69,7 @@
     fn candidates_in(&self, state: CandidateState) -> impl Iterator<Item = &Candidate> {
         self.candidates
             .values()
-            .filter(move |one| one.state == state && !self.ended.contains(&one.id))
+            .filter(move |one| one.state == state && !self.terminated.contains(&one.id))
             .filter(|one| !self.lost_holders.is_unfenced(&one.id))
     }
 
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Starts to revoke slices from holders that are draining, gone, unresponsive or ended.
+    /// Starts to revoke slices from holders that are draining, deregistered, unresponsive or
+    /// terminated.
     pub(super) fn revoke_from_leavers(&mut self, now: Time) {
         let silence = self.timing.silence_timeout;
         let leaving: Vec<ShardKey> = self
@@ -104,7 +105,7 @@
                 let last_answered = candidate.and_then(|one| one.last_answered);
                 let contact = self.contacts.get(holder);
                 let silent = contact.is_some_and(|one| one.is_silent(now, silence, last_answered));
-                !stays || silent || self.ended.contains(holder)
+                !stays || silent || self.terminated.contains(holder)
             })
             .map(|slice| slice.range.first)
             .collect();
@@ -120,9 +121,9 @@
         let holder = self.slices.get(&first).and_then(Slice::holder);
         let contact = holder.and_then(|holder| self.contacts.get(holder));
         let unanswered = contact.and_then(Contact::unanswered_since);
-        let has_ended = holder.is_some_and(|holder| self.ended.contains(holder));
+        let has_terminated = holder.is_some_and(|holder| self.terminated.contains(holder));
         let cause = match unanswered {
-            _ if has_ended => LossCause::Ended,
+            _ if has_terminated => LossCause::Terminated,
             Some(_) => LossCause::Silent,
             None => LossCause::Left,
         };
@@ -202,10 +203,10 @@
             let prolonged = standbys.hold_until(RecordNumber { epoch, sequence });
             let lapsed = lapsed && (now >= prolonged || !waits_for_standbys);
             let lapsed = lapsed && !grant_pending && slice.recorded_in <= durable;
-            let has_ended = self.ended.contains(holder);
+            let has_terminated = self.terminated.contains(holder);
             let doubt_end = slice.doubt.as_ref().map(|doubt| doubt.until);
             let left = doubt_end.unwrap_or_default().since(now);
-            let is_doubted = waits && !left.is_zero() && !has_ended;
+            let is_doubted = waits && !left.is_zero() && !has_terminated;
             if lapsed && is_doubted && !slice.awaits_doubt_end {
                 slice.awaits_doubt_end = true;
                 self.doubt_notices.push(DoubtNotice {
@@ -215,10 +216,10 @@
                 });
             }
             let lapsed = lapsed && !is_doubted;
-            if !has_ended && lapsed && self.timing.guards.fences_lost_holders {
+            if !has_terminated && lapsed && self.timing.guards.fences_lost_holders {
                 lost.push((holder.clone(), slice.range));
             }
-            if lapsed || has_ended {
+            if lapsed || has_terminated {
                 slice.set_phase(Phase::Free { handover: None });
                 slice.pending_call = None;
                 slice.expires_at = now;
--- a/crates/sharding/src/granter/lost_holders.rs
+++ b/crates/sharding/src/granter/lost_holders.rs
@@ -78,7 +78,7 @@
             return;
         };
         if *reply == GrantReply::Replaced {
-            self.mark_ended(&upstream);
+            self.mark_terminated(&upstream);
             return;
         }
         self.lost_holders.handle_reply(now, &upstream, call, reply);
--- a/crates/sharding/src/granter/replies.rs
+++ b/crates/sharding/src/granter/replies.rs
@@ -19,7 +19,7 @@
     /// Handles the reply to an order.
     ///
     /// Invariant: a reply applies to the holder that the order was sent to. The slice may
-    /// have another holder by then, if the first one was found to have ended while the order
+    /// have another holder by then, if the first one was found to have terminated while the order
     /// was pending.
     pub fn handle_reply(&mut self, now: Time, call: CallId, reply: GrantReply) {
         let Some(sent) = self.calls.remove(&call) else {
@@ -27,7 +27,7 @@
             return;
         };
         if reply == GrantReply::Replaced {
-            self.mark_ended(&sent.holder);
+            self.mark_terminated(&sent.holder);
         }
         if sent.hold.is_some() {
             let was_silent = self.unanswered_for(now, &sent.holder).is_some();
--- a/crates/sharding/src/granter/restarts.rs
+++ b/crates/sharding/src/granter/restarts.rs
@@ -67,6 +67,6 @@
     pub(super) fn end_earlier_fences(&mut self, fenced: &UpstreamId) {
         let candidates = &self.candidates;
         self.lost_holders
-            .remove_ended(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
+            .remove_terminated(|id| fenced.is_restart_of(id) && !candidates.contains_key(id));
     }
 }
--- a/crates/sharding/src/granter/standbys.rs
+++ b/crates/sharding/src/granter/standbys.rs
@@ -32,8 +32,8 @@
         self.standbys.apply_status(now, id, status);
     }
 
-    /// Records that the process of a standby has ended.
-    pub fn standby_ended(&mut self, now: Time, id: &StandbyId) {
-        self.standbys.mark_ended(now, id);
+    /// Records that the process of a standby has terminated.
+    pub fn standby_terminated(&mut self, now: Time, id: &StandbyId) {
+        self.standbys.mark_terminated(now, id);
     }
 }
--- a/crates/sharding/src/lost_holders.rs
+++ b/crates/sharding/src/lost_holders.rs
@@ -9,7 +9,7 @@
 //! Invariant: an upstream that lost keys without a reply is named in each record from the one
 //! that revokes them to the one after its reply. This granter and its successors send it
 //! releases of the keys under fresh tokens, and it gets no keys before it has answered one or
-//! has ended. Without this rule an upstream that was partitioned for five seconds accepted a
+//! has terminated. Without this rule an upstream that was partitioned for five seconds accepted a
 //! renewal from before the partition 1.2 s after its end, while another upstream held the
 //! keys.
 
@@ -66,7 +66,7 @@
     Unfenced(UpstreamId),
     /// It replied, this long after it lost the first of them.
     Fenced(UpstreamId, Duration),
-    /// It has been unregistered for so long that it is assumed to have ended.
+    /// It has been unregistered for so long that it is assumed to have terminated.
     Forgotten(UpstreamId),
 }
 
@@ -163,14 +163,14 @@
         self.holders.contains_key(upstream)
     }
 
-    /// Records that an upstream has ended and accepts no more orders.
-    pub fn mark_ended(&mut self, upstream: &UpstreamId) {
+    /// Records that an upstream has terminated and accepts no more orders.
+    pub fn mark_terminated(&mut self, upstream: &UpstreamId) {
         self.holders.remove(upstream);
     }
 
-    /// Removes upstreams that have ended.
-    pub fn remove_ended(&mut self, has_ended: impl Fn(&UpstreamId) -> bool) {
-        self.holders.retain(|upstream, _| !has_ended(upstream));
+    /// Removes upstreams that have terminated.
+    pub fn remove_terminated(&mut self, has_terminated: impl Fn(&UpstreamId) -> bool) {
+        self.holders.retain(|upstream, _| !has_terminated(upstream));
     }
 
     /// All upstreams that still have to confirm a release.
--- a/crates/sharding/src/order.rs
+++ b/crates/sharding/src/order.rs
@@ -73,7 +73,7 @@
     Outdated,
     /// The upstream gave the keys back; no work on them is left.
     Released(Option<Handover>),
-    /// Another incarnation listens at the address: the addressed one has ended.
+    /// Another incarnation listens at the address: the addressed one has terminated.
     Replaced,
     /// The upstream refused the order for an unknown reason.
     Rejected,
--- a/crates/sharding/src/slice.rs
+++ b/crates/sharding/src/slice.rs
@@ -35,9 +35,9 @@
 pub enum LossCause {
     /// The holder did not reply.
     Silent,
-    /// The holder is known to have ended.
-    Ended,
-    /// The holder is draining, or its registration is gone.
+    /// The holder is known to have terminated.
+    Terminated,
+    /// The holder is draining, or its registration has expired or was removed.
     Left,
     /// The slice moves to an upstream with more spare capacity.
     Balance,
--- a/crates/sharding/src/standby.rs
+++ b/crates/sharding/src/standby.rs
@@ -188,8 +188,8 @@
         standby.holds_until = standby.holds_until.max(holds_until.unwrap_or_default());
     }
 
-    /// Records that the process of a standby has ended.
-    pub fn mark_ended(&mut self, now: Time, id: &StandbyId) {
+    /// Records that the process of a standby has terminated.
+    pub fn mark_terminated(&mut self, now: Time, id: &StandbyId) {
         let order_end = self.order_end(now);
         let Some(standby) = self.named.get_mut(id) else {
             return;
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Guards against two owners after two restarts: an upstream ended with a delayed grant and
+/// Guards against two owners after two restarts: an upstream terminated with a delayed grant and
 /// was restarted twice. The second process executed the grant when its keys had moved from
 /// the first restart to another upstream.
 #[test]
@@ -258,7 +258,7 @@
     assert_eq!(granter.key_held_by_other(&id("a")), None);
 }
 
-/// Guards against restarting the wait with each successor, which left keys of an ended
+/// Guards against restarting the wait with each successor, which left keys of a terminated
 /// upstream without an owner for 25 s.
 #[test]
 fn successors_do_not_restart_the_wait() {
--- a/crates/sharding/tests/granter.rs
+++ b/crates/sharding/tests/granter.rs
@@ -215,7 +215,7 @@
 #[test]
 fn a_holder_that_was_replaced_loses_its_slices_at_once() {
     let mut granter = granted();
-    granter.mark_ended(&id("a"));
+    granter.mark_terminated(&id("a"));
     granter.poll(at(2_100));
     let record = granter.take_record().expect("record with the new holders");
     let with_b = record
@@ -387,7 +387,7 @@
 }
 
 /// Guards against applying a reply to the wrong holder (simulator seed 10): the reply to an
-/// order for an ended holder marked the next holder as ended, until no holder was left.
+/// order for a terminated holder marked the next holder as terminated, until no holder was left.
 #[test]
 fn a_reply_applies_to_the_holder_that_the_order_was_sent_to() {
     let mut granter = granted();
@@ -396,7 +396,7 @@
         .iter()
         .find(|order| order.holder == id("a"))
         .expect("a is renewed");
-    granter.mark_ended(&id("a"));
+    granter.mark_terminated(&id("a"));
     granter.poll(at(4_200));
     write_record(&mut granter, at(4_210)).expect("record with the new holders");
     granter.handle_reply(at(4_300), asked.call, GrantReply::Replaced);
@@ -446,7 +446,7 @@
         held.collect()
     };
     assert!(holders(&record).iter().all(|holder| holder == "warm"));
-    granter.mark_ended(&"warm".into());
+    granter.mark_terminated(&"warm".into());
     granter.set_candidates(at(1_600), [cold, ready("warm", 10.0)]);
     granter.poll(at(1_600));
     let record = granter
--- a/crates/sharding/tests/holds.rs
+++ b/crates/sharding/tests/holds.rs
@@ -10,7 +10,7 @@
 /// Why a holder does not reply.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outage {
-    /// Its machine is gone: data sent on an old connection gets no reply, and no new
+    /// Its machine has failed: data sent on an old connection gets no reply, and no new
     /// connection is established.
     MachineLost,
     /// No connection to it is established.
--- a/crates/sharding/tests/restarts.rs
+++ b/crates/sharding/tests/restarts.rs
@@ -207,7 +207,7 @@
         write_record(&mut granter, now);
     }
     granter.set_candidates(now, [candidate(born(2)), ready("other", None)]);
-    granter.mark_ended(&id("other"));
+    granter.mark_terminated(&id("other"));
     for _ in 0..10 {
         now = now + Duration::from_millis(20);
         for order in granter.poll(now) {
--- a/crates/sharding/tests/standbys.rs
+++ b/crates/sharding/tests/standbys.rs
@@ -25,7 +25,7 @@
     Reports,
     /// It reports nothing after 2,000 ms.
     StopsReporting,
-    /// It stops reporting, and its process is found to have ended 1 s later.
+    /// It stops reporting, and its process is found to have terminated 1 s later.
     Ends,
     /// It reports each record, and that it extended grants at 4,000 ms.
     Extends,
@@ -37,8 +37,8 @@
     granter.set_candidates(at(0), [ready("a", None), ready("b", None)]);
     let mut newest = None;
     for now in (0..25_000).step_by(10) {
-        let has_ended = behavior == Behavior::Ends && now >= 3_000;
-        let wanted: &[StandbyId] = if has_ended { &[] } else { &[STANDBY] };
+        let has_terminated = behavior == Behavior::Ends && now >= 3_000;
+        let wanted: &[StandbyId] = if has_terminated { &[] } else { &[STANDBY] };
         granter.set_standbys(at(now), wanted);
         for standby in granter.standbys_to_authorize(at(now)) {
             granter.standby_authorized(at(now), &standby);
@@ -70,8 +70,8 @@
                 },
             );
         }
-        if has_ended {
-            granter.standby_ended(at(now), &STANDBY);
+        if has_terminated {
+            granter.standby_terminated(at(now), &STANDBY);
         }
     }
     panic!("a never lost its keys");
