--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -2,10 +2,10 @@
 //!
 //! Guards against overloading upstreams that start cold. The upstreams of a zone restarted
 //! under ordinary load, were sent up to 35 requests per second where 18 are allowed, failed,
-//! restarted cold, and so on to the end of the day. A cold upstream only counted as twice as
-//! slow, and an idle one that is twice as slow is still the first choice of nodes whose other
-//! upstreams are busy; the holder of a key has no alternative at all. Without the limit the
-//! holder below gets 1,106 requests in a second.
+//! restarted cold and failed again, without ever recovering. A cold upstream only counted as
+//! twice as slow, and an idle one that is twice as slow is still the first choice of nodes whose
+//! other upstreams are busy; the holder of a key has no alternative at all. Without the limit
+//! the holder below gets 1,106 requests in a second.
 
 mod common;
 
--- a/crates/sharding/tests/granter.rs
+++ b/crates/sharding/tests/granter.rs
@@ -386,8 +386,8 @@
     );
 }
 
-/// Guards against applying a reply to the wrong holder (simulator seed 10): the reply to an
-/// order for a terminated holder marked the next holder as terminated, until no holder was left.
+/// Guards against applying a reply to the wrong holder: the reply to an order for a terminated
+/// holder marked the next holder as terminated, until no holder was left.
 #[test]
 fn a_reply_applies_to_the_holder_that_the_order_was_sent_to() {
     let mut granter = granted();
--- a/crates/sharding/tests/holds.rs
+++ b/crates/sharding/tests/holds.rs
@@ -137,9 +137,8 @@
     assert!(lost >= 5_000 + 3_060 + 300, "lost at {lost}");
 }
 
-/// Guards against keys that never get an owner again (simulator seed 30): the
-/// unresponsiveness for which holders had lost keys was still held against them when they got
-/// keys again.
+/// Guards against keys that never get an owner again: the unresponsiveness for which holders had
+/// lost keys was still held against them when they got keys again.
 #[test]
 fn upstreams_get_keys_again_after_all_were_unresponsive() {
     let mut granter = granted();
--- a/crates/sharding/tests/slow_granter.rs
+++ b/crates/sharding/tests/slow_granter.rs
@@ -122,9 +122,9 @@
     revoked
 }
 
-/// Guards against overloading the granter (bench day `rkp-algas-grown`): a new granter on a
-/// tenth of a core sent 440 orders at once, read nearly all replies too late, revoked the
-/// keys of all holders, and repeated this for 20 s.
+/// Guards against overloading the granter: a new granter on a tenth of a core sent 440 orders at
+/// once, read nearly all replies too late, revoked the keys of all holders, and repeated this for
+/// 20 s.
 #[test]
 fn a_slow_granter_limits_pending_orders_to_what_it_can_handle() {
     let mut granter = successor(10_000);
