--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -12,13 +12,12 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Number of buckets per window.
-const BUCKETS: usize = 10;
+const BUCKETS_PER_WINDOW: usize = 10;
 /// A retry is dropped once its whole bucket lies before the window, which takes one bucket
 /// more. When it was dropped with the window's first bucket, it could be as little as nine
 /// tenths of a window old, and a node that had spent all at once could spend it again within
 /// the window.
-const RETRY_BUCKETS: usize = BUCKETS + 1;
+const RETRY_BUCKETS: usize = BUCKETS_PER_WINDOW + 1;
 /// Fraction of the limit that is spent, since other nodes' counts differ in time.
 const SAFETY_FACTOR: f64 = 0.7;
 /// Fraction of a node's allowance that a process spends in its first window. Together with what
@@ -55,7 +54,7 @@
 
 impl<const LEN: usize> WindowedCounts<LEN> {
     fn advance(&mut self, config: &RetryBudgetConfig, now: Time) {
-        let length = (config.window.as_micros() as u64 / BUCKETS as u64).max(1);
+        let length = (config.window.as_micros() as u64 / BUCKETS_PER_WINDOW as u64).max(1);
         let bucket = now.0 / length;
         let passed = bucket.saturating_sub(self.bucket).min(LEN as u64);
         for step in 0..passed {
@@ -82,7 +81,7 @@
 /// Requests and retries of one service at one node.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    requests: WindowedCounts<BUCKETS>,
+    requests: WindowedCounts<BUCKETS_PER_WINDOW>,
     retries: WindowedCounts<RETRY_BUCKETS>,
     /// When the first request arrived.
     first_request_at: Option<Time>,
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -12,8 +12,8 @@
 use super::slots::SlotState;
 use super::{Dispatcher, PermitWait, Request};
 use crate::rate_limit::{
-    PermitCounts, PermitReply, PermitRequest, PermitStep, REPLY_TIMEOUT, RateLimitEvent,
-    RateLimitUpdate,
+    PermitCounts, PermitReply, PermitRequest, PermitStep, RATE_PERMIT_REPLY_TIMEOUT,
+    RateLimitEvent, RateLimitUpdate,
 };
 use crate::report::UpstreamHash;
 use crate::request::{RateLimitState, RefusalReason, Ticket};
@@ -259,6 +259,6 @@
             .route
             .target_latency
             .mul_f64(MAX_PERMIT_WAIT_FRACTION);
-    let reply_by = (now + REPLY_TIMEOUT).min(latest);
+    let reply_by = (now + RATE_PERMIT_REPLY_TIMEOUT).min(latest);
     request.wait_until = request.wait_until.max(reply_by).min(request.deadline);
 }
--- a/crates/dispatch/src/quarantine/issuer.rs
+++ b/crates/dispatch/src/quarantine/issuer.rs
@@ -31,7 +31,7 @@
 /// that does not exist.
 const ANSWERED_TRIALS: u32 = 3;
 /// How long after the last activity the issuer drops a request.
-const RETENTION: Duration = Duration::from_secs(20 * 60);
+const TRIALS_RETENTION: Duration = Duration::from_secs(20 * 60);
 
 /// Asks for a permit.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -182,6 +182,6 @@
     /// Drops requests without recent activity.
     pub fn expire(&mut self, now: Time) {
         self.trials
-            .retain(|_, trials| now.since(trials.last_activity) < RETENTION);
+            .retain(|_, trials| now.since(trials.last_activity) < TRIALS_RETENTION);
     }
 }
--- a/crates/dispatch/src/quarantine/suspect.rs
+++ b/crates/dispatch/src/quarantine/suspect.rs
@@ -30,7 +30,7 @@
     Duration::from_secs(24 * 60 * 60),
 ];
 /// How long a suspicion is kept after the quarantine.
-const RETENTION: Duration = Duration::from_secs(30 * 60);
+const SUSPICION_RETENTION: Duration = Duration::from_secs(30 * 60);
 /// How long a cleared suspicion is kept: longer than reports of its terminations are on the
 /// way, including those through the store.
 const CLEARED_RETENTION: Duration = Duration::from_secs(60);
@@ -220,7 +220,7 @@
         let remembered = if self.attempts() == 0 {
             CLEARED_RETENTION
         } else {
-            self.quarantine_time() + RETENTION
+            self.quarantine_time() + SUSPICION_RETENTION
         };
         now.since(self.since) >= remembered
     }
--- a/crates/dispatch/src/quarantine/trials.rs
+++ b/crates/dispatch/src/quarantine/trials.rs
@@ -8,7 +8,7 @@
 
 /// How long the issuer's reply is awaited: longer than a round trip between zones plus the
 /// scheduling delay of a node with little CPU time.
-const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+const TRIAL_PERMIT_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long after the permit request a permit may be used. For the issuer the time starts
 /// later.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
@@ -88,7 +88,7 @@
             number: self.last_number,
             stage: Stage::Asked,
             asked_at: now,
-            until: now + REPLY_TIMEOUT,
+            until: now + TRIAL_PERMIT_REPLY_TIMEOUT,
         };
         self.trials.insert(fingerprint, trial);
         TrialStep::Ask(trial.number)
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -17,11 +17,11 @@
 use beamtray_catalog::{AdvertisedRate, RequestRate};
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
-use issuer::{Buckets, Share, Tenure, WINDOW};
+use issuer::{Buckets, RATE_LIMIT_WINDOW, Share, Tenure};
 use known::KnownLimits;
 pub use known::{RateLimitEvent, RateLimitUpdate};
 use permits::Permits;
-pub(crate) use permits::{PermitStep, REPLY_TIMEOUT};
+pub(crate) use permits::{PermitStep, RATE_PERMIT_REPLY_TIMEOUT};
 use recent::RecentSends;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -245,7 +245,7 @@
         let Some(issuers) = self.issuers.get_mut(&upstream) else {
             return 0;
         };
-        let is_old = now.since(issuers.learned) >= WINDOW;
+        let is_old = now.since(issuers.learned) >= RATE_LIMIT_WINDOW;
         if is_old || issuers.informed.contains(&issuer) {
             return 0;
         }
--- a/crates/dispatch/src/rate_limit/issuer.rs
+++ b/crates/dispatch/src/rate_limit/issuer.rs
@@ -1,11 +1,11 @@
 //! Token buckets from which a node issues permits.
 //!
-//! Invariant: in any [`WINDOW`], the permits that all issuers of an upstream issue, and the
-//! requests sent with them, stay below the advertised rate over that time plus
+//! Invariant: in any [`RATE_LIMIT_WINDOW`], the permits that all issuers of an upstream issue, and
+//! the requests sent with them, stay below the advertised rate over that time plus
 //! [`BURST_PERMITS`] requests per issuer. A bucket that replaces another one starts empty, so
 //! nothing is issued twice. Buckets fill more slowly than the rate, by what they may hold at once
-//! and by how long a permit may stay unused, which makes up for permits that are used together
-//! or late.
+//! and by how long a permit may stay unused, which makes up for permits that are used together or
+//! late.
 //!
 //! Requests that nodes sent before they knew of the limit are worked off first, as far as they
 //! exceed the rate, and for at most [`MAX_DEBT`]: the upstream has them in its queue, which
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// Time over which an upstream's rate limit is enforced.
-pub(super) const WINDOW: Duration = Duration::from_secs(4);
+pub(super) const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// How long after the permit request a permit may be used. For the issuer the time starts
 /// later.
 pub(super) const PERMIT_LIFETIME: Duration = Duration::from_millis(150);
@@ -64,7 +64,7 @@
     pub fn of(rate: RequestRate, issuers: usize) -> Self {
         let shares = issuers.max(1) as f64;
         let each = rate.per_second().max(MIN_RATE) / shares;
-        let window = WINDOW.as_secs_f64();
+        let window = RATE_LIMIT_WINDOW.as_secs_f64();
         let excess = PERMIT_LIFETIME + BURST_TIME;
         let rate = each * window / (window + excess.as_secs_f64());
         Self {
--- a/crates/dispatch/src/rate_limit/permits.rs
+++ b/crates/dispatch/src/rate_limit/permits.rs
@@ -8,7 +8,7 @@
 
 /// How long an issuer's reply is awaited: a round trip between zones plus the scheduling delay
 /// of a node with little CPU time.
-pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
+pub(crate) const RATE_PERMIT_REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long an issuer that did not reply once is not asked; doubles with each further time. The
 /// message may have been lost, or the issuer may have terminated.
 const INITIAL_ISSUER_BACKOFF: Duration = Duration::from_millis(50);
@@ -48,7 +48,7 @@
 
 impl PendingRequest {
     fn expires(&self) -> Time {
-        self.asked_at + REPLY_TIMEOUT
+        self.asked_at + RATE_PERMIT_REPLY_TIMEOUT
     }
 }
 
--- a/crates/dispatch/src/rate_limit/recent.rs
+++ b/crates/dispatch/src/rate_limit/recent.rs
@@ -3,28 +3,27 @@
 //! When an upstream starts to advertise a rate limit, requests sent shortly before count: it
 //! still has to work them off.
 
-use super::issuer::WINDOW;
+use super::issuer::RATE_LIMIT_WINDOW;
 use crate::report::UpstreamHash;
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Number of buckets per window.
-const BUCKETS: usize = 8;
+const BUCKETS_PER_WINDOW: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     /// Number of the newest bucket.
     newest: u64,
-    sent: [u32; BUCKETS],
+    sent: [u32; BUCKETS_PER_WINDOW],
 }
 
 impl Counts {
     /// Clears the buckets that have passed since the newest one.
     fn advance(&mut self, bucket: u64) {
         let passed = bucket.saturating_sub(self.newest);
-        for offset in 1..=passed.min(BUCKETS as u64) {
-            self.sent[((self.newest + offset) % BUCKETS as u64) as usize] = 0;
+        for offset in 1..=passed.min(BUCKETS_PER_WINDOW as u64) {
+            self.sent[((self.newest + offset) % BUCKETS_PER_WINDOW as u64) as usize] = 0;
         }
         self.newest = self.newest.max(bucket);
     }
@@ -39,7 +38,7 @@
     pub fn record(&mut self, now: Time, upstream: UpstreamHash) {
         let counts = self.0.entry(upstream).or_default();
         counts.advance(bucket(now));
-        counts.sent[(counts.newest % BUCKETS as u64) as usize] += 1;
+        counts.sent[(counts.newest % BUCKETS_PER_WINDOW as u64) as usize] += 1;
     }
 
     /// Number of requests to an upstream within the window.
@@ -57,6 +56,6 @@
 }
 
 fn bucket(now: Time) -> u64 {
-    let length: Duration = WINDOW / BUCKETS as u32;
+    let length: Duration = RATE_LIMIT_WINDOW / BUCKETS_PER_WINDOW as u32;
     now.0 / length.as_micros() as u64
 }
--- a/crates/dispatch/tests/cold_starts.rs
+++ b/crates/dispatch/tests/cold_starts.rs
@@ -20,7 +20,7 @@
 /// The limit of 18 requests per second: 6.7 x 1.5 + 8.
 const MAX_PER_SECOND: usize = 18;
 /// Requests per second that a cold upstream handles.
-const RATE: f64 = 6.7;
+const COLD_RATE: f64 = 6.7;
 /// How long the upstream is cold, starting at 2 s.
 const COLD_TIME: Duration = Duration::from_secs(3);
 const COLD_FROM: u64 = 2_000;
@@ -47,7 +47,7 @@
         });
     }
     let mut dispatcher = unconfigured_as(&name(number));
-    if rate < RATE {
+    if rate < COLD_RATE {
         dispatcher.set_bounds(&bounds_without_slack());
     }
     dispatcher.configure(&configuration);
@@ -77,7 +77,7 @@
 
 impl Load {
     fn new(nodes: usize, path: &'static str, key: Option<u16>) -> Self {
-        Self::with_rate(nodes, path, key, RATE)
+        Self::with_rate(nodes, path, key, COLD_RATE)
     }
 
     fn with_rate(nodes: usize, path: &'static str, key: Option<u16>, rate: f64) -> Self {
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub const PATIENCE: Duration = Duration::from_millis(2_000);
+pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 pub fn at(millis: u64) -> Time {
     Time(millis * 1_000)
@@ -159,7 +159,7 @@
         id: "id".to_owned(),
         host: "host:80".to_owned(),
         path: path.to_owned(),
-        client_timeout: Some(PATIENCE),
+        client_timeout: Some(CLIENT_TIMEOUT),
         key: key.map(ShardKey),
         fingerprints: Fingerprints::default(),
     }
--- a/crates/dispatch/tests/named_rates.rs
+++ b/crates/dispatch/tests/named_rates.rs
@@ -21,7 +21,7 @@
 
 const WINDOW_MS: u64 = 4_000;
 /// Requests allowed beyond the rate in a window.
-const SLACK: f64 = 5.0;
+const SLACK_REQUESTS: f64 = 5.0;
 /// How long an upstream works on a request.
 const WORK_MS: u64 = 40;
 /// When the upstream starts to advertise its rate.
@@ -245,7 +245,7 @@
 }
 
 fn assert_rate_kept(world: &World, rate: f64) {
-    let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK;
+    let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK_REQUESTS;
     let most = world.max_in_window();
     assert!((most as f64) < allowed, "{most} in 4 s, allowed {allowed}");
 }
@@ -512,7 +512,7 @@
     }
     // Nodes that did not know the limit sent without one until the first responses.
     world.sent.retain(|at| *at > 1_000);
-    let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK;
+    let allowed = rate * WINDOW_MS as f64 / 1e3 + SLACK_REQUESTS;
     if (world.max_in_window() as f64) < allowed {
         TestResult::passed()
     } else {
--- a/crates/router/src/settings/core_config.rs
+++ b/crates/router/src/settings/core_config.rs
@@ -30,7 +30,7 @@
 /// How long an upstream may take to carry out an order that it has not answered, as specified
 /// by the users' platform.
 const ORDER_LIFETIME: Duration = Duration::from_secs(12);
-const TRANSIT: Duration = Duration::from_millis(300);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(300);
 /// A silent holder has lost its keys after this and the remainder of its hold.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 const GRANT_NOTICE: Duration = Duration::from_millis(20);
@@ -150,7 +150,7 @@
                     .min(MAX_ORDER_INTERVAL),
                 max_renewal: renewal + (max_hold - hold).min(MAX_RENEWAL - renewal),
                 drift_percent: CLOCK_DRIFT_PERCENT,
-                transit: TRANSIT,
+                transit: MAX_ORDER_TRANSIT,
                 order_timeout: GRANT_TIMEOUT,
                 order_lifetime: ORDER_LIFETIME,
                 silence_timeout: SILENCE_TIMEOUT,
--- a/crates/sharding/src/granter/orders.rs
+++ b/crates/sharding/src/granter/orders.rs
@@ -34,7 +34,7 @@
 /// Factor applied to the window when an order times out.
 const WINDOW_DECREASE: f64 = 0.5;
 /// Upper limit for the maximum window; it bounds how many connections are opened at once.
-const MAX_WINDOW: usize = 256;
+const MAX_WINDOW_LIMIT: usize = 256;
 
 /// The adaptive window of pending orders.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
 impl Default for OrderWindow {
     fn default() -> Self {
         Self {
-            size: MAX_WINDOW as f64,
+            size: MAX_WINDOW_LIMIT as f64,
             shrunk_at: None,
         }
     }
@@ -240,7 +240,7 @@
         let renewal = self.timing.pace(self.slices.len()).renewal;
         let answered_in = self.timely_answer().as_secs_f64();
         let needed = self.slices.len() as f64 * answered_in / renewal.as_secs_f64();
-        (needed.ceil() as usize).clamp(MIN_WINDOW_LIMIT, MAX_WINDOW)
+        (needed.ceil() as usize).clamp(MIN_WINDOW_LIMIT, MAX_WINDOW_LIMIT)
     }
 
     /// Adjusts the window to the outcome of a grant. `was_answering` tells whether the holder
--- a/crates/sharding/src/load.rs
+++ b/crates/sharding/src/load.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Counts below this are dropped.
-const NEGLIGIBLE: f64 = 0.05;
+const NEGLIGIBLE_COUNT: f64 = 0.05;
 
 /// Decayed request counts by key.
 #[derive(Clone, Debug, Default)]
@@ -22,7 +22,7 @@
     pub fn decay(&mut self, factor: f64) {
         self.by_key.retain(|_, count| {
             *count *= factor;
-            *count >= NEGLIGIBLE
+            *count >= NEGLIGIBLE_COUNT
         });
     }
 
--- a/crates/sharding/tests/doubt.rs
+++ b/crates/sharding/tests/doubt.rs
@@ -12,7 +12,7 @@
 
 /// Time from when a grant is given up on until it has expired: the lifetime of orders and a
 /// grant by a clock that is 2% slow.
-const DOUBT: u64 = 12_000 + 3_060;
+const GRANT_EXPIRY_MS: u64 = 12_000 + 3_060;
 
 fn is_grant(order: &GrantOrder) -> bool {
     matches!(order.kind, OrderKind::Grant { .. })
@@ -69,8 +69,14 @@
     let mut granter = granted();
     let (delayed, given_up, _) = leave_grant_unanswered(&mut granter);
     let moved_at = reassigned_at(&mut granter, given_up, &delayed);
-    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
-    assert!(moved_at <= given_up + DOUBT + 200, "moved at {moved_at}");
+    assert!(
+        moved_at >= given_up + GRANT_EXPIRY_MS,
+        "moved at {moved_at}"
+    );
+    assert!(
+        moved_at <= given_up + GRANT_EXPIRY_MS + 200,
+        "moved at {moved_at}"
+    );
 }
 
 #[test]
@@ -160,7 +166,10 @@
     let mut successor = Granter::new(at(begin), timing(), Epoch(2), Some(&record));
     successor.set_candidates(at(begin), [ready("a", None), ready("b", None)]);
     let moved_at = reassigned_at(&mut successor, begin, &delayed);
-    assert!(moved_at >= given_up + DOUBT, "moved at {moved_at}");
+    assert!(
+        moved_at >= given_up + GRANT_EXPIRY_MS,
+        "moved at {moved_at}"
+    );
 }
 
 fn born(birth: u64) -> Candidate {
@@ -213,7 +222,7 @@
     let mut granter = granted();
     let (_, given_up, _) = leave_grant_unanswered(&mut granter);
     let mut doubted = usize::MAX;
-    for now in (given_up..given_up + DOUBT + 200).step_by(50) {
+    for now in (given_up..given_up + GRANT_EXPIRY_MS + 200).step_by(50) {
         for order in granter.poll(at(now)) {
             answer(&mut granter, at(now), &order);
         }
