--- a/crates/actor/src/lib.rs
+++ b/crates/actor/src/lib.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between ticks that the owner of a [`NodeActor`] should keep.
-pub const TICK: Duration = Duration::from_millis(20);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
--- a/crates/control/src/configure.rs
+++ b/crates/control/src/configure.rs
@@ -190,7 +190,7 @@
         let changes = if under_way {
             vec![DeclarationChange::Replace(stored.declaration)]
         } else {
-            self.state.declaration.changes_to(&stored.declaration)
+            self.state.declaration.diff(&stored.declaration)
         };
         leadership.configuring.proposed = revision;
         self.propose(vec![Command::Configure {
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -117,7 +117,7 @@
         old.is_some_and(|old| old.is_some() && *old != slice.owner)
     });
     let (count, keys) = moved.fold((0, 0.0), |(count, keys), slice| {
-        (count + 1, keys + slice.range.share())
+        (count + 1, keys + slice.range.fraction())
     });
     let after_imbalance = imbalance(&input.slices, &available);
     Some(ServicePlan {
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/story.rs
@@ -24,14 +24,14 @@
 
 /// One line of a story, with what the node believed when it wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct TimelineEntry {
     /// The line.
     pub line: Line,
     /// Beliefs that bear on it, newest first.
     pub beliefs: Vec<Line>,
 }
 
-impl fmt::Display for Entry {
+impl fmt::Display for TimelineEntry {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let line = &self.line;
         writeln!(
@@ -124,7 +124,7 @@
 /// The lines of a request in order, with beliefs at its first and last line,
 /// and what happened to its upstreams meanwhile. Where an upstream ended under it, or it
 /// was kept off, also what its node knew of requests that say the same, at any time.
-pub fn request_story(lines: &[Line], request: &str) -> Vec<Entry> {
+pub fn request_timeline(lines: &[Line], request: &str) -> Vec<TimelineEntry> {
     let ordered = in_order(lines);
     let own: Vec<&Line> = ordered
         .iter()
@@ -154,7 +154,7 @@
             } else {
                 Vec::new()
             };
-            entries.push(Entry {
+            entries.push(TimelineEntry {
                 line: (*line).clone(),
                 beliefs,
             });
@@ -225,7 +225,7 @@
 
 /// Who held a key: its orders, the granters, and each request that went to
 /// another upstream than the one before.
-pub fn key_story(lines: &[Line], service: Option<&str>, key: u64) -> Vec<Entry> {
+pub fn key_timeline(lines: &[Line], service: Option<&str>, key: u64) -> Vec<TimelineEntry> {
     let mut last_upstream: Option<String> = None;
     let mut entries = Vec::new();
     for line in in_order(lines) {
@@ -243,7 +243,7 @@
             _ => false,
         };
         if tells {
-            entries.push(Entry {
+            entries.push(TimelineEntry {
                 line: line.clone(),
                 beliefs: Vec::new(),
             });
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Stories from lines of several nodes.
 
-use beamtray_explain::{Line, key_story, request_story};
+use beamtray_explain::{Line, key_timeline, request_timeline};
 
 const LINES: &str = r#"
  -1.0 node-1 time=1000 level=INFO msg=start node=node-1
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_request_is_told_in_order_with_what_bore_on_it() {
-    let story = request_story(&lines(), "abc");
+    let story = request_timeline(&lines(), "abc");
     let events: Vec<(u64, &str)> = story
         .iter()
         .map(|entry| (entry.line.time_ms, entry.line.event.as_str()))
@@ -66,14 +66,14 @@
 
 #[test]
 fn a_key_is_told_by_its_orders_and_changes_of_its_upstream() {
-    let story = key_story(&lines(), Some("keyed"), 40);
+    let story = key_timeline(&lines(), Some("keyed"), 40);
     let times: Vec<u64> = story.iter().map(|entry| entry.line.time_ms).collect();
     assert_eq!(times, [1100, 1150, 1300]);
 }
 
 #[test]
 fn an_unknown_request_has_no_story() {
-    assert!(request_story(&lines(), "nobody").is_empty());
+    assert!(request_timeline(&lines(), "nobody").is_empty());
 }
 
 const POISON: &str = r#"
@@ -93,7 +93,7 @@
         .lines()
         .filter_map(|text| Line::parse("-", text))
         .collect();
-    let story = request_story(&lines, "late");
+    let story = request_timeline(&lines, "late");
     let times: Vec<u64> = story.iter().map(|entry| entry.line.time_ms).collect();
     assert_eq!(times, [1000, 2500, 3000, 4000]);
 }
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -29,7 +29,7 @@
 
     /// Whether the caller is known to be gone. Where `tiny_http` serves, that
     /// shows only when the answer is written.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         match &self.connection {
             Connection::Tiny(_) => false,
             Connection::Caller(sender) => sender.is_closed(),
--- a/crates/node/src/command/explain.rs
+++ b/crates/node/src/command/explain.rs
@@ -1,7 +1,7 @@
 //! `explain`: the story of a request or a key from log lines.
 
 use super::{ExplainArguments, Outcome};
-use beamtray_explain::{Entry, Line, key_story, request_story};
+use beamtray_explain::{Line, TimelineEntry, key_timeline, request_timeline};
 use eyre::{Result, WrapErr};
 use std::fs::File;
 use std::io::{BufRead, BufReader, stdin};
@@ -14,14 +14,14 @@
     }
     let lines = read(&arguments.files)?;
     let story = match (request, key) {
-        (Some(request), _) => request_story(&lines, request),
-        (None, Some(key)) => key_story(&lines, arguments.service.as_deref(), key),
+        (Some(request), _) => request_timeline(&lines, request),
+        (None, Some(key)) => key_timeline(&lines, arguments.service.as_deref(), key),
         (None, None) => Vec::new(),
     };
     Ok(print(&story, lines.len()))
 }
 
-fn print(story: &[Entry], lines: usize) -> Outcome {
+fn print(story: &[TimelineEntry], lines: usize) -> Outcome {
     if story.is_empty() {
         eprintln!("none of {lines} lines tells of it");
         return Outcome::Failed;
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -6,7 +6,7 @@
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::peer::{LinkEvent, PeerLink, frame};
-use beamtray_actor::{NodeActor, ProcessClock, TICK};
+use beamtray_actor::{NodeActor, ProcessClock, TICK_INTERVAL};
 use beamtray_control::{
     ControlConfig, Envelope, Event, Input, Level, NodeCore, OperatorCall, Output, PeerMessage,
 };
@@ -65,7 +65,7 @@
         let outputs = fwd_to!([cx], output() as (Output));
         let control = parts.control.clone();
         let node = actor!(cx, NodeActor::init(control, clock, outputs), ret_nop!());
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             node,
             config: parts.control,
@@ -85,7 +85,7 @@
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         self.notice_gone_callers();
         self.input(Input::Tick);
     }
@@ -95,7 +95,7 @@
         let gone: Vec<RequestId> = self
             .callers
             .iter()
-            .filter(|(_, caller)| caller.responder.is_gone())
+            .filter(|(_, caller)| caller.responder.is_disconnected())
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
--- a/crates/ownership/src/slices.rs
+++ b/crates/ownership/src/slices.rs
@@ -76,7 +76,7 @@
 impl SliceTable {
     /// `count` unassigned slices of equal size.
     pub fn even(count: u32) -> Self {
-        let slices = SliceRange::even(count)
+        let slices = SliceRange::split_evenly(count)
             .into_iter()
             .map(|range| {
                 let slice = Slice {
--- a/crates/ownership/src/state.rs
+++ b/crates/ownership/src/state.rs
@@ -217,7 +217,7 @@
             ConfigureOutcome::Superseded(self.revision)
         } else {
             self.revision = revision;
-            self.declaration = self.declaration.with(changes);
+            self.declaration = self.declaration.with_changes(changes);
             self.found_services();
             ConfigureOutcome::InForce(revision)
         };
--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -76,7 +76,7 @@
         let servers = input.available.len() as f64;
         let rate: f64 = input.slices.iter().map(|slice| slice.rate).sum();
         let weight = |slice: &SliceLoad| {
-            let keys = slice.range.share() * servers;
+            let keys = slice.range.fraction() * servers;
             if rate <= 0.0 {
                 return keys;
             }
@@ -193,7 +193,7 @@
     fn cost_of(&self, position: usize) -> f64 {
         let founding = f64::from(self.input.slices_per_server.max(1));
         let servers = self.input.available.len() as f64;
-        let size = self.input.slices[position].range.share() * servers * founding;
+        let size = self.input.slices[position].range.fraction() * servers * founding;
         self.input.move_cost * size.min(1.0) / founding.sqrt()
     }
 
--- a/crates/placement/src/measure.rs
+++ b/crates/placement/src/measure.rs
@@ -32,6 +32,6 @@
     };
     Imbalance {
         load: ratio(&|slice| slice.rate),
-        keys: ratio(&|slice| slice.range.share()),
+        keys: ratio(&|slice| slice.range.fraction()),
     }
 }
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -28,7 +28,7 @@
 /// Slices dealt out in turn, each with the given rate.
 fn dealt(servers: &[ServerName], rate: impl Fn(usize) -> f64) -> Vec<SliceLoad> {
     let count = servers.len() as u32 * SLICES_PER_SERVER;
-    let ranges = SliceRange::even(count).into_iter().enumerate();
+    let ranges = SliceRange::split_evenly(count).into_iter().enumerate();
     ranges
         .map(|(position, range)| SliceLoad {
             range,
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -5,7 +5,7 @@
 use crate::shell::handle::Shared;
 use beamtray_dispatch::KeyReport;
 use beamtray_metastore::Revision;
-use beamtray_wire::{FrameBuffer, FrameError, Packed, encode};
+use beamtray_wire::{CompressedMessage, FrameBuffer, FrameError, encode};
 use bytes::Bytes;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -100,8 +100,8 @@
     let mut stream = TcpStream::connect(address).await?;
     prepare(&stream);
     stream.write_all(&encode(request)?).await?;
-    let packed: Packed = read_message(&mut stream).await?;
-    Ok(packed.open()?)
+    let packed: CompressedMessage = read_message(&mut stream).await?;
+    Ok(packed.decompress()?)
 }
 
 async fn read_message<T: borsh::BorshDeserialize>(stream: &mut TcpStream) -> Result<T, PeerError> {
@@ -207,7 +207,7 @@
     let bytes = match receiver.await.map_err(|_| PeerError::Ended)? {
         Prepared::Ready(bytes) => bytes,
         Prepared::Made(made_of, snapshots) => {
-            let bytes = Bytes::from(encode(&Packed::new(&snapshots)?)?);
+            let bytes = Bytes::from(encode(&CompressedMessage::new(&snapshots)?)?);
             shared.last_answer.keep(PackedAnswer {
                 request,
                 made_of,
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -23,7 +23,7 @@
 
 impl Declaration {
     /// The steps from this declaration to `next`.
-    pub fn changes_to(&self, next: &Declaration) -> Vec<DeclarationChange> {
+    pub fn diff(&self, next: &Declaration) -> Vec<DeclarationChange> {
         let mut changes = Vec::new();
         for service in &self.services {
             if next.service(&service.name).is_none() {
@@ -36,14 +36,14 @@
         }
         // Steps do not carry the order of entries; where it matters, the whole
         // declaration goes.
-        if self.with(&changes) == *next {
+        if self.with_changes(&changes) == *next {
             return changes;
         }
         vec![DeclarationChange::Replace(next.clone())]
     }
 
     /// This declaration after some steps.
-    pub fn with(&self, changes: &[DeclarationChange]) -> Declaration {
+    pub fn with_changes(&self, changes: &[DeclarationChange]) -> Declaration {
         let mut next = self.clone();
         for change in changes {
             next.apply(change);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -127,12 +127,12 @@
     let old = declaration();
     let mut new = old.clone();
     new.services[0].servers[1].drain = true;
-    let changes = old.changes_to(&new);
+    let changes = old.diff(&new);
     assert!(
         matches!(changes[..], [DeclarationChange::PutServer(..)]),
         "{changes:?}"
     );
-    assert_eq!(old.with(&changes), new);
+    assert_eq!(old.with_changes(&changes), new);
 }
 
 #[test]
@@ -141,7 +141,7 @@
     old.services[0].servers.truncate(1);
     let mut new = old.clone();
     new.services[0].servers[0].name = "b".into();
-    let changes = old.changes_to(&new);
+    let changes = old.diff(&new);
     assert_eq!(changes.len(), 2, "{changes:?}");
 }
 
@@ -150,7 +150,7 @@
 fn steps_lead_to_the_next_declaration() {
     fn leads(old: Vec<(u8, u8, bool)>, new: Vec<(u8, u8, bool)>) -> bool {
         let (old, new) = (build(&old), build(&new));
-        old.with(&old.changes_to(&new)) == new
+        old.with_changes(&old.diff(&new)) == new
     }
     let generator = Gen::from_size_and_seed(12, SEED);
     QuickCheck::new()
--- a/crates/sim/src/measure.rs
+++ b/crates/sim/src/measure.rs
@@ -258,7 +258,7 @@
 const SAMPLES: usize = 1_024;
 
 fn measure_ownership(history: &History, keyed: usize, measures: &mut Measures) {
-    let points: Vec<KeyHash> = SliceRange::even(SAMPLES as u32)
+    let points: Vec<KeyHash> = SliceRange::split_evenly(SAMPLES as u32)
         .iter()
         .map(|range| KeyHash(range.first + (range.last - range.first) / 2))
         .collect();
--- a/crates/sim/src/world/nodes.rs
+++ b/crates/sim/src/world/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::{Happening, World};
 use crate::record::Record;
-use beamtray_actor::{NodeActor, ProcessClock, TICK};
+use beamtray_actor::{NodeActor, ProcessClock, TICK_INTERVAL};
 use beamtray_control::{ControlConfig, Input, NodeCore, Output, PeerInfo, PeerMessage};
 use beamtray_types::{GroupId, Incarnation, Member, NodeId, Zone};
 use rand::RngExt;
@@ -96,7 +96,7 @@
         node.actor = Some(actor);
         node.held_inputs.clear();
         node.held_outputs.clear();
-        let first = self.rng.random_range(0..TICK.as_micros() as u64);
+        let first = self.rng.random_range(0..TICK_INTERVAL.as_micros() as u64);
         self.after(first, Happening::Tick { node: index, run });
     }
 
@@ -126,7 +126,10 @@
         if self.nodes[node].run != run || self.nodes[node].state == ProcessState::Dead {
             return;
         }
-        self.after(TICK.as_micros() as u64, Happening::Tick { node, run });
+        self.after(
+            TICK_INTERVAL.as_micros() as u64,
+            Happening::Tick { node, run },
+        );
         if self.nodes[node].state != ProcessState::Frozen {
             self.input(node, Input::Tick);
         }
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -69,12 +69,12 @@
     }
 
     /// The range's part of the hash space, from 0 to 1.
-    pub fn share(&self) -> f64 {
+    pub fn fraction(&self) -> f64 {
         ((self.last - self.first) as f64 + 1.0) / (u64::MAX as f64 + 1.0)
     }
 
     /// Divides the hash space into `count` ranges of equal size (at least one).
-    pub fn even(count: u32) -> Vec<SliceRange> {
+    pub fn split_evenly(count: u32) -> Vec<SliceRange> {
         let count = u128::from(count.max(1));
         let space = 1u128 << 64;
         let start = |position: u128| (space * position / count) as u64;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -49,13 +49,13 @@
 
 /// A message in compressed form, to be sent in a frame of its own.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Packed {
+pub struct CompressedMessage {
     /// Bytes of the message before compression.
     length: u32,
     bytes: Vec<u8>,
 }
 
-impl Packed {
+impl CompressedMessage {
     /// Compresses a message.
     ///
     /// # Errors
@@ -76,7 +76,7 @@
     /// # Errors
     /// [`FrameError::Length`] when it claims to be longer than
     /// [`MAX_FRAME_BYTES`], [`FrameError::Body`] when it can't be read.
-    pub fn open<T: BorshDeserialize>(&self) -> Result<T, FrameError> {
+    pub fn decompress<T: BorshDeserialize>(&self) -> Result<T, FrameError> {
         let length = self.length as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::Length(length));
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames survive any division of the stream, and what is no frame is refused.
 
-use beamtray_wire::{FrameBuffer, FrameError, MAX_FRAME_BYTES, Packed, VERSION, encode};
+use beamtray_wire::{CompressedMessage, FrameBuffer, FrameError, MAX_FRAME_BYTES, VERSION, encode};
 use quickcheck::{Gen, QuickCheck};
 
 const SEED: u64 = 20_261_202;
@@ -67,8 +67,8 @@
 #[test]
 fn packed_messages_come_out_as_they_went_in() {
     fn round_trips(message: Vec<(u64, String)>) -> bool {
-        let packed = Packed::new(&message).expect("short enough");
-        packed.open::<Vec<(u64, String)>>().expect("whole") == message
+        let packed = CompressedMessage::new(&message).expect("short enough");
+        packed.decompress::<Vec<(u64, String)>>().expect("whole") == message
     }
     let generator = Gen::from_size_and_seed(50, SEED);
     QuickCheck::new()
@@ -79,22 +79,26 @@
 #[test]
 fn text_that_repeats_is_packed_tightly() {
     let text = "route to service by prefix, ".repeat(1_000);
-    let packed = Packed::new(&text).expect("short enough");
+    let packed = CompressedMessage::new(&text).expect("short enough");
     let bytes = borsh::to_vec(&packed).expect("in memory");
     assert!(bytes.len() * 10 < text.len(), "{} bytes", bytes.len());
 }
 
 #[test]
 fn spoiled_or_boastful_packs_are_refused() {
-    let packed = Packed::new(&"some text to be spoiled".to_owned()).expect("short enough");
+    let packed =
+        CompressedMessage::new(&"some text to be spoiled".to_owned()).expect("short enough");
     let mut bytes = borsh::to_vec(&packed).expect("in memory");
     bytes[..4].copy_from_slice(&u32::MAX.to_le_bytes());
-    let boastful: Packed = borsh::from_slice(&bytes).expect("well formed");
+    let boastful: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
     assert!(matches!(
-        boastful.open::<String>(),
+        boastful.decompress::<String>(),
         Err(FrameError::Length(_))
     ));
     bytes[..4].copy_from_slice(&3u32.to_le_bytes());
-    let spoiled: Packed = borsh::from_slice(&bytes).expect("well formed");
-    assert!(matches!(spoiled.open::<String>(), Err(FrameError::Body(_))));
+    let spoiled: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
+    assert!(matches!(
+        spoiled.decompress::<String>(),
+        Err(FrameError::Body(_))
+    ));
 }
