--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,21 +1,21 @@
-//! The error that crosses crate borders.
+//! The error type shared by several crates.
 
 use thiserror::Error;
 
-/// A failure with the step that failed and the peer it concerned.
+/// Failure of an operation with a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{step} with {peer}: {cause}")]
 pub struct StepError {
-    /// What was being done, as a short verb phrase.
+    /// The operation that failed, as a short verb phrase.
     pub step: &'static str,
-    /// Address or name of the other side.
+    /// Address or name of the peer.
     pub peer: String,
-    /// What went wrong.
+    /// Description of the failure.
     pub cause: String,
 }
 
 impl StepError {
-    /// Builds an error from its three parts.
+    /// Creates an error from its parts.
     pub fn new(step: &'static str, peer: impl ToString, cause: impl ToString) -> Self {
         Self {
             step,
--- a/crates/types/src/fence.rs
+++ b/crates/types/src/fence.rs
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The value that follows this one.
+            /// Returns the successor of this value.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -29,8 +29,8 @@
 }
 
 counter!(
-    /// How often a control group was founded. Rises only by compare-and-swap
-    /// in the platform's key-value service.
+    /// Number of times a control group was bootstrapped. Incremented only by
+    /// compare-and-swap in the platform's key-value service.
     Generation
 );
 counter!(
@@ -42,11 +42,11 @@
     LogIndex
 );
 
-/// Orders every decision of a control group against every earlier one.
+/// Fencing token that totally orders the decisions of a control group.
 ///
-/// A server refuses whatever carries a lower fence than the highest it has
-/// seen. Fields compare in order of declaration: a new generation outranks any
-/// term of the one before, since the log starts again with it.
+/// A server rejects any request with a lower fence than the highest it has
+/// seen. Fields compare in declaration order: a new generation is greater than
+/// any term of the previous one, since it starts a new log.
 #[derive(
     Clone,
     Copy,
@@ -63,7 +63,7 @@
     Deserialize,
 )]
 pub struct Fence {
-    /// Founding of the group.
+    /// Generation of the group.
     pub generation: Generation,
     /// Term of the leader that committed the decision.
     pub term: Term,
@@ -72,7 +72,7 @@
 }
 
 impl Fence {
-    /// Builds a fence from its three parts.
+    /// Creates a fence from its parts.
     pub fn new(generation: Generation, term: Term, index: LogIndex) -> Self {
         Self {
             generation,
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of nodes, servers, services and the like.
+//! Identifiers of nodes, servers, services, zones and operations.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
@@ -54,48 +54,48 @@
 }
 
 number!(
-    /// A node of beamtray, as numbered in its settings file.
+    /// Number of a beamtray node, as given in its settings file.
     NodeId,
     u32
 );
 number!(
-    /// One run of a process. A restarted process draws a new one and so never
-    /// answers for promises of the run before it.
+    /// Random identifier of one run of a process. A restarted process gets a new
+    /// one and is therefore not bound by promises of its previous run.
     Incarnation,
     u64
 );
 number!(
-    /// A control group. Carried by every record so that many groups can share
-    /// one fleet.
+    /// Identifier of a control group. Every record carries it, so that several
+    /// groups can share one fleet.
     GroupId,
     u32
 );
 number!(
-    /// Revision of the operators' configuration; rises by one with each
-    /// accepted change.
+    /// Revision of the operators' configuration, incremented by each accepted
+    /// change.
     Revision,
     u64
 );
 number!(
-    /// Names one write of an operator, so that a lost reply can be settled by
-    /// reading back.
+    /// Identifier of an operator's write. After a lost reply, the operator reads
+    /// it back to learn whether the write took effect.
     OperationId,
     u64
 );
 name!(
-    /// A keyed server or a back end, unique over all services.
+    /// Name of a keyed server or a back end, unique across all services.
     ServerName
 );
 name!(
-    /// A service that callers address.
+    /// Name of a service that callers address.
     ServiceName
 );
 name!(
-    /// A failure domain.
+    /// Name of a failure domain.
     Zone
 );
 
-/// One run of one node: the identity that votes.
+/// One run of one node, which is the unit of voting membership.
 #[derive(
     Clone,
     Copy,
@@ -113,7 +113,7 @@
 pub struct Member {
     /// The node.
     pub node: NodeId,
-    /// Its run.
+    /// The run of the node.
     pub incarnation: Incarnation,
 }
 
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -1,11 +1,11 @@
-//! Keys as points of the hash space, and contiguous ranges of it.
+//! Key hashes and contiguous ranges of the hash space.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A key's point in the hash space: xxh3 with 64 bits.
+/// 64-bit xxh3 hash of a key.
 #[derive(
     Clone,
     Copy,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A contiguous range of the hash space, both ends included.
+/// A contiguous range of the hash space, inclusive on both ends.
 #[derive(
     Clone,
     Copy,
@@ -58,22 +58,22 @@
         last: u64::MAX,
     };
 
-    /// Whether the range holds `hash`.
+    /// Returns whether the range contains `hash`.
     pub fn contains(&self, hash: KeyHash) -> bool {
         (self.first..=self.last).contains(&hash.0)
     }
 
-    /// Whether two ranges share a point.
+    /// Returns whether two ranges have a hash in common.
     pub fn overlaps(&self, other: &SliceRange) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// The range's part of the hash space, from 0 to 1.
+    /// Returns the range's fraction of the hash space, from 0 to 1.
     pub fn fraction(&self) -> f64 {
         ((self.last - self.first) as f64 + 1.0) / (u64::MAX as f64 + 1.0)
     }
 
-    /// Divides the hash space into `count` ranges of equal size (at least one).
+    /// Splits the hash space into `count` ranges (at least one) of equal size.
     pub fn split_evenly(count: u32) -> Vec<SliceRange> {
         let count = u128::from(count.max(1));
         let space = 1u128 << 64;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, fences and key ranges that every other crate speaks in.
+//! Identifiers, fencing tokens and key ranges that the other crates share.
 //!
-//! Nothing here decides anything: a type belongs in this crate when two crates
-//! must agree on its meaning.
+//! A type belongs in this crate when two crates must agree on its meaning. The
+//! crate contains no decision logic.
 
 mod error;
 mod fence;
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,15 +1,15 @@
-//! A reading of one process's monotonic clock.
+//! Timestamps of a process's monotonic clock.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds on one process's monotonic clock, counted from an arbitrary start.
+/// Timestamp of a process's monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Two readings are comparable only when the same incarnation of the same
-/// process took both. Comparing across processes is the mistake that the grant
-/// protocol exists to avoid.
+/// Two timestamps are comparable only when the same incarnation of the same
+/// process took both. The grant protocol never compares timestamps of different
+/// processes.
 #[derive(
     Clone,
     Copy,
@@ -28,15 +28,15 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The earliest reading.
+    /// The earliest timestamp.
     pub const ZERO: Time = Time(0);
 
-    /// Time that passed since `earlier`; zero when `earlier` is in the future.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Milliseconds since the clock's start.
+    /// Returns the milliseconds since the clock's start.
     pub fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
