--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,19 +1,19 @@
-//! The difference between two declarations, so that a change of one server
-//! costs the size of that server and not of the whole.
+//! Differences between declarations, so that the size of a change to one server
+//! does not depend on the size of the whole declaration.
 
 use crate::declaration::{Declaration, ServerDeclaration, ServiceDeclaration};
 use beamtray_types::{ServerName, ServiceName};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// One step from a declaration to the next.
+/// One change in the difference between two declarations.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum DeclarationChange {
-    /// The whole next declaration.
+    /// Replaces the whole declaration.
     Replace(Declaration),
     /// Removes a service.
     RemoveService(ServiceName),
-    /// Adds a service, or replaces all of it but its servers; those given here
-    /// are ignored.
+    /// Adds a service, or replaces everything except its servers. The servers
+    /// in the given value are ignored.
     PutService(ServiceDeclaration),
     /// Removes a server.
     RemoveServer(ServiceName, ServerName),
@@ -22,7 +22,7 @@
 }
 
 impl Declaration {
-    /// The steps from this declaration to `next`.
+    /// Returns the changes that turn this declaration into `next`.
     pub fn diff(&self, next: &Declaration) -> Vec<DeclarationChange> {
         let mut changes = Vec::new();
         for service in &self.services {
@@ -32,17 +32,17 @@
         }
         for service in &next.services {
             let old = self.service(&service.name);
-            service_changes(old, service, &mut changes);
+            diff_service(old, service, &mut changes);
         }
-        // Steps do not carry the order of entries; where it matters, the whole
-        // declaration goes.
+        // Changes do not preserve the order of entries; if the order differs, the
+        // whole declaration is replaced.
         if self.with_changes(&changes) == *next {
             return changes;
         }
         vec![DeclarationChange::Replace(next.clone())]
     }
 
-    /// This declaration after some steps.
+    /// Returns this declaration with `changes` applied.
     pub fn with_changes(&self, changes: &[DeclarationChange]) -> Declaration {
         let mut next = self.clone();
         for change in changes {
@@ -58,12 +58,12 @@
                 self.services.retain(|service| service.name != *name);
             }
             DeclarationChange::PutService(new) => {
-                let known = self.services.iter_mut().find(|s| s.name == new.name);
-                match known {
-                    Some(known) => {
-                        let servers = std::mem::take(&mut known.servers);
-                        *known = new.clone();
-                        known.servers = servers;
+                let existing = self.services.iter_mut().find(|s| s.name == new.name);
+                match existing {
+                    Some(existing) => {
+                        let servers = std::mem::take(&mut existing.servers);
+                        *existing = new.clone();
+                        existing.servers = servers;
                     }
                     None => self.services.push(without_servers(new)),
                 }
@@ -78,7 +78,7 @@
                     return;
                 };
                 match service.servers.iter_mut().find(|s| s.name == new.name) {
-                    Some(known) => *known = new.clone(),
+                    Some(existing) => *existing = new.clone(),
                     None => service.servers.push(new.clone()),
                 }
             }
@@ -93,14 +93,14 @@
     }
 }
 
-fn service_changes(
+fn diff_service(
     old: Option<&ServiceDeclaration>,
     new: &ServiceDeclaration,
     changes: &mut Vec<DeclarationChange>,
 ) {
-    let bare = without_servers(new);
-    if old.map(without_servers) != Some(bare.clone()) {
-        changes.push(DeclarationChange::PutService(bare));
+    let service = without_servers(new);
+    if old.map(without_servers) != Some(service.clone()) {
+        changes.push(DeclarationChange::PutService(service));
     }
     let old_servers = old.map_or(&[][..], |old| &old.servers);
     for server in old_servers {
--- a/crates/settings/src/declaration.rs
+++ b/crates/settings/src/declaration.rs
@@ -1,4 +1,4 @@
-//! The declaration: which services exist, who serves them, and how.
+//! The declaration of services, their servers and their request handling.
 
 use crate::SettingsError;
 use crate::error::{line_of, parse, read};
@@ -8,16 +8,16 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most servers one declaration may name.
+/// Maximum number of servers in a declaration.
 pub const MAX_SERVERS: usize = 10_000;
-/// Most slices that a service may have per server when it is founded.
+/// Maximum number of initial slices per server of a service.
 pub const MAX_SLICES_PER_SERVER: u32 = 256;
 const MAX_SLOTS: u32 = 1_024;
 const MAX_QUEUE: u32 = 100_000;
 const DEADLINE_MILLIS: std::ops::RangeInclusive<u64> = 10..=120_000;
 const MAX_REASSIGN_MILLIS: u64 = 10_000;
 
-/// Everything that operators declare, as kept in version control.
+/// The operators' declaration, as kept in version control.
 #[derive(
     Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize,
 )]
@@ -28,7 +28,7 @@
     pub services: Vec<ServiceDeclaration>,
 }
 
-/// How a service's requests find a server.
+/// How requests of a service are assigned to servers.
 #[derive(
     Clone,
     Copy,
@@ -43,10 +43,10 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Division {
-    /// Each key has one owner.
+    /// Each key is owned by exactly one server.
     #[default]
     Keyed,
-    /// Any back end serves any request.
+    /// Any back end can serve any request.
     Pool,
 }
 
@@ -54,33 +54,35 @@
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDeclaration {
-    /// Name, which is also the first segment of a caller's path.
+    /// Name, which is also the first segment of a request path.
     pub name: ServiceName,
-    /// Keyed by owner, or a pool.
+    /// Keyed service or pool.
     #[serde(default)]
     pub division: Division,
-    /// Slices per server at the founding of a keyed service.
+    /// Number of slices per server when a keyed service is created.
     #[serde(default = "default_slices")]
     pub slices_per_server: u32,
-    /// Cost of moving a slice, in shares of the mean load per server: a move
-    /// for balance must gain more. 0 moves freely; 1 all but never.
+    /// Cost of moving a slice, as a fraction of the mean load per server. A
+    /// rebalancing move must gain more than this: 0 moves slices freely, 1
+    /// almost never.
     #[serde(default = "default_move_cost")]
     pub move_cost: f64,
-    /// How long after its grants lapsed a silent server keeps its slices, in
-    /// milliseconds, in case it returns. Trades unavailable time for churn.
+    /// How long an unresponsive server keeps its slices after its grants have
+    /// expired, in milliseconds, in case it returns. Reduces churn at the cost
+    /// of unavailability.
     #[serde(default)]
     pub reassign_after_millis: u64,
-    /// Longest time a request may take, in milliseconds, when its caller
-    /// states no shorter one.
+    /// Maximum duration of a request, in milliseconds, unless its caller sets
+    /// a shorter deadline.
     #[serde(default = "default_deadline")]
     pub deadline_millis: u64,
-    /// Requests that may wait per server.
+    /// Maximum number of queued requests per server.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// Retries allowed as a share of requests.
+    /// Retry budget as a fraction of requests.
     #[serde(default = "default_retry_share")]
     pub retry_share: f64,
-    /// Which requests may be repeated; the first rule that matches decides.
+    /// Rules for which requests may be retried; the first matching rule applies.
     #[serde(default, rename = "rule")]
     pub rules: Vec<RequestRule>,
     /// The servers or back ends.
@@ -88,16 +90,16 @@
     pub servers: Vec<ServerDeclaration>,
 }
 
-/// Whether requests of one kind may be repeated.
+/// A rule for whether matching requests may be retried.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestRule {
     /// HTTP method, or `*`.
     pub method: String,
-    /// Prefix of the path below the service and key, such as `/transfer`.
+    /// Prefix of the path after the service and the key, such as `/transfer`.
     #[serde(default)]
     pub path: String,
-    /// Whether running such a request twice is harmless.
+    /// Whether executing such a request twice is harmless.
     pub repeatable: bool,
 }
 
@@ -107,14 +109,14 @@
 pub struct ServerDeclaration {
     /// Unique name.
     pub name: ServerName,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Zone that the server runs in.
     pub zone: Zone,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it is to be emptied.
+    /// Whether the server is to be drained.
     #[serde(default)]
     pub drain: bool,
 }
@@ -144,30 +146,30 @@
 }
 
 impl Declaration {
-    /// Reads and checks a declaration file.
+    /// Reads and validates a declaration file.
     ///
     /// # Errors
-    /// [`SettingsError`] with the file, the field and what is allowed.
+    /// [`SettingsError`] with the file, the field and the allowed values.
     pub fn load(file: &str) -> Result<Self, SettingsError> {
         Self::parse(file, &read(file)?)
     }
 
-    /// Parses and checks a declaration; `file` only names it in errors.
+    /// Parses and validates a declaration; `file` is only used in error messages.
     ///
     /// # Errors
-    /// As [`Declaration::load`].
+    /// Same as [`Declaration::load`].
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let declaration: Self = parse(file, text)?;
         declaration.check(file, text)?;
         Ok(declaration)
     }
 
-    /// The service called `name`.
+    /// Returns the service named `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceDeclaration> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// The server called `name`, with its service.
+    /// Returns the server named `name` and its service.
     pub fn server(&self, name: &ServerName) -> Option<(&ServiceDeclaration, &ServerDeclaration)> {
         self.services.iter().find_map(|service| {
             let server = service.servers.iter().find(|server| server.name == *name)?;
@@ -175,10 +177,10 @@
         })
     }
 
-    /// Checks every rule that the types do not carry.
+    /// Validates the constraints that the types do not express.
     ///
     /// # Errors
-    /// [`SettingsError::Range`] for the first value refused.
+    /// [`SettingsError::Range`] for the first invalid value.
     pub fn check(&self, file: &str, text: &str) -> Result<(), SettingsError> {
         let refuse = |needle: &str, field: String, value: String, allowed: &str| {
             Err(SettingsError::Range {
@@ -194,7 +196,7 @@
         let mut services = BTreeSet::new();
         for service in &self.services {
             let name = service.name.as_str();
-            if !is_plain_name(name) {
+            if !is_valid_name(name) {
                 return refuse(name, "service.name".into(), name.into(), NAME_RULE);
             }
             if !services.insert(&service.name) {
@@ -207,7 +209,7 @@
             for server in &service.servers {
                 let label = server.name.as_str();
                 let field = format!("service.{name}.server.{label}");
-                if !is_plain_name(label) {
+                if !is_valid_name(label) {
                     return refuse(label, field, label.into(), NAME_RULE);
                 }
                 if !names.insert(&server.name) {
@@ -235,14 +237,14 @@
 
 const NAME_RULE: &str = "1 to 64 letters, digits, '-' or '_'";
 
-fn is_plain_name(name: &str) -> bool {
-    let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_".contains(letter);
-    (1..=64).contains(&name.len()) && name.chars().all(plain)
+fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_".contains(letter);
+    (1..=64).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
 impl ServiceDeclaration {
-    /// Whether a request may run twice. Without a matching rule only the
-    /// methods that HTTP defines as safe may (RFC 9110, section 9.2.1).
+    /// Returns whether a request may be retried. Without a matching rule, only
+    /// safe HTTP methods may (RFC 9110, section 9.2.1).
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         self.rules
             .iter()
@@ -255,7 +257,7 @@
             })
     }
 
-    /// Field, value and allowed range of the first value out of range.
+    /// Returns field, value and allowed range of the first value out of range as an error.
     fn check_values(&self) -> Result<(), (String, String, String)> {
         let refuse = |field: &str, value: String, allowed: &str| {
             Err((field.to_owned(), value, allowed.to_owned()))
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,51 +1,51 @@
-//! Errors of reading and checking files.
+//! Errors of reading and validating files.
 
 use thiserror::Error;
 
-/// Why a settings file or a declaration was refused.
+/// Reason why a settings file or a declaration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{file}: cannot read: {cause}")]
     Read {
-        /// Path as given.
+        /// Path as passed by the caller.
         file: String,
-        /// What the system said.
+        /// Error message of the operating system.
         cause: String,
     },
-    /// The file is not TOML of the expected shape. The cause carries the line.
+    /// The file is not valid TOML or does not match the schema.
     #[error("{file}: {cause}")]
     Parse {
-        /// Path as given.
+        /// Path as passed by the caller.
         file: String,
         /// The parser's message, with line and column.
         cause: String,
     },
-    /// A value is outside what is allowed.
+    /// A value is not allowed.
     #[error("{file}:{line}: {field} = {value}: allowed is {allowed}")]
     Range {
-        /// Path as given.
+        /// Path as passed by the caller.
         file: String,
-        /// First line that mentions the value's field, from 1; 0 when unknown.
+        /// First line that contains the field's name, from 1; 0 if unknown.
         line: usize,
-        /// Full name of the field.
+        /// Qualified name of the field.
         field: String,
-        /// The value refused.
+        /// The rejected value.
         value: String,
-        /// What would be accepted.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
 
-/// Finds the line of a value for an error message: the first line that holds
-/// `needle`, counted from 1, or 0.
+/// Returns the number of the first line that contains `needle`, counted from 1,
+/// or 0 if there is none. Used to locate a value for an error message.
 pub(crate) fn line_of(text: &str, needle: &str) -> usize {
     text.lines()
         .position(|line| line.contains(needle))
         .map_or(0, |position| position + 1)
 }
 
-/// Reads a file to text.
+/// Reads a text file.
 pub(crate) fn read(file: &str) -> Result<String, SettingsError> {
     std::fs::read_to_string(file).map_err(|error| SettingsError::Read {
         file: file.to_owned(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators write: a node's settings file and the declaration of
-//! services, both TOML, checked before anything acts on them.
+//! Operator-written TOML files: a node's settings and the declaration of
+//! services. Both are validated before use.
 //!
-//! Every error names the file, the field and what is allowed.
+//! Every error names the file, the field and the allowed values.
 
 mod change;
 mod declaration;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of one node. Flags of the same name override the file.
+/// Settings of one node. Command-line flags of the same name override the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
@@ -19,72 +19,73 @@
     pub group: GroupId,
     /// Zone that the node runs in.
     pub zone: Zone,
-    /// Address for callers. Port 0 picks one.
+    /// Listen address for callers. Port 0 picks a free port.
     pub callers: SocketAddr,
-    /// Address for other nodes.
+    /// Listen address for other nodes.
     pub peers: SocketAddr,
-    /// Address for operators, metrics and probes.
+    /// Listen address for operators, metrics and probes.
     pub operators: SocketAddr,
     /// Address of the platform's key-value service.
     pub key_value: SocketAddr,
-    /// Address of the platform's machine list; none when it has none.
+    /// Address of the platform's machine list, if the platform has one.
     #[serde(default)]
     pub machines: Option<SocketAddr>,
-    /// Voters that a control group should have: 1, 3 or 5. Default 3.
+    /// Target number of voters in a control group: 1, 3 or 5. Default 3.
     #[serde(default = "default_voters")]
     pub voters: usize,
-    /// Threads that carry calls to servers. Default 32.
+    /// Number of threads that call servers. Default 32.
     #[serde(default = "default_workers")]
     pub upstream_workers: usize,
-    /// Connections of callers served at once. Default 2048.
+    /// Maximum number of concurrent caller connections. Default 2048.
     #[serde(default = "default_connections")]
     pub caller_connections: usize,
-    /// Longest body of a caller's request, in bytes. Default 1 MiB.
+    /// Maximum body size of a caller's request, in bytes. Default 1 MiB.
     #[serde(default = "default_body")]
     pub max_body_bytes: usize,
-    /// Longest time a planned stop waits for requests in flight, in
+    /// Maximum time that a graceful shutdown waits for requests in flight, in
     /// milliseconds. Default 10 s.
     #[serde(default = "default_stop")]
     pub stop_millis: u64,
     /// Protocol timing.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// All nodes of the group, this one included or not.
+    /// The nodes of the group; this node may be omitted.
     #[serde(default, rename = "peer")]
     pub peer_nodes: Vec<PeerSettings>,
 }
 
-/// Another node.
+/// Settings of a peer node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Its number.
+    /// Number of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: Zone,
-    /// Its address for nodes.
+    /// Address on which it listens for other nodes.
     pub address: SocketAddr,
 }
 
-/// Protocol timing in milliseconds. The defaults keep the loss of leader and
-/// owner together under 4 s; docs/DESIGN.md shows the sum.
+/// Protocol timing in milliseconds. With the defaults, recovery from the
+/// simultaneous loss of leader and owner takes less than 4 s; docs/DESIGN.md
+/// gives the calculation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSettings {
-    /// Between heartbeats of a leader. Default 150.
+    /// Interval between heartbeats of a leader. Default 150.
     pub heartbeat_millis: u64,
-    /// Lease that a majority's answers give a leader. Default 600.
+    /// Lease that a leader holds after responses from a majority. Default 600.
     pub leader_lease_millis: u64,
-    /// Least silence before an election; the most is 1.6 times it. Default 700.
+    /// Minimum election timeout; the maximum is 1.6 times this. Default 700.
     pub election_millis: u64,
-    /// Between renewals of a server's grants. Default 400.
+    /// Interval between renewals of a server's grants. Default 400.
     pub renewal_millis: u64,
-    /// Life of a grant on the server's clock. Default 1500.
+    /// Lifetime of a grant on the server's clock. Default 1500.
     pub grant_millis: u64,
-    /// Longest time a node admits requests without word from its group.
+    /// Maximum time that a node admits requests without contact to its group.
     /// Default 2500.
     pub configuration_lease_millis: u64,
-    /// Bound on the difference in rate of two clocks, in parts per thousand.
+    /// Upper bound on the relative drift of two clocks, in parts per thousand.
     /// Default 20.
     pub drift_per_mille: u64,
 }
@@ -104,49 +105,50 @@
 }
 
 impl TimingSettings {
-    /// Stretches a duration measured on another clock to what it can last on
-    /// this one.
+    /// Returns the longest time that a duration on another clock can take on
+    /// this one, given the maximum drift.
     pub fn with_drift(&self, duration: Duration) -> Duration {
         duration + duration.mul_f64(self.drift_per_mille as f64 / 1_000.0)
     }
 
-    /// Life of a grant on the server's clock.
+    /// Returns the lifetime of a grant on the server's clock.
     pub fn grant(&self) -> Duration {
         Duration::from_millis(self.grant_millis)
     }
 
-    /// Longest time that a grant can live as seen by the granter.
+    /// Returns the maximum lifetime of a grant on the granter's clock.
     pub fn grant_bound(&self) -> Duration {
         self.with_drift(self.grant())
     }
 
-    /// Lease of a leader on its own clock.
+    /// Returns the lease of a leader on its own clock.
     pub fn leader_lease(&self) -> Duration {
         Duration::from_millis(self.leader_lease_millis)
     }
 
-    /// Longest time a node admits requests without word from its group.
+    /// Returns the maximum time that a node admits requests without contact to
+    /// its group.
     pub fn configuration_lease(&self) -> Duration {
         Duration::from_millis(self.configuration_lease_millis)
     }
 
-    /// Time between renewals.
+    /// Returns the interval between grant renewals.
     pub fn renewal(&self) -> Duration {
         Duration::from_millis(self.renewal_millis)
     }
 
-    /// Least silence before an election.
+    /// Returns the minimum election timeout.
     pub fn election(&self) -> Duration {
         Duration::from_millis(self.election_millis)
     }
 
-    /// Time between heartbeats.
+    /// Returns the interval between heartbeats.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_millis)
     }
 
     fn check(&self) -> Result<(), (&'static str, u64, String)> {
-        let stretched = |millis: u64| millis + millis * self.drift_per_mille / 1_000 + 1;
+        let with_drift = |millis: u64| millis + millis * self.drift_per_mille / 1_000 + 1;
         if self.drift_per_mille > 200 {
             return Err(("drift_per_mille", self.drift_per_mille, "0 to 200".into()));
         }
@@ -161,7 +163,7 @@
             let allowed = "at least twice heartbeat_millis".into();
             return Err(("leader_lease_millis", self.leader_lease_millis, allowed));
         }
-        if self.election_millis < stretched(self.leader_lease_millis) {
+        if self.election_millis < with_drift(self.leader_lease_millis) {
             let allowed = "more than leader_lease_millis stretched by the drift".into();
             return Err(("election_millis", self.election_millis, allowed));
         }
@@ -199,28 +201,28 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`] with the file, the line, the field and what is allowed.
+    /// [`SettingsError`] with the file, the line, the field and the allowed values.
     pub fn load(file: &str) -> Result<Self, SettingsError> {
         Self::parse(file, &read(file)?)
     }
 
-    /// Parses and checks settings; `file` only names them in errors.
+    /// Parses and validates settings; `file` is only used in error messages.
     ///
     /// # Errors
-    /// As [`NodeSettings::load`].
+    /// Same as [`NodeSettings::load`].
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = parse(file, text)?;
         settings.check(file, text)?;
         Ok(settings)
     }
 
-    /// Checks ranges, for a file or for flags laid over one.
+    /// Validates the ranges, of a file or of a file with flags applied.
     ///
     /// # Errors
-    /// [`SettingsError::Range`] for the first value refused.
+    /// [`SettingsError::Range`] for the first invalid value.
     pub fn check(&self, file: &str, text: &str) -> Result<(), SettingsError> {
         self.check_values()
             .map_err(|(field, value, allowed)| SettingsError::Range {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and declarations: what is accepted, what is refused and how.
+//! Parsing and validation of settings and declarations.
 
 use beamtray_settings::{
     Declaration, DeclarationChange, NodeSettings, ServerDeclaration, SettingsError,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_changed_server_costs_one_step() {
+fn changed_server_takes_one_change() {
     let old = declaration();
     let mut new = old.clone();
     new.services[0].servers[1].drain = true;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_replaced_server_costs_two_steps() {
+fn replaced_server_takes_two_changes() {
     let mut old = declaration();
     old.services[0].servers.truncate(1);
     let mut new = old.clone();
@@ -145,20 +145,20 @@
     assert_eq!(changes.len(), 2, "{changes:?}");
 }
 
-/// Steps always lead to the declaration that they were made for.
+/// Applying a difference always yields the declaration it was computed for.
 #[test]
-fn steps_lead_to_the_next_declaration() {
-    fn leads(old: Vec<(u8, u8, bool)>, new: Vec<(u8, u8, bool)>) -> bool {
+fn applied_diff_yields_the_next_declaration() {
+    fn yields_next(old: Vec<(u8, u8, bool)>, new: Vec<(u8, u8, bool)>) -> bool {
         let (old, new) = (build(&old), build(&new));
         old.with_changes(&old.diff(&new)) == new
     }
     let generator = Gen::from_size_and_seed(12, SEED);
     QuickCheck::new()
         .rng(generator)
-        .quickcheck(leads as fn(Vec<(u8, u8, bool)>, Vec<(u8, u8, bool)>) -> bool);
+        .quickcheck(yields_next as fn(Vec<(u8, u8, bool)>, Vec<(u8, u8, bool)>) -> bool);
 }
 
-/// A declaration with each server in one of four services.
+/// Builds a declaration that distributes the servers over four services.
 fn build(servers: &[(u8, u8, bool)]) -> Declaration {
     let template = declaration().services.remove(0);
     let mut built = Declaration::default();
