--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,30 +1,30 @@
-//! Frames between nodes: a length, a version and a borsh body.
+//! Framing of messages between nodes.
 //!
-//! A frame is `u32` length (little endian, of what follows), `u16` version,
-//! body. The crate knows nothing of the messages; [`FrameBuffer`] turns bytes
-//! of a stream into bodies and refuses what is too long or of another version
-//! before any of the body is kept.
+//! A frame consists of a little-endian `u32` length of the rest, a `u16`
+//! version and a borsh-encoded body. The crate is independent of the message
+//! types. [`FrameBuffer`] decodes messages from a stream and rejects frames that
+//! are too long or of another version before it buffers their bodies.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use thiserror::Error;
 
 /// Version of the protocol between nodes.
 pub const VERSION: u16 = 1;
-/// Longest frame accepted, in bytes: a full snapshot of a control group fits.
+/// Maximum frame length in bytes, enough for a full snapshot of a control group.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
 const VERSION_BYTES: usize = 2;
 
-/// Why a frame was refused. The connection it came on must be closed.
+/// Reason why a frame was rejected. Its connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The length field exceeds [`MAX_FRAME_BYTES`] or cannot hold a version.
     #[error("frame length {0} is outside 2..={MAX_FRAME_BYTES}")]
     Length(usize),
-    /// The peer speaks another version.
+    /// The peer uses another protocol version.
     #[error("frame version {0}, expected {VERSION}")]
     Version(u16),
-    /// The body is not what the version promises.
+    /// The body could not be encoded or decoded.
     #[error("frame body: {0}")]
     Body(String),
 }
@@ -32,7 +32,7 @@
 /// Encodes one message as a frame.
 ///
 /// # Errors
-/// [`FrameError::Length`] when the message is longer than [`MAX_FRAME_BYTES`].
+/// [`FrameError::Length`] if the message is longer than [`MAX_FRAME_BYTES`].
 pub fn encode<T: BorshSerialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let mut frame = vec![0; LENGTH_BYTES];
     frame.extend_from_slice(&VERSION.to_le_bytes());
@@ -47,10 +47,10 @@
     Ok(frame)
 }
 
-/// A message in compressed form, to be sent in a frame of its own.
+/// An LZ4-compressed message, to be sent in its own frame.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CompressedMessage {
-    /// Bytes of the message before compression.
+    /// Uncompressed size in bytes.
     length: u32,
     bytes: Vec<u8>,
 }
@@ -59,7 +59,7 @@
     /// Compresses a message.
     ///
     /// # Errors
-    /// [`FrameError::Length`] when the message is longer than [`MAX_FRAME_BYTES`].
+    /// [`FrameError::Length`] if the message is longer than [`MAX_FRAME_BYTES`].
     pub fn new<T: BorshSerialize>(message: &T) -> Result<Self, FrameError> {
         let plain = borsh::to_vec(message).map_err(|error| FrameError::Body(error.to_string()))?;
         if plain.len() > MAX_FRAME_BYTES {
@@ -71,11 +71,11 @@
         })
     }
 
-    /// The message.
+    /// Decompresses and decodes the message.
     ///
     /// # Errors
-    /// [`FrameError::Length`] when it claims to be longer than
-    /// [`MAX_FRAME_BYTES`], [`FrameError::Body`] when it can't be read.
+    /// [`FrameError::Length`] if the declared size exceeds [`MAX_FRAME_BYTES`],
+    /// [`FrameError::Body`] if the message cannot be decompressed or decoded.
     pub fn decompress<T: BorshDeserialize>(&self) -> Result<T, FrameError> {
         let length = self.length as usize;
         if length > MAX_FRAME_BYTES {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Collects the bytes of a stream and hands out whole messages.
+/// Buffers the bytes of a stream and decodes complete messages.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: Vec<u8>,
@@ -95,7 +95,7 @@
 }
 
 impl FrameBuffer {
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         if self.consumed > 0 {
             self.bytes.drain(..self.consumed);
@@ -104,10 +104,10 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole message, or `None` until more bytes arrive.
+    /// Decodes the next message, or returns `None` if it is not yet complete.
     ///
     /// # Errors
-    /// [`FrameError`] when the stream cannot be read any further.
+    /// [`FrameError`] if the stream is invalid and cannot be read further.
     pub fn next_message<T: BorshDeserialize>(&mut self) -> Result<Option<T>, FrameError> {
         let pending = &self.bytes[self.consumed..];
         let Some(length) = pending.first_chunk::<LENGTH_BYTES>() else {
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames survive any division of the stream, and what is no frame is refused.
+//! Round trips of frames over arbitrarily split streams, and rejection of invalid frames.
 
 use beamtray_wire::{CompressedMessage, FrameBuffer, FrameError, MAX_FRAME_BYTES, VERSION, encode};
 use quickcheck::{Gen, QuickCheck};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn messages_come_out_as_they_went_in() {
+fn messages_round_trip() {
     fn round_trips(messages: Vec<(u64, String)>, chunk: u8) -> bool {
         let bytes: Vec<u8> = messages
             .iter()
@@ -65,10 +65,13 @@
 }
 
 #[test]
-fn packed_messages_come_out_as_they_went_in() {
+fn compressed_messages_round_trip() {
     fn round_trips(message: Vec<(u64, String)>) -> bool {
-        let packed = CompressedMessage::new(&message).expect("short enough");
-        packed.decompress::<Vec<(u64, String)>>().expect("whole") == message
+        let compressed = CompressedMessage::new(&message).expect("short enough");
+        compressed
+            .decompress::<Vec<(u64, String)>>()
+            .expect("whole")
+            == message
     }
     let generator = Gen::from_size_and_seed(50, SEED);
     QuickCheck::new()
@@ -77,28 +80,28 @@
 }
 
 #[test]
-fn text_that_repeats_is_packed_tightly() {
+fn repetitive_text_compresses_well() {
     let text = "route to service by prefix, ".repeat(1_000);
-    let packed = CompressedMessage::new(&text).expect("short enough");
-    let bytes = borsh::to_vec(&packed).expect("in memory");
+    let compressed = CompressedMessage::new(&text).expect("short enough");
+    let bytes = borsh::to_vec(&compressed).expect("in memory");
     assert!(bytes.len() * 10 < text.len(), "{} bytes", bytes.len());
 }
 
 #[test]
-fn spoiled_or_boastful_packs_are_refused() {
-    let packed =
-        CompressedMessage::new(&"some text to be spoiled".to_owned()).expect("short enough");
-    let mut bytes = borsh::to_vec(&packed).expect("in memory");
+fn corrupted_or_oversized_messages_are_refused() {
+    let compressed =
+        CompressedMessage::new(&"some text to be corrupted".to_owned()).expect("short enough");
+    let mut bytes = borsh::to_vec(&compressed).expect("in memory");
     bytes[..4].copy_from_slice(&u32::MAX.to_le_bytes());
-    let boastful: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
+    let oversized: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
     assert!(matches!(
-        boastful.decompress::<String>(),
+        oversized.decompress::<String>(),
         Err(FrameError::Length(_))
     ));
     bytes[..4].copy_from_slice(&3u32.to_le_bytes());
-    let spoiled: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
+    let corrupted: CompressedMessage = borsh::from_slice(&bytes).expect("well formed");
     assert!(matches!(
-        spoiled.decompress::<String>(),
+        corrupted.decompress::<String>(),
         Err(FrameError::Body(_))
     ));
 }
