--- a/crates/http/src/caller_server.rs
+++ b/crates/http/src/caller_server.rs
@@ -1,10 +1,10 @@
-//! Serving callers, who may be slow, hostile or many, with `hyper`.
+//! HTTP server for untrusted callers, based on `hyper`.
 //!
-//! One thread of its own carries all connections; nothing is decided there.
-//! Bounds: connections, the size of a request's head and body, and the time
-//! that a caller takes to send either. `tiny_http` has none of them, keeps a
-//! thread a connection, and under load a request sometimes took over 5 s; it
-//! stays where only our own processes call.
+//! A dedicated thread serves all connections. The server limits the number of
+//! connections, the size of a request's head and body, and the time in which a
+//! caller must send each of them. `tiny_http` has none of these limits and uses
+//! one thread per connection, and under load a request sometimes took over 5 s;
+//! it is used only where all clients are beamtray's own processes.
 
 use crate::framing::check_framing;
 use crate::message::{HttpRequest, HttpResponse};
@@ -25,33 +25,33 @@
 use tokio::sync::{Semaphore, oneshot, watch};
 use tokio::time::timeout;
 
-/// Longest head of a request, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Most headers of a request.
+/// Maximum number of request headers.
 const MAX_HEADERS: usize = 128;
-/// After an error of accepting, such as too many open files.
+/// Delay after a failed accept, for example with too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// At a stop, connections are accepted until none comes for this long, ...
-const LAST_ACCEPT: Duration = Duration::from_millis(2);
-/// ... and at most for this long.
-const LAST_ACCEPTS: Duration = Duration::from_millis(200);
-/// At a stop, connections are read for this long before idle ones are closed.
-const STOP_GRACE: Duration = Duration::from_millis(200);
-/// Longest time for connections to end at a stop.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
+/// During shutdown, connections are accepted until none arrives for this long.
+const SHUTDOWN_ACCEPT_IDLE: Duration = Duration::from_millis(2);
+/// Maximum total time in which connections are accepted during shutdown.
+const SHUTDOWN_ACCEPT_LIMIT: Duration = Duration::from_millis(200);
+/// During shutdown, connections are served for this long before idle ones are closed.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
+/// Maximum time to wait for connections to close during shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How callers are served.
+/// Configuration of a [`CallerServer`].
 #[derive(Clone, Copy, Debug)]
 pub struct CallerServerConfig {
-    /// Address to listen on. Port 0 picks one.
+    /// Address to listen on. Port 0 picks a free port.
     pub address: SocketAddr,
-    /// Connections served at once; others wait to be accepted.
+    /// Maximum number of concurrent connections; further ones wait to be accepted.
     pub max_connections: usize,
-    /// Longest body, in bytes.
+    /// Maximum body size, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive, idle time before it included.
+    /// Maximum time to receive a request head, including idle time before it.
     pub head_timeout: Duration,
-    /// Longest time for a body to arrive.
+    /// Maximum time to receive a request body.
     pub body_timeout: Duration,
 }
 
@@ -69,7 +69,7 @@
     /// block.
     ///
     /// # Errors
-    /// [`StepError`] when the address cannot be listened on.
+    /// [`StepError`] if listening on the address fails.
     pub fn start(
         config: CallerServerConfig,
         handler: impl Fn(HttpRequest, Responder) + Send + Sync + 'static,
@@ -95,13 +95,13 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts nothing more and waits, within bounds, until what is answered
-    /// is written.
+    /// Shuts down gracefully: stops accepting connections and waits, for a
+    /// limited time, until pending responses are written.
     pub fn stop(mut self) {
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
@@ -142,27 +142,27 @@
             Some((Err(_), _)) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
-    let serve_last = |stream, permit| {
+    let serve_during_shutdown = |stream, permit| {
         let connection = serve_connection(stream, config, handler.clone(), None);
         tokio::spawn(async move {
             connection.await;
             drop(permit);
         });
     };
-    // Whoever connected before the end is answered, not reset.
-    let last = Instant::now() + LAST_ACCEPTS;
-    while let Ok(Ok((stream, _))) = timeout(LAST_ACCEPT, listener.accept()).await {
-        if Instant::now() > last {
+    // Connections made before shutdown are answered instead of reset.
+    let deadline = Instant::now() + SHUTDOWN_ACCEPT_LIMIT;
+    while let Ok(Ok((stream, _))) = timeout(SHUTDOWN_ACCEPT_IDLE, listener.accept()).await {
+        if Instant::now() > deadline {
             break;
         }
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             break;
         };
-        serve_last(stream, permit);
+        serve_during_shutdown(stream, permit);
     }
-    // What came while this thread did not run is answered, too: closing the listener resets
-    // it, and its caller would not know that it did not run. A connection that comes up
-    // between the last look and the close is still reset.
+    // Also serve connections that arrived while this thread was not scheduled: closing the
+    // listener resets them, and the caller could not tell that its request was not executed.
+    // A connection that arrives between the last accept and the close is still reset.
     if let Ok(listener) = listener.into_std() {
         while let Ok((stream, _)) = listener.accept() {
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
@@ -172,11 +172,11 @@
             else {
                 break;
             };
-            serve_last(stream, permit);
+            serve_during_shutdown(stream, permit);
         }
     }
     let all = u32::try_from(config.max_connections).unwrap_or(u32::MAX);
-    let _ = timeout(STOP_PATIENCE, permits.acquire_many(all)).await;
+    let _ = timeout(SHUTDOWN_TIMEOUT, permits.acquire_many(all)).await;
 }
 
 async fn serve_connection(
@@ -195,20 +195,20 @@
         .keep_alive(stopped.is_some())
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // One that came at the end gets one answer and is closed.
+    // A connection accepted during shutdown gets one response and is closed.
     let Some(mut stopped) = stopped else {
         let _ = connection.await;
         return;
     };
-    // An error is the caller's going, or a head that was refused: either way
-    // the connection is over.
+    // An error means that the caller disconnected or that a request head was
+    // rejected; in both cases the connection is finished.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = stopped.changed() => {}
     }
-    // A request may be on its way: closing now would leave its caller without
-    // knowing that it did not run.
-    if timeout(STOP_GRACE, connection.as_mut()).await.is_err() {
+    // A request may be in transit: if the connection closed now, its caller could
+    // not tell that the request was not executed.
+    if timeout(SHUTDOWN_GRACE, connection.as_mut()).await.is_err() {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
@@ -219,7 +219,7 @@
     config: CallerServerConfig,
     handler: Arc<Handler>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let request = match read(request, config).await {
+    let request = match read_request(request, config).await {
         Ok(request) => request,
         Err((status, reason)) => {
             let refusal = HttpResponse::text(status, format!("not-run: {reason}\n"));
@@ -229,14 +229,14 @@
     let (sender, receiver) = oneshot::channel();
     handler(request, Responder::for_caller(sender));
     let response = receiver.await.unwrap_or_else(|_| {
-        // The loop ended without an answer: nobody knows what became of it.
+        // The handler dropped the responder, so the outcome of the request is unknown.
         HttpResponse::text(503, "unknown: this node has stopped\n")
             .with_header("beamtray-outcome", "unknown")
     });
     Ok(to_hyper(response))
 }
 
-async fn read(
+async fn read_request(
     request: Request<Incoming>,
     config: CallerServerConfig,
 ) -> Result<HttpRequest, (u16, &'static str)> {
@@ -279,7 +279,7 @@
         builder = builder.header(name, value);
     }
     let body = Full::new(Bytes::from(response.body));
-    // A header that an upstream sent and HTTP does not allow.
+    // Building fails if an upstream sent a header that is not valid in HTTP.
     builder.body(body).unwrap_or_else(|_| {
         let mut plain = Response::new(Full::new(Bytes::from_static(
             b"unknown: the answer's headers are not valid\n",
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,20 +1,20 @@
-//! Calling with `ureq`.
+//! HTTP client based on `ureq`.
 
 use std::time::Duration;
 use ureq::{Agent, Error, Timeout};
 
-/// How a client calls.
+/// Configuration of an [`HttpClient`].
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConfig {
-    /// Idle connections kept per address.
+    /// Maximum number of idle connections per address.
     pub idle_connections: usize,
-    /// Longest body of an answer, in bytes.
+    /// Maximum size of a response body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time to make a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpReply {
     /// Status.
@@ -26,7 +26,7 @@
 }
 
 impl HttpReply {
-    /// The first header called `name` (lower case).
+    /// Returns the first header named `name` (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -35,10 +35,10 @@
     }
 }
 
-/// Why there is no whole answer.
+/// Reason why a call got no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected(String),
     /// The request may have been received.
     Lost(String),
@@ -53,25 +53,25 @@
     }
 }
 
-/// One call.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct HttpCall<'a> {
     /// Method.
     pub method: &'a str,
-    /// Address, path and query.
+    /// URL with path and query.
     pub url: &'a str,
     /// Headers.
     pub headers: &'a [(&'a str, String)],
     /// Body.
     pub body: &'a [u8],
-    /// Longest time for the whole exchange.
+    /// Timeout for the whole exchange.
     pub timeout: Duration,
-    /// Use a new connection: on a kept one that the other side just closed,
-    /// it could not be told whether the request arrived.
+    /// Use a new connection. If the peer closes a reused one at the same time,
+    /// it is unknown whether the request arrived.
     pub fresh_connection: bool,
 }
 
-/// Calls over HTTP. Follows no redirects and repeats nothing.
+/// HTTP client. Follows no redirects and does not retry.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     pooled: Agent,
@@ -80,7 +80,7 @@
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(config: ClientConfig) -> Self {
         let agent = |idle: usize| -> Agent {
             Agent::config_builder()
@@ -102,10 +102,10 @@
         }
     }
 
-    /// Makes one call.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
-    /// [`CallError`], which says whether the request may have arrived.
+    /// [`CallError`], which tells whether the request may have been received.
     pub fn call(&self, call: &HttpCall) -> Result<HttpReply, CallError> {
         let agent = if call.fresh_connection {
             &self.fresh
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,6 +1,7 @@
-//! Refusal of ambiguous framing.
+//! Detection of ambiguous message framing.
 
-/// Refuses what two readers could understand differently (RFC 9112, 6.3).
+/// Rejects framing that two parsers could interpret differently (RFC 9112, 6.3), and
+/// declared lengths above `max_body`.
 pub(crate) fn check_framing(
     headers: &[(String, String)],
     max_body: usize,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,10 @@
-//! The one place where the HTTP libraries are used: `hyper` to serve callers,
-//! `tiny_http` to serve operators and in stand-ins, `ureq` to call.
+//! HTTP servers and client. The only crate that uses the HTTP libraries: `hyper`
+//! to serve callers, `tiny_http` to serve operators and in stand-ins, `ureq` as
+//! the client.
 //!
-//! They run on edge threads that only carry bytes and typed messages; every
-//! decision is made elsewhere. Ambiguous framing and oversized requests are
-//! refused here, before anyone sees them.
+//! The libraries run on I/O threads that exchange typed messages with the rest
+//! of the process and contain no decision logic. Requests with ambiguous framing
+//! and oversized requests are rejected here, before a handler sees them.
 
 mod caller_server;
 mod client;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,13 +1,13 @@
-//! Requests and responses with whole bodies.
+//! Requests and responses with complete bodies.
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpRequest {
     /// Method.
     pub method: String,
     /// Path without query.
     pub path: String,
-    /// Query without the question mark; empty when there is none.
+    /// Query without the question mark; empty if absent.
     pub query: String,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
@@ -16,7 +16,7 @@
 }
 
 impl HttpRequest {
-    /// The first header called `name` (lower case).
+    /// Returns the first header named `name` (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -24,7 +24,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The value of a query parameter.
+    /// Returns the raw value of a query parameter.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -34,19 +34,19 @@
     }
 }
 
-/// A response with its whole body.
+/// A response with its complete body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpResponse {
     /// Status.
     pub status: u16,
-    /// Headers besides the length.
+    /// Headers other than `content-length`.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// A response with a text body.
+    /// Creates a response with a text body.
     pub fn text(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -1,23 +1,23 @@
-//! The answer to one request, from any thread.
+//! Handle for responding to a request.
 
 use crate::message::HttpResponse;
 use tiny_http::{Header, Request, Response};
 use tokio::sync::oneshot;
 
 enum Connection {
-    Tiny(Box<Request>),
+    TinyHttp(Box<Request>),
     Caller(oneshot::Sender<HttpResponse>),
 }
 
-/// Answers one request, from any thread.
+/// Sends the response to one request; can be used from any thread.
 pub struct Responder {
     connection: Connection,
 }
 
 impl Responder {
-    pub(crate) fn for_tiny(request: Request) -> Self {
+    pub(crate) fn for_tiny_http(request: Request) -> Self {
         Self {
-            connection: Connection::Tiny(Box::new(request)),
+            connection: Connection::TinyHttp(Box::new(request)),
         }
     }
 
@@ -27,30 +27,30 @@
         }
     }
 
-    /// Whether the caller is known to be gone. Where `tiny_http` serves, that
-    /// shows only when the answer is written.
+    /// Returns whether the caller is known to have disconnected. With `tiny_http`
+    /// this is only detected when the response is written.
     pub fn is_disconnected(&self) -> bool {
         match &self.connection {
-            Connection::Tiny(_) => false,
+            Connection::TinyHttp(_) => false,
             Connection::Caller(sender) => sender.is_closed(),
         }
     }
 
-    /// Whether responding may block on a slow reader.
+    /// Returns whether responding may block on a slow client.
     pub fn may_block(&self) -> bool {
-        matches!(self.connection, Connection::Tiny(_))
+        matches!(self.connection, Connection::TinyHttp(_))
     }
 
-    /// Writes the response; false when the caller is gone.
+    /// Sends the response; returns false if the caller has disconnected.
     pub fn respond(self, response: HttpResponse) -> bool {
         match self.connection {
             Connection::Caller(sender) => sender.send(response).is_ok(),
-            Connection::Tiny(request) => request.respond(to_tiny(response)).is_ok(),
+            Connection::TinyHttp(request) => request.respond(to_tiny_http(response)).is_ok(),
         }
     }
 }
 
-fn to_tiny(response: HttpResponse) -> Response<std::io::Cursor<Vec<u8>>> {
+fn to_tiny_http(response: HttpResponse) -> Response<std::io::Cursor<Vec<u8>>> {
     let headers = response
         .headers
         .iter()
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,5 @@
-//! Serving our own processes, operators and stand-ins with `tiny_http`.
+//! HTTP server for trusted clients, based on `tiny_http`: beamtray's own processes,
+//! operators and stand-ins.
 
 use crate::framing::check_framing;
 use crate::message::{HttpRequest, HttpResponse};
@@ -10,18 +11,18 @@
 use std::thread;
 use tiny_http::{Method, Request, Server};
 
-/// How a server reads requests.
+/// Configuration of an [`HttpServer`].
 #[derive(Clone, Copy, Debug)]
 pub struct ServerConfig {
-    /// Address to listen on. Port 0 picks one.
+    /// Address to listen on. Port 0 picks a free port.
     pub address: SocketAddr,
-    /// Threads that read requests and run the handler.
+    /// Number of threads that read requests and run the handler.
     pub workers: usize,
-    /// Longest body, in bytes.
+    /// Maximum body size, in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A server that runs until it is dropped.
+/// HTTP server that runs until it is dropped.
 pub struct HttpServer {
     server: Arc<Server>,
     address: SocketAddr,
@@ -31,7 +32,7 @@
     /// Starts serving; `handler` runs on the worker threads.
     ///
     /// # Errors
-    /// [`StepError`] when the address cannot be listened on.
+    /// [`StepError`] if listening on the address fails.
     pub fn start(
         config: ServerConfig,
         handler: impl Fn(HttpRequest, Responder) + Send + Sync + 'static,
@@ -49,14 +50,14 @@
             let handler = Arc::clone(&handler);
             thread::spawn(move || {
                 while let Ok(request) = server.recv() {
-                    accept(request, config.max_body_bytes, handler.as_ref());
+                    handle_request(request, config.max_body_bytes, handler.as_ref());
                 }
             });
         }
         Ok(Self { server, address })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -68,10 +69,10 @@
     }
 }
 
-/// Reads one request whole, or refuses it.
-fn accept(mut request: Request, max_body: usize, handler: &dyn Fn(HttpRequest, Responder)) {
+/// Reads a complete request and passes it to the handler, or rejects it.
+fn handle_request(mut request: Request, max_body: usize, handler: &dyn Fn(HttpRequest, Responder)) {
     let read = read_request(&mut request, max_body);
-    let responder = Responder::for_tiny(request);
+    let responder = Responder::for_tiny_http(request);
     match read {
         Ok(read) => handler(read, responder),
         Err((status, reason)) => {
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -1,21 +1,21 @@
-//! A caller's target: `/SERVICE/KEY/rest?query`.
+//! Parser of request targets of the form `/SERVICE/KEY/rest?query`.
 
 use percent_encoding::percent_decode_str;
 
-/// The parts of a target.
+/// The components of a request target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// First segment.
     pub service: String,
-    /// Second segment, decoded, so that one key has one spelling; none when it
-    /// is empty.
+    /// Second segment, percent-decoded so that each key has one representation;
+    /// `None` if empty.
     pub key: Option<String>,
-    /// What follows the key, as written, with its leading slash; may be empty.
+    /// Rest of the path after the key, not decoded, with its leading slash; may be empty.
     pub rest: String,
 }
 
 impl Target {
-    /// Reads a path; none when it is not valid or names no service.
+    /// Parses a path; `None` if it is invalid or names no service.
     pub fn parse(path: &str) -> Option<Self> {
         let path = path.strip_prefix('/')?;
         let (service, below) = path.split_once('/').unwrap_or((path, ""));
--- a/crates/http/src/worker_server.rs
+++ b/crates/http/src/worker_server.rs
@@ -1,4 +1,4 @@
-//! A [`CallerServer`] whose handler may block: worker threads run it.
+//! A [`CallerServer`] that runs its handler on worker threads, so that it may block.
 
 use crate::caller_server::{CallerServer, CallerServerConfig};
 use crate::message::HttpRequest;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Serves with a bounded number of worker threads.
+/// Server with a fixed number of worker threads.
 pub struct WorkerServer {
     server: CallerServer,
 }
@@ -19,7 +19,7 @@
     /// block.
     ///
     /// # Errors
-    /// [`StepError`] when the address cannot be listened on.
+    /// [`StepError`] if listening on the address fails.
     pub fn start(
         config: CallerServerConfig,
         workers: usize,
@@ -36,13 +36,13 @@
             });
         }
         let server = CallerServer::start(config, move |request, responder| {
-            // The workers end only with the server.
+            // Sending cannot fail: the workers run as long as the server.
             let _ = requests.send((request, responder));
         })?;
         Ok(Self { server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
