--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,10 +1,10 @@
-//! Tells the story of a request, or of a key, from the lines of many nodes.
+//! Reconstructs the timeline of a request or a key from the logs of many nodes.
 //!
-//! [`Line`] is one parsed line, [`request_timeline`] and [`key_timeline`] put the
-//! lines that matter in order, with what the node believed at that time.
+//! [`Line`] is a parsed log line. [`request_timeline`] and [`key_timeline`] select the
+//! relevant lines in order of time, with the state that the node assumed at that time.
 
 mod line;
-mod story;
+mod timeline;
 
 pub use line::Line;
-pub use story::{TimelineEntry, key_timeline, request_timeline};
+pub use timeline::{TimelineEntry, key_timeline, request_timeline};
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of key=value pairs.
+//! Parser of log lines in key=value format.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 const EVENT: &str = "msg";
 const NODE: &str = "node";
 
-/// One parsed line.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Milliseconds since 1970 on the clock of the node that wrote it.
+    /// Milliseconds since 1970 (Unix time) on the clock of the node that wrote the line.
     pub time_ms: u64,
-    /// The node, as far as known.
+    /// Name of the node, or of the source if the line names no node.
     pub node: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// The other pairs.
+    /// The remaining fields.
     pub fields: BTreeMap<String, String>,
 }
 
 impl Line {
-    /// Parses a line. What stands before the time is taken from a collector,
-    /// with the node as its last word; otherwise `source` names the node.
+    /// Parses a line. Text before the time is a log collector's prefix, whose last
+    /// word is the node; without a prefix, `source` names the node.
     pub fn parse(source: &str, text: &str) -> Option<Self> {
         let begin = find_time(text)?;
         let (before, pairs) = text.split_at(begin);
@@ -38,17 +38,17 @@
         })
     }
 
-    /// The value of a pair.
+    /// Returns the value of a field.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// The value of a pair as a number.
+    /// Returns the value of a field as a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.get(name)?.parse().ok()
     }
 
-    /// The pairs as text, without the node's own name.
+    /// Formats the fields as text, without the node's name.
     pub fn details(&self) -> String {
         let pairs = self.fields.iter().filter(|(name, _)| *name != NODE);
         let texts: Vec<String> = pairs
@@ -59,13 +59,13 @@
 }
 
 fn find_time(text: &str) -> Option<usize> {
-    let marks = text.match_indices("time=").map(|(index, _)| index);
-    marks
+    let positions = text.match_indices("time=").map(|(index, _)| index);
+    positions
         .into_iter()
         .find(|index| *index == 0 || text.as_bytes()[index - 1].is_ascii_whitespace())
 }
 
-/// Splits pairs at blanks outside quotes.
+/// Splits key=value pairs at spaces outside quotes.
 fn parse_pairs(text: &str) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
     let mut rest = text.trim();
@@ -83,14 +83,14 @@
     pairs
 }
 
-/// A value up to its closing quote, and what follows.
+/// Returns the unescaped value up to its closing quote, and the rest of the text.
 fn quoted_value(text: &str) -> (String, &str) {
     let mut value = String::new();
-    let mut signs = text.char_indices();
-    while let Some((index, sign)) = signs.next() {
-        match sign {
+    let mut characters = text.char_indices();
+    while let Some((index, character)) = characters.next() {
+        match character {
             '"' => return (value, &text[index + 1..]),
-            '\\' => value.extend(signs.next().map(|(_, escaped)| escaped)),
+            '\\' => value.extend(characters.next().map(|(_, escaped)| escaped)),
             other => value.push(other),
         }
     }
--- a/crates/explain/src/timeline.rs
+++ b/crates/explain/src/timeline.rs
@@ -1,11 +1,11 @@
-//! Puts lines in order and adds what the node believed.
+//! Selection and ordering of log lines, with the state that the node assumed.
 
 use crate::line::Line;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Events that change what a node believes.
-const BELIEFS: [&str; 14] = [
+/// Events that change a node's assumed state.
+const STATE_EVENTS: [&str; 14] = [
     "start",
     "stopping",
     "reload",
@@ -22,13 +22,13 @@
     "upstream_restarted",
 ];
 
-/// One line of a story, with what the node believed when it wrote it.
+/// A line of a timeline, with the state that the node assumed when it wrote the line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimelineEntry {
     /// The line.
     pub line: Line,
-    /// Beliefs that bear on it, newest first.
-    pub beliefs: Vec<Line>,
+    /// Latest events that set the relevant state of the node, newest first.
+    pub state_events: Vec<Line>,
 }
 
 impl fmt::Display for TimelineEntry {
@@ -42,67 +42,67 @@
             line.event,
             line.details()
         )?;
-        for belief in &self.beliefs {
-            let age = line.time_ms.saturating_sub(belief.time_ms);
+        for state_event in &self.state_events {
+            let age = line.time_ms.saturating_sub(state_event.time_ms);
             writeln!(
                 formatter,
                 "    believed for {age} ms: {} {}",
-                belief.event,
-                belief.details()
+                state_event.event,
+                state_event.details()
             )?;
         }
         Ok(())
     }
 }
 
-fn in_order(lines: &[Line]) -> Vec<&Line> {
-    let mut ordered: Vec<&Line> = lines.iter().collect();
-    ordered.sort_by_key(|line| line.time_ms);
-    ordered
+fn sorted_by_time(lines: &[Line]) -> Vec<&Line> {
+    let mut sorted: Vec<&Line> = lines.iter().collect();
+    sorted.sort_by_key(|line| line.time_ms);
+    sorted
 }
 
-/// The newest beliefs of each node, as lines are passed in order.
+/// Tracks the latest state events of each node while the lines are traversed in order of time.
 #[derive(Default)]
-struct Believed<'a> {
+struct NodeStates<'a> {
     by_subject: BTreeMap<(String, String), &'a Line>,
 }
 
-impl<'a> Believed<'a> {
-    fn take(&mut self, line: &'a Line) {
-        if !BELIEFS.contains(&line.event.as_str()) {
+impl<'a> NodeStates<'a> {
+    fn update(&mut self, line: &'a Line) {
+        if !STATE_EVENTS.contains(&line.event.as_str()) {
             return;
         }
         if line.event == "start" {
-            // A new process knows nothing.
+            // A new process starts without state.
             self.by_subject.retain(|(node, _), _| *node != line.node);
         }
         let subject = (line.node.clone(), subject(line));
         self.by_subject.insert(subject, line);
     }
 
-    /// What bears on a line: everything but upstreams and services that the
-    /// line does not name.
-    fn about(&self, line: &Line, upstreams: &[String]) -> Vec<Line> {
+    /// Returns the state events relevant to a line: all except those of upstreams and
+    /// services that the line does not name.
+    fn relevant_to(&self, line: &Line, upstreams: &[String]) -> Vec<Line> {
         let service = line.get("service");
-        let mut beliefs: Vec<Line> = self
+        let mut state_events: Vec<Line> = self
             .by_subject
             .iter()
             .filter(|((node, _), _)| *node == line.node)
-            .filter(|(_, belief)| match belief.event.as_str() {
-                "assignment" => belief.get("service") == service,
-                event if event.starts_with("upstream_") => belief
+            .filter(|(_, state_event)| match state_event.event.as_str() {
+                "assignment" => state_event.get("service") == service,
+                event if event.starts_with("upstream_") => state_event
                     .get("upstream")
                     .is_some_and(|id| upstreams.iter().any(|other| other == id)),
                 _ => true,
             })
-            .map(|(_, belief)| (*belief).clone())
+            .map(|(_, state_event)| (*state_event).clone())
             .collect();
-        beliefs.sort_by_key(|belief| std::cmp::Reverse(belief.time_ms));
-        beliefs
+        state_events.sort_by_key(|state_event| std::cmp::Reverse(state_event.time_ms));
+        state_events
     }
 }
 
-/// What a belief is about; a newer one about the same replaces it.
+/// Returns what a state event is about. A later event with the same subject replaces it.
 fn subject(line: &Line) -> String {
     let kind = match line.event.as_str() {
         "store_lost" | "store_regained" => "store",
@@ -121,12 +121,13 @@
     format!("{kind} {of}")
 }
 
-/// The lines of a request in order, with beliefs at its first and last line,
-/// and what happened to its upstreams meanwhile. Where an upstream ended under it, or it
-/// was kept off, also what its node knew of requests that say the same, at any time.
+/// Returns the lines of a request in order of time, with the node's assumed state at the
+/// first and last line, and the events of its upstreams in between. If an upstream crashed
+/// while handling it, or it was quarantined, the timeline also includes all events of its
+/// nodes about requests with the same fingerprint.
 pub fn request_timeline(lines: &[Line], request: &str) -> Vec<TimelineEntry> {
-    let ordered = in_order(lines);
-    let own: Vec<&Line> = ordered
+    let sorted = sorted_by_time(lines);
+    let own: Vec<&Line> = sorted
         .iter()
         .copied()
         .filter(|line| line.get("request") == Some(request))
@@ -139,51 +140,52 @@
         .filter_map(|line| line.get("upstream").map(str::to_owned))
         .collect();
     let key = own.iter().find_map(|line| line.number("key"));
-    let sayings = Sayings::of(&own);
-    let mut believed = Believed::default();
+    let fingerprints = Fingerprints::of(&own);
+    let mut states = NodeStates::default();
     let mut entries = Vec::new();
-    for line in &ordered {
+    for line in &sorted {
         let is_own = line.get("request") == Some(request);
         let during = (first.time_ms..=last.time_ms).contains(&line.time_ms);
-        let meanwhile = during && !is_own && bears_on(line, &upstreams, key);
-        let bears = meanwhile || sayings.are_told_of(line);
-        if is_own || bears {
-            let at_end = is_own && (line == first || line == last);
-            let beliefs = if at_end {
-                believed.about(line, &upstreams)
+        let meanwhile = during && !is_own && concerns(line, &upstreams, key);
+        let is_related = meanwhile || fingerprints.match_event(line);
+        if is_own || is_related {
+            let is_first_or_last = is_own && (line == first || line == last);
+            let state_events = if is_first_or_last {
+                states.relevant_to(line, &upstreams)
             } else {
                 Vec::new()
             };
             entries.push(TimelineEntry {
                 line: (*line).clone(),
-                beliefs,
+                state_events,
             });
         }
-        believed.take(line);
+        states.update(line);
     }
     entries
 }
 
-/// The fingerprints of a request, and the nodes that it came to.
-struct Sayings<'a> {
+/// The fingerprints of a request, and the nodes that handled it.
+struct Fingerprints<'a> {
     fingerprints: Vec<&'a str>,
     nodes: Vec<&'a str>,
 }
 
-impl<'a> Sayings<'a> {
+impl<'a> Fingerprints<'a> {
     fn of(own: &[&'a Line]) -> Self {
         let fields = ["content", "from_caller"];
-        let told = own
+        let values = own
             .iter()
             .flat_map(|line| fields.map(|field| line.get(field)));
         Self {
-            fingerprints: told.flatten().collect(),
+            fingerprints: values.flatten().collect(),
             nodes: own.iter().map(|line| line.node.as_str()).collect(),
         }
     }
 
-    /// Whether a line tells what such a node knew of requests that say the same.
-    fn are_told_of(&self, line: &Line) -> bool {
+    /// Returns whether a line is an event of one of the nodes about a request with the same
+    /// fingerprint.
+    fn match_event(&self, line: &Line) -> bool {
         const EVENTS: [&str; 4] = [
             "request_suspected",
             "request_tried",
@@ -192,27 +194,27 @@
         ];
         let fingerprint = line.get("fingerprint");
         EVENTS.contains(&line.event.as_str())
-            && fingerprint.is_some_and(|one| self.fingerprints.contains(&one))
+            && fingerprint.is_some_and(|value| self.fingerprints.contains(&value))
             && self.nodes.contains(&line.node.as_str())
     }
 }
 
-/// Whether a line of another request's time tells of the same upstream or key.
-fn bears_on(line: &Line, upstreams: &[String], key: Option<u64>) -> bool {
+/// Returns whether a line concerns the request's upstreams or key.
+fn concerns(line: &Line, upstreams: &[String], key: Option<u64>) -> bool {
     let names = |field: &str| {
         line.get(field)
             .is_some_and(|id| upstreams.iter().any(|other| other == id))
     };
     match line.event.as_str() {
-        "order" => names("holder") || key.is_some_and(|key| covers(line, key)),
+        "order" => names("holder") || key.is_some_and(|key| contains_key(line, key)),
         "store_lost" | "store_regained" | "granter_here" | "granter_ended" => true,
         event if event.starts_with("upstream_") => names("upstream"),
         _ => false,
     }
 }
 
-/// Whether the line's range of keys, `FIRST..LAST`, covers a key.
-fn covers(line: &Line, key: u64) -> bool {
+/// Returns whether the line's key range, `FIRST..LAST`, contains a key.
+fn contains_key(line: &Line, key: u64) -> bool {
     let bounds = line.get("range").and_then(|range| range.split_once(".."));
     let Some((first, last)) = bounds else {
         return false;
@@ -223,15 +225,15 @@
     (first..=last).contains(&key)
 }
 
-/// Who held a key: its orders, the granters, and each request that went to
-/// another upstream than the one before.
+/// Returns the ownership history of a key: its orders, the changes of the granter, and each
+/// request that was sent to a different upstream than the previous one.
 pub fn key_timeline(lines: &[Line], service: Option<&str>, key: u64) -> Vec<TimelineEntry> {
     let mut last_upstream: Option<String> = None;
     let mut entries = Vec::new();
-    for line in in_order(lines) {
+    for line in sorted_by_time(lines) {
         let same_service = service.is_none() || line.get("service") == service;
-        let tells = match line.event.as_str() {
-            "order" => same_service && covers(line, key),
+        let is_relevant = match line.event.as_str() {
+            "order" => same_service && contains_key(line, key),
             "granter_here" | "granter_ended" => true,
             "sent" if same_service && line.number("key") == Some(key) => {
                 let upstream = line.get("upstream").map(str::to_owned);
@@ -242,10 +244,10 @@
             "concluded" => same_service && line.number("key") == Some(key),
             _ => false,
         };
-        if tells {
+        if is_relevant {
             entries.push(TimelineEntry {
                 line: line.clone(),
-                beliefs: Vec::new(),
+                state_events: Vec::new(),
             });
         }
     }
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories from lines of several nodes.
+//! Timelines from the log lines of several nodes.
 
 use beamtray_explain::{Line, key_timeline, request_timeline};
 
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_request_is_told_in_order_with_what_bore_on_it() {
-    let story = request_timeline(&lines(), "abc");
-    let events: Vec<(u64, &str)> = story
+fn request_timeline_is_ordered_and_has_related_events() {
+    let timeline = request_timeline(&lines(), "abc");
+    let events: Vec<(u64, &str)> = timeline
         .iter()
         .map(|entry| (entry.line.time_ms, entry.line.event.as_str()))
         .collect();
@@ -51,28 +51,31 @@
         (1300, "concluded"),
     ];
     assert_eq!(events, expected);
-    let beliefs: Vec<&str> = story[0]
-        .beliefs
+    let state_events: Vec<&str> = timeline[0]
+        .state_events
         .iter()
-        .map(|belief| belief.event.as_str())
+        .map(|state_event| state_event.event.as_str())
         .collect();
-    assert_eq!(beliefs, ["assignment", "configuration_in_force", "start"]);
+    assert_eq!(
+        state_events,
+        ["assignment", "configuration_in_force", "start"]
+    );
     assert!(
-        story[0]
+        timeline[0]
             .to_string()
             .contains("believed for 80 ms: assignment")
     );
 }
 
 #[test]
-fn a_key_is_told_by_its_orders_and_changes_of_its_upstream() {
-    let story = key_timeline(&lines(), Some("keyed"), 40);
-    let times: Vec<u64> = story.iter().map(|entry| entry.line.time_ms).collect();
+fn key_timeline_has_orders_and_upstream_changes() {
+    let timeline = key_timeline(&lines(), Some("keyed"), 40);
+    let times: Vec<u64> = timeline.iter().map(|entry| entry.line.time_ms).collect();
     assert_eq!(times, [1100, 1150, 1300]);
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn unknown_request_has_an_empty_timeline() {
     assert!(request_timeline(&lines(), "nobody").is_empty());
 }
 
@@ -86,14 +89,14 @@
  0.4 node-1 time=4000 level=INFO msg=concluded content=aa from_caller=cc outcome=refused reason=Quarantined service=pool request=late
 "#;
 
-/// Its own line alone does not tell why it was refused.
+/// The request's own line does not show why it was refused.
 #[test]
-fn a_request_that_is_kept_off_is_told_with_what_the_others_did() {
+fn quarantined_request_includes_events_of_its_fingerprint() {
     let lines: Vec<Line> = POISON
         .lines()
         .filter_map(|text| Line::parse("-", text))
         .collect();
-    let story = request_timeline(&lines, "late");
-    let times: Vec<u64> = story.iter().map(|entry| entry.line.time_ms).collect();
+    let timeline = request_timeline(&lines, "late");
+    let times: Vec<u64> = timeline.iter().map(|entry| entry.line.time_ms).collect();
     assert_eq!(times, [1000, 2500, 3000, 4000]);
 }
