--- a/crates/actor/src/lib.rs
+++ b/crates/actor/src/lib.rs
@@ -1,29 +1,29 @@
-//! The actor that owns a node's core.
+//! Actor that runs a node's core.
 //!
-//! The same actor runs on sockets and in the simulator: it reads the time from
-//! `stakker`, passes inputs to the core and forwards what the core asks for.
-//! It decides nothing and does no I/O.
+//! The same actor runs in the real process and in the simulator. It reads the
+//! time from `stakker`, passes inputs to the core and forwards the core's
+//! outputs. It contains no decision logic and does no I/O.
 
 use beamtray_control::{ControlConfig, Input, NodeCore, Output};
 use beamtray_types::Time;
 use stakker::{CX, Fwd};
 use std::time::{Duration, Instant};
 
-/// Time between ticks that the owner of a [`NodeActor`] should keep.
+/// Interval at which the owner of a [`NodeActor`] should send ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
-    /// Where the clock starts.
+    /// Instant at which the clock reads zero.
     pub epoch: Instant,
-    /// Deviation of its rate, in parts per million. A process uses 0; the
-    /// simulator gives each node its own.
+    /// Clock drift in parts per million. A real process uses 0; the simulator
+    /// assigns each node its own drift.
     pub deviation_ppm: i64,
 }
 
 impl ProcessClock {
-    /// The clock's reading at `instant`.
+    /// Returns the clock's time at `instant`.
     pub fn read(&self, instant: Instant) -> Time {
         let elapsed = instant.saturating_duration_since(self.epoch).as_micros() as i64;
         let deviation = elapsed / 1_000 * self.deviation_ppm / 1_000;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Owns a node's core.
+/// Actor that owns a node's core.
 pub struct NodeActor {
     core: NodeCore,
     clock: ProcessClock,
@@ -39,7 +39,7 @@
 }
 
 impl NodeActor {
-    /// Starts a node that knows of no group yet.
+    /// Creates a node that is not yet part of a group.
     pub fn init(
         cx: CX![],
         config: ControlConfig,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Takes one input.
+    /// Passes an input to the core and forwards its outputs.
     pub fn input(&mut self, cx: CX![], input: Input) {
         let now = self.clock.read(cx.now());
         for output in self.core.handle(now, input) {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Lets the owner look at the core.
-    pub fn inspect(&mut self, _: CX![], look: Box<dyn FnOnce(&NodeCore)>) {
-        look(&self.core);
+    /// Calls a function with read access to the core.
+    pub fn inspect(&mut self, _: CX![], callback: Box<dyn FnOnce(&NodeCore)>) {
+        callback(&self.core);
     }
 }
