--- a/crates/keyvalue/src/lib.rs
+++ b/crates/keyvalue/src/lib.rs
@@ -1,14 +1,14 @@
-//! The platform's services as beamtray sees them: the key-value service and
+//! Types of the platform services that beamtray uses: the key-value service and
 //! the machine list.
 //!
-//! Requests and results only; who carries them is another crate's concern. A
-//! write without an answer is [`KeyValueResult::Unavailable`] and may have
-//! taken effect: whoever wrote must read back.
+//! This crate defines requests and results only; transport is implemented
+//! elsewhere. A write without a response is [`KeyValueResult::Unavailable`] and
+//! may have taken effect: the writer must read the key back.
 //!
 //! Over HTTP the key-value service is `GET /v1/keys/KEY` and
 //! `PUT /v1/keys/KEY?expected=VERSION` with the value as body and the version
-//! in the header `version`; 404 is an absent key, 409 another version, 429 the
-//! rate limit. The machine list is `GET /v1/machines`.
+//! in the header `version`. Status 404 means an absent key, 409 a version
+//! mismatch and 429 an exceeded rate limit. The machine list is `GET /v1/machines`.
 
 use beamtray_types::Member;
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -18,7 +18,7 @@
 /// Header that carries a key's version.
 pub const VERSION_HEADER: &str = "version";
 
-/// One call to the key-value service.
+/// A request to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyValueRequest {
     /// Reads a key.
@@ -30,24 +30,24 @@
     Put {
         /// The key.
         key: String,
-        /// Version expected; 0 expects the key to be absent.
+        /// Expected version; 0 means that the key must be absent.
         expected: u64,
         /// The new value.
         value: Vec<u8>,
     },
 }
 
-/// How a call ended.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyValueResult {
     /// The key's value.
     Value {
-        /// Its version, from 1.
+        /// Version of the key, starting at 1.
         version: u64,
         /// The value.
         value: Vec<u8>,
     },
-    /// There is no such key.
+    /// The key does not exist.
     Absent,
     /// The write took effect.
     Stored {
@@ -56,22 +56,22 @@
     },
     /// The key has another version; the write had no effect.
     Conflict {
-        /// The present version.
+        /// The current version.
         version: u64,
     },
-    /// The service is over its rate; the call had no effect.
+    /// The rate limit was exceeded; the request had no effect.
     RateLimited {
-        /// When to come back.
+        /// Delay after which to retry.
         retry_after: Duration,
     },
-    /// No answer came. A write may have taken effect.
+    /// No response was received. A write may have taken effect.
     Unavailable {
-        /// What happened.
+        /// Description of the failure.
         cause: String,
     },
 }
 
-/// What the platform says of a machine.
+/// State of a machine according to the platform.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, BorshSerialize, BorshDeserialize,
 )]
@@ -79,22 +79,22 @@
 pub enum MachineState {
     /// In use.
     Live,
-    /// Will be reclaimed soon.
+    /// About to be reclaimed.
     Leaving,
-    /// Was reclaimed.
+    /// Reclaimed.
     Gone,
 }
 
-/// One line of the machine list.
+/// An entry of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name: that of the server on it, or `node-N`.
+    /// Name of the server on the machine, or `node-N`.
     pub name: String,
-    /// What the platform says of it.
+    /// State according to the platform.
     pub state: MachineState,
 }
 
-/// Name under which the machine list knows a node.
+/// Returns a node's name in the machine list.
 pub fn machine_name(member: Member) -> String {
     format!("node-{}", member.node)
 }
