--- a/crates/control/src/configure.rs
+++ b/crates/control/src/configure.rs
@@ -24,7 +24,7 @@
 /// Pause after a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// After this an operator is told that the outcome is unknown.
-const CONFIRM_PATIENCE: Duration = Duration::from_millis(6_000);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(6_000);
 
 /// The configuration as the key-value service holds it. Its revision is the
 /// key's version.
@@ -55,14 +55,14 @@
 
 /// A leader's part in changes of configuration.
 #[derive(Clone, Debug)]
-pub(crate) struct Configuring {
+pub(crate) struct ConfigurationChanges {
     read_due: Time,
     confirmations: BTreeMap<OperationId, Confirmation>,
     /// Highest revision proposed to the log.
     proposed: Revision,
 }
 
-impl Configuring {
+impl ConfigurationChanges {
     pub(crate) fn new(now: Time) -> Self {
         Self {
             read_due: now,
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(crate) fn into_waiting(self) -> Vec<(OperationId, OperatorReply)> {
+    pub(crate) fn into_pending_replies(self) -> Vec<(OperationId, OperatorReply)> {
         let confirmations = self.confirmations.into_iter();
         confirmations
             .flat_map(|(operation, confirmation)| {
@@ -107,27 +107,27 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let confirmations = &mut leadership.configuring.confirmations;
+        let confirmations = &mut leadership.configuration_changes.confirmations;
         let confirmation = confirmations.entry(operation).or_insert(Confirmation {
             base,
             declaration,
             replies: Vec::new(),
-            expires: now + CONFIRM_PATIENCE,
+            expires: now + CONFIRM_TIMEOUT,
             write_due: Some(now),
         });
         confirmation.replies.push(reply);
-        self.tick_configuring();
+        self.tick_configuration();
     }
 
-    pub(crate) fn tick_configuring(&mut self) {
+    pub(crate) fn tick_configuration(&mut self) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let configuring = &mut leadership.configuring;
+        let configuration_changes = &mut leadership.configuration_changes;
         let mut writes = Vec::new();
         let mut expired = Vec::new();
-        for (operation, confirmation) in &mut configuring.confirmations {
+        for (operation, confirmation) in &mut configuration_changes.confirmations {
             if now >= confirmation.expires {
                 expired.push(*operation);
             } else if confirmation.write_due.is_some_and(|due| now >= due) {
@@ -139,9 +139,9 @@
                 ));
             }
         }
-        let read = now >= configuring.read_due;
+        let read = now >= configuration_changes.read_due;
         if read {
-            configuring.read_due = now + READ_INTERVAL;
+            configuration_changes.read_due = now + READ_INTERVAL;
         }
         let key = configuration_key(self.config.group);
         for (operation, base, declaration) in writes {
@@ -180,19 +180,22 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let known = self.state.revision.max(leadership.configuring.proposed);
+        let known = self
+            .state
+            .revision
+            .max(leadership.configuration_changes.proposed);
         if revision <= known {
             return;
         }
         // Steps lead away from the revision in force; with another one on its
         // way the whole declaration goes.
-        let under_way = leadership.configuring.proposed > self.state.revision;
+        let under_way = leadership.configuration_changes.proposed > self.state.revision;
         let changes = if under_way {
             vec![DeclarationChange::Replace(stored.declaration)]
         } else {
             self.state.declaration.changes_to(&stored.declaration)
         };
-        leadership.configuring.proposed = revision;
+        leadership.configuration_changes.proposed = revision;
         self.propose(vec![Command::Configure {
             operation: stored.operation,
             revision,
@@ -262,11 +265,11 @@
     }
 
     /// Answers confirmations whose entry is applied.
-    pub(crate) fn settle_confirmations(&mut self) {
+    pub(crate) fn answer_applied_confirmations(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let confirmations = leadership.configuring.confirmations.keys();
+        let confirmations = leadership.configuration_changes.confirmations.keys();
         let settled: Vec<(OperationId, ConfigureOutcome)> = confirmations
             .filter_map(|operation| Some((*operation, self.state.operation(*operation)?)))
             .collect();
@@ -278,20 +281,27 @@
 
     fn confirmation(&mut self, operation: OperationId) -> Option<&mut Confirmation> {
         let leadership = self.leadership.as_mut()?;
-        leadership.configuring.confirmations.get_mut(&operation)
+        leadership
+            .configuration_changes
+            .confirmations
+            .get_mut(&operation)
     }
 
     fn finish_confirmation(&mut self, operation: OperationId, answer: OperatorAnswer) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(confirmation) = leadership.configuring.confirmations.remove(&operation) else {
+        let Some(confirmation) = leadership
+            .configuration_changes
+            .confirmations
+            .remove(&operation)
+        else {
             return;
         };
         let event = Event::new(Level::Info, "confirmation")
             .with("operation", operation)
             .with("base", confirmation.base)
-            .with("outcome", outcome_word(&answer));
+            .with("outcome", outcome_label(&answer));
         self.log(event);
         for reply in confirmation.replies {
             self.reply_to_operator(reply, answer.clone());
@@ -316,7 +326,7 @@
     }
 }
 
-fn outcome_word(answer: &OperatorAnswer) -> &'static str {
+fn outcome_label(answer: &OperatorAnswer) -> &'static str {
     match answer {
         OperatorAnswer::InForce { .. } => "in_force",
         OperatorAnswer::Conflict { .. } => "conflict",
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -44,11 +44,11 @@
 
 /// An operator's request that the leader answers for this node.
 #[derive(Clone, Debug)]
-pub(crate) struct ForwardedOperator {
+pub(crate) struct ForwardedRequest {
     pub(crate) call: crate::io::OperatorCall,
     pub(crate) expires: Time,
     /// The answer when none comes.
-    pub(crate) otherwise: OperatorAnswer,
+    pub(crate) timeout_answer: OperatorAnswer,
 }
 
 /// One node's decisions.
@@ -75,7 +75,7 @@
     pub(crate) founding: Founding,
     pub(crate) calls: BTreeMap<KeyValueCall, (Time, Purpose)>,
     next_call: u64,
-    pub(crate) forwarded: BTreeMap<u64, ForwardedOperator>,
+    pub(crate) forwarded: BTreeMap<u64, ForwardedRequest>,
     pub(crate) hello_due: Time,
     pub(crate) stopping: Option<Time>,
     stopped: bool,
@@ -84,9 +84,9 @@
 }
 
 /// How long an answer of the key-value service is awaited.
-pub(crate) const KEY_VALUE_PATIENCE: Duration = Duration::from_secs(5);
+pub(crate) const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a stopping node waits to be taken out of the group's lists.
-const LEAVE_PATIENCE: Duration = Duration::from_secs(3);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl NodeCore {
     /// A node that knows of no group yet.
@@ -130,22 +130,25 @@
             Input::Peer { from, message } => self.on_peer(from, message),
             Input::Unsent { to, message } => self.on_unsent(to, message),
             Input::PeerLost { node } => {
-                let outputs = self.route(|router, now, view| router.on_node_lost(now, view, node));
-                self.carry(outputs);
+                let outputs =
+                    self.with_router(|router, now, view| router.on_node_lost(now, view, node));
+                self.emit_router_outputs(outputs);
             }
             Input::Caller { id, request } => {
                 let outputs =
-                    self.route(|router, now, view| router.on_request(now, view, id, request));
-                self.carry(outputs);
+                    self.with_router(|router, now, view| router.on_request(now, view, id, request));
+                self.emit_router_outputs(outputs);
             }
-            Input::CallerGone { id } => {
-                let outputs = self.route(|router, now, view| router.on_caller_gone(now, view, id));
-                self.carry(outputs);
+            Input::CallerDisconnected { id } => {
+                let outputs =
+                    self.with_router(|router, now, view| router.on_caller_gone(now, view, id));
+                self.emit_router_outputs(outputs);
             }
             Input::CallResult { call, outcome } => {
-                let outputs =
-                    self.route(|router, now, view| router.on_call_result(now, view, call, outcome));
-                self.carry(outputs);
+                let outputs = self.with_router(|router, now, view| {
+                    router.on_call_result(now, view, call, outcome)
+                });
+                self.emit_router_outputs(outputs);
             }
             Input::Grant { server, reply } => self.on_grant_reply(&server, reply),
             Input::KeyValue { call, result } => self.on_key_value(call, result),
@@ -153,7 +156,7 @@
             Input::Operator { call, request } => self.on_operator(call, request),
             Input::Stop => self.on_stop(),
         }
-        self.pump_raft();
+        self.process_raft_outputs();
         std::mem::take(&mut self.outputs)
     }
 
@@ -211,16 +214,16 @@
         if let Some(raft) = &mut self.raft {
             raft.tick(self.now);
         }
-        self.pump_raft();
-        self.expire_calls();
+        self.process_raft_outputs();
+        self.expire_key_value_calls();
         self.tick_contact();
         self.tick_founding();
         self.tick_leader();
         self.tick_operators();
-        let outputs = self.route(|router, now, view| router.tick(now, view));
-        self.carry(outputs);
+        let outputs = self.with_router(|router, now, view| router.tick(now, view));
+        self.emit_router_outputs(outputs);
         self.tick_stop();
-        self.note_admission();
+        self.log_admission_change();
     }
 
     fn on_peer(&mut self, from: Member, message: PeerMessage) {
@@ -232,21 +235,21 @@
             PeerMessage::Hello(hello) => self.on_hello(from, hello),
             PeerMessage::Feed(feed) => self.on_feed(from, feed),
             PeerMessage::LeaderHint { generation, leader } => {
-                if generation >= self.generation && !self.is_in_contact() {
+                if generation >= self.generation && !self.has_recent_contact() {
                     self.leader_hint = Some(leader);
                     self.hello_due = self.now;
                 }
             }
             PeerMessage::Forward(forward) => {
-                let outputs =
-                    self.route(|router, now, view| router.on_forward(now, view, from, forward));
-                self.carry(outputs);
+                let outputs = self
+                    .with_router(|router, now, view| router.on_forward(now, view, from, forward));
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Cancel(attempt) => self.router.on_cancel(attempt),
             PeerMessage::Result { attempt, outcome } => {
-                let outputs =
-                    self.route(|router, now, view| router.on_result(now, view, attempt, outcome));
-                self.carry(outputs);
+                let outputs = self
+                    .with_router(|router, now, view| router.on_result(now, view, attempt, outcome));
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Operator { call, request } => {
                 self.on_remote_operator(from, call, request);
@@ -267,10 +270,10 @@
                     reason: NotRunReason::NotConnected,
                     retry_after_micros: None,
                 };
-                let outputs = self.route(|router, now, view| {
+                let outputs = self.with_router(|router, now, view| {
                     router.on_result(now, view, forward.attempt, outcome)
                 });
-                self.carry(outputs);
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Operator { call, .. } => {
                 if let Some(forwarded) = self.forwarded.remove(&call) {
@@ -283,7 +286,7 @@
     }
 
     /// Runs the router with the present view.
-    pub(crate) fn route(
+    pub(crate) fn with_router(
         &mut self,
         step: impl FnOnce(&mut Router, Time, &RoutingView) -> Vec<RouterOutput>,
     ) -> Vec<RouterOutput> {
@@ -296,7 +299,7 @@
         step(&mut self.router, self.now, &view)
     }
 
-    pub(crate) fn carry(&mut self, outputs: Vec<RouterOutput>) {
+    pub(crate) fn emit_router_outputs(&mut self, outputs: Vec<RouterOutput>) {
         for output in outputs {
             let output = match output {
                 RouterOutput::Forward { to, forward } => Output::Peer {
@@ -338,8 +341,8 @@
     /// To be called whenever `state` changed.
     pub(crate) fn on_state_changed(&mut self) {
         self.gates = GateMap::of(&self.state);
-        let outputs = self.route(|router, now, view| router.tick(now, view));
-        self.carry(outputs);
+        let outputs = self.with_router(|router, now, view| router.tick(now, view));
+        self.emit_router_outputs(outputs);
     }
 
     pub(crate) fn call_key_value(&mut self, purpose: Purpose, request: KeyValueRequest) {
@@ -354,12 +357,12 @@
         self.calls.values().any(|(_, other)| other == purpose)
     }
 
-    fn expire_calls(&mut self) {
+    fn expire_key_value_calls(&mut self) {
         let now = self.now;
         let expired: Vec<KeyValueCall> = self
             .calls
             .iter()
-            .filter(|(_, (since, _))| now.since(*since) > KEY_VALUE_PATIENCE)
+            .filter(|(_, (since, _))| now.since(*since) > KEY_VALUE_TIMEOUT)
             .map(|(call, _)| *call)
             .collect();
         for call in expired {
@@ -386,7 +389,7 @@
         self.router.stop();
         self.hello_due = self.now;
         self.log(Event::new(Level::Info, "stopping").with("pending", self.router.pending()));
-        self.hand_over_leadership();
+        self.transfer_leadership_for_stop();
     }
 
     /// Ends a planned stop: when the group no longer counts on this node and
@@ -400,7 +403,7 @@
         let listed = self.state.nodes.contains_key(&self.config.me.node);
         // A voter that ends before it is replaced is a voter lost, so it uses
         // all the time it has.
-        let left = !self.is_voter() && (!listed || waited >= LEAVE_PATIENCE);
+        let left = !self.is_voter() && (!listed || waited >= LEAVE_TIMEOUT);
         let overdue = waited >= Duration::from_millis(self.config.stop_millis);
         if (left && self.router.is_idle()) || overdue {
             self.stopped = true;
@@ -413,7 +416,7 @@
         }
     }
 
-    fn note_admission(&mut self) {
+    fn log_admission_change(&mut self) {
         let admits = self.admits();
         if admits == self.was_admitting {
             return;
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -9,7 +9,7 @@
 
 use crate::core::NodeCore;
 use crate::message::{Feed, FeedBody, Hello, PeerMessage};
-use crate::peers::HeardPeer;
+use crate::peers::PeerReport;
 use beamtray_consensus::Raft;
 use beamtray_ownership::ControlState;
 use beamtray_types::{Generation, LogIndex, Member, NodeId, Time};
@@ -24,12 +24,12 @@
 /// Nodes asked at once while no leader answers.
 const SEARCH_FANOUT: usize = 8;
 /// Without an answer for this long a node looks for a leader.
-pub(crate) const CONTACT_PATIENCE: Duration = Duration::from_millis(1_200);
+pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 impl NodeCore {
-    pub(crate) fn is_in_contact(&self) -> bool {
+    pub(crate) fn has_recent_contact(&self) -> bool {
         self.contact
-            .is_some_and(|at| self.now.since(at) < CONTACT_PATIENCE)
+            .is_some_and(|at| self.now.since(at) < CONTACT_TIMEOUT)
     }
 
     pub(crate) fn known_leader(&self) -> Option<Member> {
@@ -41,13 +41,13 @@
         if self.leadership.is_some() && self.has_lease() {
             self.contact = Some(self.now);
             let load = self.router.take_load();
-            self.note_load(load);
+            self.record_load(load);
             return;
         }
         if self.now < self.hello_due {
             return;
         }
-        if self.is_in_contact()
+        if self.has_recent_contact()
             && let Some(leader) = self.known_leader()
             && leader.node != self.config.me.node
         {
@@ -99,7 +99,7 @@
     }
 
     pub(crate) fn on_hello(&mut self, from: Member, hello: Hello) {
-        self.peers.note(HeardPeer {
+        self.peers.record(PeerReport {
             member: from,
             zone: hello.zone.clone(),
             at: self.now,
@@ -112,12 +112,12 @@
             self.founding.read_soon(self.now);
         }
         if self.leadership.is_some() && self.has_lease() {
-            self.note_load(hello.load.clone());
+            self.record_load(hello.load.clone());
             return self.feed(from, &hello);
         }
         let leader = self.known_leader();
         if let Some(leader) = leader
-            && self.is_in_contact()
+            && self.has_recent_contact()
             && leader.node != self.config.me.node
         {
             let generation = self.generation;
@@ -133,7 +133,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.note_node(self.now, to, hello);
+        leadership.record_node(self.now, to, hello);
         let same = hello.generation == self.generation;
         let body = leadership
             .entries_after(hello.applied, self.state.applied)
@@ -169,7 +169,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(entries) = leadership.take_unpushed(applied) else {
+        let Some(entries) = leadership.take_unsent_entries(applied) else {
             return;
         };
         let nodes: Vec<NodeId> = leadership
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -16,7 +16,7 @@
 use crate::configure::StoredConfiguration;
 use crate::core::{NodeCore, Purpose};
 use crate::event::{Event, Level};
-use crate::feed::CONTACT_PATIENCE;
+use crate::feed::CONTACT_TIMEOUT;
 use crate::group::FOUNDING_INDEX;
 use crate::peers::spread_over_zones;
 use beamtray_keyvalue::{KeyValueRequest, KeyValueResult, Machine, MachineState, machine_name};
@@ -36,16 +36,16 @@
 /// service's rate.
 const READ_JITTER_PER_NODE_MILLIS: u64 = 25;
 /// A node counts as live for founding when it reported within this time.
-const LIVE_PATIENCE: Duration = Duration::from_secs(3);
+const LIVE_REPORT_WINDOW: Duration = Duration::from_secs(3);
 /// How long a voter is without a leader before it abandons its generation.
 /// Several elections fit into it.
-const ABANDON_PATIENCE: Duration = Duration::from_millis(3_500);
+const ABANDON_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// A gap between ticks that shows a pause of this process.
-const PAUSE_NOTICED: Duration = Duration::from_millis(400);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(400);
 /// Whoever looks for a leader reports to everyone several times in this.
-const SEARCHING_PATIENCE: Duration = Duration::from_millis(1_200);
+const SEARCH_REPORT_WINDOW: Duration = Duration::from_millis(1_200);
 /// How long a first founding waits for more nodes to report.
-const GATHER_TIME: Duration = Duration::from_millis(800);
+const INITIAL_DISCOVERY_WAIT: Duration = Duration::from_millis(800);
 
 /// The record of a group's founding.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -93,17 +93,17 @@
     started: Time,
     read_due: Time,
     /// Another node reported a later generation.
-    told: bool,
+    newer_generation_reported: bool,
     /// The record as last read, with its version.
     record: Option<(u64, FoundingRecord)>,
     /// Since when every recorded set of voters is known to be no majority.
-    lost_since: Option<Time>,
+    majority_lost_since: Option<Time>,
     /// Since when this run has been looking for a leader without a break.
-    alone_since: Option<Time>,
+    leaderless_since: Option<Time>,
     last_tick: Time,
     /// Highest generation in whose log this run takes no part any more.
     pub(crate) abandoned: Generation,
-    gone: BTreeSet<String>,
+    reclaimed_machines: BTreeSet<String>,
     /// State that a new generation is to start from, while its configuration
     /// is being read.
     state: Option<ControlState>,
@@ -115,13 +115,13 @@
         Self {
             started: now,
             read_due: now,
-            told: false,
+            newer_generation_reported: false,
             record: None,
-            lost_since: None,
-            alone_since: None,
+            majority_lost_since: None,
+            leaderless_since: None,
             last_tick: now,
             abandoned: Generation(0),
-            gone: BTreeSet::new(),
+            reclaimed_machines: BTreeSet::new(),
             state: None,
             machines_due: now,
         }
@@ -135,28 +135,28 @@
 
     pub(crate) fn read_soon(&mut self, now: Time) {
         self.read_due = self.read_due.min(now);
-        self.told = true;
+        self.newer_generation_reported = true;
     }
 
     /// Starts the count of time without a leader anew.
     pub(crate) fn restart_search(&mut self) {
-        self.alone_since = None;
+        self.leaderless_since = None;
     }
 
     /// Counts the time without a leader. A gap between ticks is a pause of
     /// this process, in which it could not have heard of one.
-    fn note_search(&mut self, now: Time, searching: bool) {
-        let paused = now.since(self.last_tick) > PAUSE_NOTICED;
+    fn track_leader_search(&mut self, now: Time, searching: bool) {
+        let paused = now.since(self.last_tick) > PAUSE_THRESHOLD;
         self.last_tick = now;
         if !searching {
-            self.alone_since = None;
-        } else if paused || self.alone_since.is_none() {
-            self.alone_since = Some(now);
+            self.leaderless_since = None;
+        } else if paused || self.leaderless_since.is_none() {
+            self.leaderless_since = Some(now);
         }
     }
 
-    pub(crate) fn note_machines(&mut self, list: &[Machine]) {
-        self.gone = list
+    pub(crate) fn update_machines(&mut self, list: &[Machine]) {
+        self.reclaimed_machines = list
             .iter()
             .filter(|machine| machine.state == MachineState::Gone)
             .map(|machine| machine.name.clone())
@@ -168,10 +168,10 @@
     pub(crate) fn tick_founding(&mut self) {
         let quiet = self
             .contact
-            .is_none_or(|at| self.now.since(at) > CONTACT_PATIENCE);
-        self.founding.note_search(self.now, quiet);
-        if (!quiet && !self.founding.told) || self.stopping.is_some() {
-            self.founding.lost_since = None;
+            .is_none_or(|at| self.now.since(at) > CONTACT_TIMEOUT);
+        self.founding.track_leader_search(self.now, quiet);
+        if (!quiet && !self.founding.newer_generation_reported) || self.stopping.is_some() {
+            self.founding.majority_lost_since = None;
             return;
         }
         if self.now >= self.founding.machines_due {
@@ -179,9 +179,11 @@
             self.outputs.push(crate::io::Output::ReadMachines);
         }
         if self.now >= self.founding.read_due && !self.is_calling(&Purpose::ReadFounding) {
-            self.founding.told = false;
-            let crowd = self.config.peers.len() as u64 * READ_JITTER_PER_NODE_MILLIS;
-            let jitter = self.rng.random_range(0..READ_JITTER_MILLIS.max(crowd));
+            self.founding.newer_generation_reported = false;
+            let fleet_jitter = self.config.peers.len() as u64 * READ_JITTER_PER_NODE_MILLIS;
+            let jitter = self
+                .rng
+                .random_range(0..READ_JITTER_MILLIS.max(fleet_jitter));
             self.founding.read_due = self.now + READ_INTERVAL + Duration::from_millis(jitter);
             let key = founding_key(self.config.group);
             self.call_key_value(Purpose::ReadFounding, KeyValueRequest::Get { key });
@@ -190,7 +192,7 @@
 
     pub(crate) fn on_founding_read(&mut self, result: KeyValueResult) {
         match result {
-            KeyValueResult::Absent => self.found_first(),
+            KeyValueResult::Absent => self.found_initial_generation(),
             KeyValueResult::Value { version, value } => {
                 match borsh::from_slice::<FoundingRecord>(&value) {
                     Ok(record) => self.on_founding_record(version, record),
@@ -207,11 +209,11 @@
 
     /// Founds the first generation once enough nodes reported, from the lowest
     /// of them; should two try, compare-and-swap chooses.
-    fn found_first(&mut self) {
-        if self.now.since(self.founding.started) < GATHER_TIME {
+    fn found_initial_generation(&mut self) {
+        if self.now.since(self.founding.started) < INITIAL_DISCOVERY_WAIT {
             return;
         }
-        let candidates = self.founders_in_reach();
+        let candidates = self.reachable_founders();
         let wanted = self.config.voters.min(self.config.peers.len() + 1);
         let lowest = candidates.iter().map(|(member, _)| member.node).min();
         if candidates.len() < wanted || lowest != Some(self.config.me.node) {
@@ -220,9 +222,9 @@
         self.write_founding(0, Generation(1), ControlState::default());
     }
 
-    fn founders_in_reach(&self) -> Vec<(Member, Zone)> {
+    fn reachable_founders(&self) -> Vec<(Member, Zone)> {
         let mut candidates = vec![(self.config.me, self.config.zone.clone())];
-        let live = self.peers.live(self.now, LIVE_PATIENCE);
+        let live = self.peers.live(self.now, LIVE_REPORT_WINDOW);
         candidates.extend(live.into_iter().map(|peer| (peer.member, peer.zone)));
         candidates
     }
@@ -231,7 +233,7 @@
         if self.is_calling(&Purpose::WriteFounding) {
             return;
         }
-        let candidates = self.founders_in_reach();
+        let candidates = self.reachable_founders();
         let count = self.config.voters.min(candidates.len());
         let founders: BTreeSet<Member> =
             spread_over_zones(&candidates, count).into_iter().collect();
@@ -271,18 +273,21 @@
             self.raft = None;
             self.end_leadership();
         }
-        self.consider_refounding(version, &record);
+        self.refound_if_lost(version, &record);
     }
 
-    fn consider_refounding(&mut self, version: u64, record: &FoundingRecord) {
-        self.consider_abandoning(record);
-        let over = |member: &Member| self.is_out(*member, record.generation);
-        let all_over = record.voters.iter().all(|voters| is_blocked(voters, &over));
-        if !all_over && self.config.guards.refounding_wait {
-            self.founding.lost_since = None;
+    fn refound_if_lost(&mut self, version: u64, record: &FoundingRecord) {
+        self.abandon_if_stalled(record);
+        let excluded = |member: &Member| self.is_excluded(*member, record.generation);
+        let all_lost = record
+            .voters
+            .iter()
+            .all(|voters| lacks_majority(voters, &excluded));
+        if !all_lost && self.config.guards.refounding_wait {
+            self.founding.majority_lost_since = None;
             return;
         }
-        let since = *self.founding.lost_since.get_or_insert(self.now);
+        let since = *self.founding.majority_lost_since.get_or_insert(self.now);
         // A leader lost just now may have held its lease this long; grants
         // under it are waited for by the new generation's leader.
         let timing = &self.config.timing;
@@ -306,18 +311,23 @@
     /// Gives up on a generation that stands still: this run has had no leader
     /// for long, and so many others are lost or look for one too that no
     /// recorded set of voters can have a majority elsewhere.
-    fn consider_abandoning(&mut self, record: &FoundingRecord) {
+    fn abandon_if_stalled(&mut self, record: &FoundingRecord) {
         let generation = record.generation;
         let votes = self.raft_generation == generation && self.raft.is_some();
-        let alone = self
+        let leaderless = self
             .founding
-            .alone_since
-            .is_some_and(|since| self.now.since(since) > ABANDON_PATIENCE);
-        if !votes || !alone {
+            .leaderless_since
+            .is_some_and(|since| self.now.since(since) > ABANDON_TIMEOUT);
+        if !votes || !leaderless {
             return;
         }
-        let out = |member: &Member| self.is_out(*member, generation) || self.is_searching(*member);
-        if record.voters.iter().all(|voters| is_blocked(voters, &out)) {
+        let excluded =
+            |member: &Member| self.is_excluded(*member, generation) || self.is_leaderless(*member);
+        if record
+            .voters
+            .iter()
+            .all(|voters| lacks_majority(voters, &excluded))
+        {
             self.founding.abandoned = generation;
             self.raft = None;
             self.end_leadership();
@@ -329,16 +339,16 @@
 
     /// Whether a run reported itself just now, as only those do that have no
     /// leader, or is this one.
-    fn is_searching(&self, member: Member) -> bool {
-        let heard = self.peers.get(member.node);
+    fn is_leaderless(&self, member: Member) -> bool {
+        let report = self.peers.get(member.node);
         member == self.config.me
-            || heard.is_some_and(|peer| {
-                peer.member == member && self.now.since(peer.at) < SEARCHING_PATIENCE
+            || report.is_some_and(|peer| {
+                peer.member == member && self.now.since(peer.at) < SEARCH_REPORT_WINDOW
             })
     }
 
     /// Whether a run takes no part in a generation's log any more.
-    fn is_out(&self, member: Member, generation: Generation) -> bool {
+    fn is_excluded(&self, member: Member, generation: Generation) -> bool {
         if member == self.config.me {
             return self.founding.abandoned >= generation;
         }
@@ -361,7 +371,7 @@
             (applied, std::cmp::Reverse(node))
         };
         let mine = rank(self.generation, self.state.applied, self.config.me.node);
-        let live = self.peers.live(self.now, LIVE_PATIENCE);
+        let live = self.peers.live(self.now, LIVE_REPORT_WINDOW);
         live.iter()
             .all(|peer| rank(peer.generation, peer.applied, peer.member.node) <= mine)
     }
@@ -378,7 +388,11 @@
             .peers
             .get(member.node)
             .is_some_and(|peer| peer.member.incarnation > member.incarnation);
-        replaced || self.founding.gone.contains(&machine_name(member))
+        replaced
+            || self
+                .founding
+                .reclaimed_machines
+                .contains(&machine_name(member))
     }
 
     pub(crate) fn on_checkpoint_to_found(&mut self, result: KeyValueResult) {
@@ -431,13 +445,13 @@
             }
             _ => return,
         }
-        self.founding.lost_since = None;
+        self.founding.majority_lost_since = None;
         self.write_founding(version, record.generation.next(), state);
     }
 }
 
-/// Whether the voters that are not `out` are less than a majority.
-fn is_blocked(voters: &BTreeSet<Member>, out: &dyn Fn(&Member) -> bool) -> bool {
-    let left = voters.iter().filter(|member| !out(member)).count();
+/// Whether the voters that are not `excluded` are less than a majority.
+fn lacks_majority(voters: &BTreeSet<Member>, excluded: &dyn Fn(&Member) -> bool) -> bool {
+    let left = voters.iter().filter(|member| !excluded(member)).count();
     left < voters.len() / 2 + 1
 }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -92,7 +92,7 @@
     }
 
     /// Carries out what the log asks for and follows changes of leadership.
-    pub(crate) fn pump_raft(&mut self) {
+    pub(crate) fn process_raft_outputs(&mut self) {
         loop {
             let Some(raft) = &mut self.raft else { return };
             let outputs = raft.take_outputs();
@@ -103,7 +103,7 @@
                 self.on_raft_output(output);
             }
         }
-        self.follow_role();
+        self.update_leadership();
         self.compact_log();
     }
 
@@ -134,7 +134,7 @@
             command,
         };
         if let Some(leadership) = &mut self.leadership {
-            leadership.remember(entry.clone());
+            leadership.record_entry(entry.clone());
         }
         self.apply(self.raft_generation, &[entry]);
     }
@@ -190,7 +190,7 @@
     }
 
     /// Starts or ends the leader's work as the log's leadership changes.
-    fn follow_role(&mut self) {
+    fn update_leadership(&mut self) {
         let Some(raft) = &self.raft else { return };
         let leads = raft.role() == Role::Leader;
         let term = raft.term();
@@ -227,7 +227,7 @@
     }
 
     /// Hands leadership to another voter before a planned stop.
-    pub(crate) fn hand_over_leadership(&mut self) {
+    pub(crate) fn transfer_leadership_for_stop(&mut self) {
         let now = self.now;
         let me = self.config.me;
         let Some(raft) = &mut self.raft else { return };
--- a/crates/control/src/io.rs
+++ b/crates/control/src/io.rs
@@ -50,7 +50,7 @@
         request: CallerRequest,
     },
     /// A caller is gone.
-    CallerGone {
+    CallerDisconnected {
         /// Its request.
         id: RequestId,
     },
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -3,7 +3,7 @@
 
 use crate::checkpoint::Checkpointing;
 use crate::config::ControlConfig;
-use crate::configure::Configuring;
+use crate::configure::ConfigurationChanges;
 use crate::core::NodeCore;
 use crate::event::{Event, Level};
 use crate::io::Output;
@@ -18,9 +18,9 @@
 use std::time::Duration;
 
 /// A node that has not reported for this long is not live.
-const NODE_PATIENCE: Duration = Duration::from_millis(1_500);
+const NODE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Entries kept for nodes that lack a few.
-const REMEMBERED_ENTRIES: usize = 1_024;
+const ENTRY_HISTORY_LIMIT: usize = 1_024;
 /// Between readings of the machine list.
 const MACHINES_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Between looks at what might be changed.
@@ -33,7 +33,7 @@
 pub(crate) struct KnownNode {
     pub(crate) member: Member,
     pub(crate) zone: Zone,
-    pub(crate) heard: Time,
+    pub(crate) last_report: Time,
     pub(crate) leaving: bool,
 }
 
@@ -46,18 +46,18 @@
     pub(crate) nodes: BTreeMap<NodeId, KnownNode>,
     pub(crate) loads: Loads,
     pub(crate) checkpointing: Checkpointing,
-    pub(crate) configuring: Configuring,
+    pub(crate) configuration_changes: ConfigurationChanges,
     pub(crate) voter_change: VoterChange,
     recent: VecDeque<FeedEntry>,
-    pushed: Option<LogIndex>,
+    sent_up_to: Option<LogIndex>,
     /// Plans wait until what was proposed last is applied.
-    planned_until: LogIndex,
+    last_proposed: LogIndex,
     /// Next look at what might be changed when nothing calls for one.
     pub(crate) plan_due: Time,
     balance_due: Time,
     machines_due: Time,
     leaving: BTreeSet<ServerName>,
-    gone_nodes: BTreeSet<String>,
+    reclaimed_machines: BTreeSet<String>,
 }
 
 impl Leadership {
@@ -81,22 +81,22 @@
             nodes: BTreeMap::new(),
             loads: Loads::default(),
             checkpointing: Checkpointing::new(elected_at),
-            configuring: Configuring::new(elected_at),
+            configuration_changes: ConfigurationChanges::new(elected_at),
             voter_change: VoterChange::new(elected_at),
             recent: VecDeque::new(),
-            pushed: None,
-            planned_until: LogIndex(0),
+            sent_up_to: None,
+            last_proposed: LogIndex(0),
             plan_due: elected_at,
             balance_due: elected_at + BALANCE_INTERVAL,
             machines_due: elected_at,
             leaving: BTreeSet::new(),
-            gone_nodes: BTreeSet::new(),
+            reclaimed_machines: BTreeSet::new(),
         }
     }
 
-    pub(crate) fn remember(&mut self, entry: FeedEntry) {
+    pub(crate) fn record_entry(&mut self, entry: FeedEntry) {
         self.recent.push_back(entry);
-        if self.recent.len() > REMEMBERED_ENTRIES {
+        if self.recent.len() > ENTRY_HISTORY_LIMIT {
             self.recent.pop_front();
         }
     }
@@ -118,17 +118,17 @@
     }
 
     /// Entries that were not pushed yet; none when there are none.
-    pub(crate) fn take_unpushed(&mut self, applied: LogIndex) -> Option<Vec<FeedEntry>> {
-        let from = self.pushed.replace(applied)?;
+    pub(crate) fn take_unsent_entries(&mut self, applied: LogIndex) -> Option<Vec<FeedEntry>> {
+        let from = self.sent_up_to.replace(applied)?;
         let entries = self.entries_after(from, applied)?;
         (!entries.is_empty()).then_some(entries)
     }
 
-    pub(crate) fn note_node(&mut self, now: Time, member: Member, hello: &Hello) {
+    pub(crate) fn record_node(&mut self, now: Time, member: Member, hello: &Hello) {
         let known = KnownNode {
             member,
             zone: hello.zone.clone(),
-            heard: now,
+            last_report: now,
             leaving: hello.leaving,
         };
         self.nodes.insert(member.node, known);
@@ -140,16 +140,16 @@
 
     pub(crate) fn is_node_live(&self, now: Time, member: Member) -> bool {
         self.nodes.get(&member.node).is_some_and(|node| {
-            node.member == member && now.since(node.heard) < NODE_PATIENCE && !node.leaving
+            node.member == member && now.since(node.last_report) < NODE_TIMEOUT && !node.leaving
         })
     }
 
     /// Whether the platform says that the node's machine is reclaimed.
-    pub(crate) fn is_machine_gone(&self, name: &str) -> bool {
-        self.gone_nodes.contains(name)
+    pub(crate) fn is_machine_reclaimed(&self, name: &str) -> bool {
+        self.reclaimed_machines.contains(name)
     }
 
-    fn note_machines(&mut self, list: &[Machine]) {
+    fn update_machines(&mut self, list: &[Machine]) {
         let named = |state| {
             list.iter()
                 .filter(move |machine| machine.state == state)
@@ -159,7 +159,7 @@
             .chain(named(MachineState::Gone))
             .map(ServerName)
             .collect();
-        self.gone_nodes = named(MachineState::Gone).collect();
+        self.reclaimed_machines = named(MachineState::Gone).collect();
     }
 }
 
@@ -177,7 +177,7 @@
         let myself = KnownNode {
             member: me,
             zone,
-            heard: now,
+            last_report: now,
             leaving,
         };
         leadership.nodes.insert(me.node, myself);
@@ -188,7 +188,7 @@
         }
         self.plan_changes();
         self.send_grants();
-        self.tick_configuring();
+        self.tick_configuration();
         self.tick_checkpoint();
         self.tick_voters();
     }
@@ -199,7 +199,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if self.state.applied < leadership.planned_until || now < leadership.plan_due {
+        if self.state.applied < leadership.last_proposed || now < leadership.plan_due {
             return;
         }
         leadership.plan_due = now + PLAN_INTERVAL;
@@ -226,7 +226,7 @@
             return;
         };
         if let Some(leadership) = &mut self.leadership {
-            leadership.planned_until = index;
+            leadership.last_proposed = index;
         }
     }
 
@@ -239,7 +239,7 @@
         let live = leadership
             .nodes
             .iter()
-            .filter(|(_, node)| now.since(node.heard) < NODE_PATIENCE && !node.leaving);
+            .filter(|(_, node)| now.since(node.last_report) < NODE_TIMEOUT && !node.leaving);
         let mut nodes: BTreeMap<NodeId, NodeRecord> = live
             .map(|(id, node)| {
                 let record = NodeRecord {
@@ -250,7 +250,7 @@
             })
             .collect();
         // A new leader has not heard of everyone yet.
-        if now.since(leadership.started) < NODE_PATIENCE {
+        if now.since(leadership.started) < NODE_TIMEOUT {
             for (id, record) in &self.state.nodes {
                 if !leadership.nodes.contains_key(id) {
                     nodes.insert(*id, record.clone());
@@ -294,14 +294,14 @@
         if let Some(leadership) = &mut self.leadership {
             leadership.plan_due = self.now;
         }
-        self.adapt_grants();
+        self.update_grants();
         if self.has_lease() {
             self.send_grants();
         }
-        self.settle_confirmations();
+        self.answer_applied_confirmations();
     }
 
-    fn adapt_grants(&mut self) {
+    fn update_grants(&mut self) {
         let now = self.now;
         let mut grants = self.state.grants();
         let keyed = self.state.declaration.services.iter();
@@ -335,14 +335,14 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let news = match reply {
+        let may_unblock_changes = match reply {
             Some(reply) => leadership.granter.handle(now, server, &reply, has_lease),
             None => {
-                leadership.granter.failed(server);
+                leadership.granter.record_no_reply(server);
                 false
             }
         };
-        if has_lease && news {
+        if has_lease && may_unblock_changes {
             leadership.plan_due = now;
             self.plan_changes();
             self.send_grants();
@@ -351,22 +351,22 @@
 
     pub(crate) fn on_machines(&mut self, list: Option<Vec<Machine>>) {
         let Some(list) = list else { return };
-        self.founding.note_machines(&list);
+        self.founding.update_machines(&list);
         if let Some(leadership) = &mut self.leadership {
-            leadership.note_machines(&list);
+            leadership.update_machines(&list);
         }
     }
 
-    pub(crate) fn note_load(&mut self, load: Vec<SliceCount>) {
+    pub(crate) fn record_load(&mut self, load: Vec<SliceCount>) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.loads.note(load);
+            leadership.loads.record(load);
         }
     }
 
     /// Answers what waits for this leader as unknown and forgets the rest.
     pub(crate) fn end_leadership(&mut self) {
         let waiting = match self.leadership.take() {
-            Some(leadership) => leadership.configuring.into_waiting(),
+            Some(leadership) => leadership.configuration_changes.into_pending_replies(),
             None => return,
         };
         for (operation, reply) in waiting {
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,7 +1,7 @@
 //! Serving operators: here when this node leads, else by its leader.
 
 use crate::configure::OperatorReply;
-use crate::core::{ForwardedOperator, NodeCore};
+use crate::core::{ForwardedRequest, NodeCore};
 use crate::io::{OperatorCall, Output};
 use crate::message::PeerMessage;
 use crate::operator::{
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long the leader's answer is awaited.
-const LEADER_PATIENCE: Duration = Duration::from_secs(8);
+const LEADER_ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl NodeCore {
     pub(crate) fn on_operator(&mut self, call: OperatorCall, request: OperatorRequest) {
@@ -32,7 +32,7 @@
             let reason = "no leader is known".to_owned();
             return self.answer_operator(call, OperatorAnswer::Unavailable { reason });
         };
-        let otherwise = match &request {
+        let timeout_answer = match &request {
             OperatorRequest::Confirm { operation, .. } => OperatorAnswer::Unknown {
                 operation: *operation,
             },
@@ -40,10 +40,10 @@
                 reason: format!("the leader, node {}, did not answer", leader.node),
             },
         };
-        let forwarded = ForwardedOperator {
+        let forwarded = ForwardedRequest {
             call,
-            expires: self.now + LEADER_PATIENCE,
-            otherwise,
+            expires: self.now + LEADER_ANSWER_TIMEOUT,
+            timeout_answer,
         };
         self.forwarded.insert(call.0, forwarded);
         let message = PeerMessage::Operator {
@@ -72,7 +72,7 @@
             .collect();
         for call in expired {
             if let Some(forwarded) = self.forwarded.remove(&call) {
-                self.answer_operator(forwarded.call, forwarded.otherwise);
+                self.answer_operator(forwarded.call, forwarded.timeout_answer);
             }
         }
     }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -6,7 +6,7 @@
 
 /// A node that reported itself.
 #[derive(Clone, Debug)]
-pub(crate) struct HeardPeer {
+pub(crate) struct PeerReport {
     pub(crate) member: Member,
     pub(crate) zone: Zone,
     pub(crate) at: Time,
@@ -19,21 +19,21 @@
 /// The latest report of each node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peers {
-    heard: BTreeMap<NodeId, HeardPeer>,
+    reports: BTreeMap<NodeId, PeerReport>,
 }
 
 impl Peers {
-    pub(crate) fn note(&mut self, peer: HeardPeer) {
-        self.heard.insert(peer.member.node, peer);
+    pub(crate) fn record(&mut self, peer: PeerReport) {
+        self.reports.insert(peer.member.node, peer);
     }
 
-    pub(crate) fn get(&self, node: NodeId) -> Option<&HeardPeer> {
-        self.heard.get(&node)
+    pub(crate) fn get(&self, node: NodeId) -> Option<&PeerReport> {
+        self.reports.get(&node)
     }
 
     /// Nodes that reported within `patience` and are not stopping.
-    pub(crate) fn live(&self, now: Time, patience: Duration) -> Vec<HeardPeer> {
-        self.heard
+    pub(crate) fn live(&self, now: Time, patience: Duration) -> Vec<PeerReport> {
+        self.reports
             .values()
             .filter(|peer| now.since(peer.at) < patience && !peer.leaving)
             .cloned()
--- a/crates/control/src/placing.rs
+++ b/crates/control/src/placing.rs
@@ -15,10 +15,10 @@
 /// Weight of the newest window.
 const LOAD_WEIGHT: f64 = 0.4;
 /// Rates below this are forgotten.
-const LEAST_RATE: f64 = 0.01;
+const MIN_RATE: f64 = 0.01;
 /// Servers that are asked for the first time have this long to answer before
 /// anything is placed on the strength of their silence.
-const MEETING_TIME: Duration = Duration::from_millis(400);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
@@ -35,7 +35,7 @@
 }
 
 impl Loads {
-    pub(crate) fn note(&mut self, counts: Vec<SliceCount>) {
+    pub(crate) fn record(&mut self, counts: Vec<SliceCount>) {
         for count in counts {
             let slices = self.rates.entry(count.service).or_default();
             let rate = slices.entry(count.first).or_default();
@@ -57,7 +57,7 @@
                 rate.per_second += LOAD_WEIGHT * (measured - rate.per_second);
                 rate.counted = 0;
             }
-            slices.retain(|_, rate| rate.per_second > LEAST_RATE);
+            slices.retain(|_, rate| rate.per_second > MIN_RATE);
         }
     }
 
@@ -174,18 +174,18 @@
     }
 
     fn keyed_changes(&mut self, service: &ServiceDeclaration, allow_balance: bool) -> Vec<Command> {
-        let mut commands = self.revoke_from_lost(service);
+        let mut commands = self.revoke_from_lost_servers(service);
         let Some(leadership) = &self.leadership else {
             return commands;
         };
         let now = self.now;
         let granter = &leadership.granter;
-        let (available, keeping) = self.usable_servers(service, granter);
+        let (available, unresponsive) = self.usable_servers(service, granter);
         // Were the first server to answer alone in being available, it would
         // be given everything.
-        let awaited = keeping
+        let awaited = unresponsive
             .iter()
-            .any(|name| granter.is_awaited(now, name, MEETING_TIME));
+            .any(|name| granter.is_first_reply_pending(now, name, FIRST_REPLY_TIMEOUT));
         if available.is_empty() || awaited {
             return commands;
         }
@@ -195,16 +195,16 @@
         let free = |server: &ServerName, range| granter.is_free(now, server, range);
         let loads = Some(&leadership.loads);
         let slices = slice_loads(&service.name, table, loads, free, &available);
-        commands.extend(self.finish_moves(service, table, &available, granter));
-        let quiet = commands.is_empty();
+        commands.extend(self.assign_released_slices(service, table, &available, granter));
+        let no_pending_moves = commands.is_empty();
         let input = PlacementInput {
             slices,
             available,
-            keeping,
+            unresponsive,
             move_cost: service.move_cost,
             slices_per_server: service.slices_per_server,
             policy: self.config.policy,
-            allow_balance: allow_balance && quiet,
+            allow_balance: allow_balance && no_pending_moves,
         };
         let changes = plan(&input);
         for change in changes {
@@ -233,7 +233,7 @@
 
     /// Takes back the slices of servers that are silent and whose grants lapsed,
     /// or that are leaving.
-    fn revoke_from_lost(&mut self, service: &ServiceDeclaration) -> Vec<Command> {
+    fn revoke_from_lost_servers(&mut self, service: &ServiceDeclaration) -> Vec<Command> {
         let now = self.now;
         let patience = Duration::from_millis(service.reassign_after_millis);
         let (Some(leadership), Some(table)) =
@@ -241,7 +241,7 @@
         else {
             return Vec::new();
         };
-        let settled = now.since(leadership.started) >= MEETING_TIME;
+        let settled = now.since(leadership.started) >= FIRST_REPLY_TIMEOUT;
         let lost = |server: &ServerName| {
             // Nobody is served by a server that leaves and has no grant.
             let leaves = self.config.guards.drains && self.state.is_leaving(server);
@@ -249,8 +249,8 @@
                 return true;
             }
             let unknown = service.servers.iter().all(|known| known.name != *server);
-            let lapsed = leadership.granter.lapsed_since(now, server);
-            unknown || lapsed.is_some_and(|since| now.since(since) >= patience)
+            let expired_since = leadership.granter.expired_since(now, server);
+            unknown || expired_since.is_some_and(|since| now.since(since) >= patience)
         };
         let mut commands = Vec::new();
         for (range, slice) in table.iter() {
@@ -275,7 +275,7 @@
     }
 
     /// Gives revoked slices that are free to the servers they were meant for.
-    fn finish_moves(
+    fn assign_released_slices(
         &self,
         service: &ServiceDeclaration,
         table: &SliceTable,
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -105,13 +105,13 @@
     let mut input = PlacementInput {
         slices: slice_loads(&service.name, new_table, loads, free, &available),
         available: available.clone(),
-        keeping: Vec::new(),
+        unresponsive: Vec::new(),
         move_cost: service.move_cost,
         slices_per_server: service.slices_per_server,
         policy: PLANNING_POLICY,
         allow_balance: true,
     };
-    settle(&mut input);
+    apply_moves_until_stable(&mut input);
     let moved = input.slices.iter().filter(|slice| {
         let old = owners.get(&slice.range.first);
         old.is_some_and(|old| old.is_some() && *old != slice.owner)
@@ -138,7 +138,7 @@
 
 /// Carries out moves at once until none is left. Splits are left out: they
 /// depend on load that is yet to come.
-fn settle(input: &mut PlacementInput) {
+fn apply_moves_until_stable(input: &mut PlacementInput) {
     for _ in 0..MAX_ROUNDS {
         let mut moved = false;
         for change in plan(input) {
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -18,9 +18,9 @@
 /// Between looks at the voters.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Silence after which a voter counts as lost.
-const VOTER_PATIENCE: Duration = Duration::from_secs(4);
+const VOTER_TIMEOUT: Duration = Duration::from_secs(4);
 /// A member that answered within this time is in touch.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(600);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 /// A learner this close to the leader's log may get a vote.
 const CAUGHT_UP_ENTRIES: u64 = 16;
 
@@ -37,7 +37,7 @@
 impl VoterChange {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            due: now + VOTER_PATIENCE / 4,
+            due: now + VOTER_TIMEOUT / 4,
             busy: false,
             record: None,
             wanted: None,
@@ -86,8 +86,8 @@
             let replaced = node.is_some_and(|node| node.member.incarnation > member.incarnation);
             let leaving = node.is_some_and(|node| node.leaving);
             let answered = raft.last_answer(*member).unwrap_or(leadership.started);
-            let silent = self.now.since(answered.max(leadership.started)) > VOTER_PATIENCE;
-            replaced || leaving || silent || leadership.is_machine_gone(&machine_name(*member))
+            let silent = self.now.since(answered.max(leadership.started)) > VOTER_TIMEOUT;
+            replaced || leaving || silent || leadership.is_machine_reclaimed(&machine_name(*member))
         };
         voters.iter().copied().filter(failing).collect()
     }
@@ -174,7 +174,7 @@
     /// Whether a member answered the log's leader just now.
     fn answers(&self, member: Member) -> bool {
         let answered = self.raft.as_ref().and_then(|raft| raft.last_answer(member));
-        member == self.config.me || answered.is_some_and(|at| self.now.since(at) < ANSWER_PATIENCE)
+        member == self.config.me || answered.is_some_and(|at| self.now.since(at) < ANSWER_TIMEOUT)
     }
 
     /// Whether a change would leave a majority that answers. One that does not
@@ -260,7 +260,7 @@
         let change = &mut leadership.voter_change;
         change.busy = false;
         let KeyValueResult::Value { version, value } = result else {
-            change.due = self.now + VOTER_PATIENCE / 4;
+            change.due = self.now + VOTER_TIMEOUT / 4;
             return;
         };
         let Ok(record) = borsh::from_slice::<FoundingRecord>(&value) else {
@@ -288,7 +288,7 @@
             }
             _ => {
                 change.record = None;
-                change.due = now + VOTER_PATIENCE / 4;
+                change.due = now + VOTER_TIMEOUT / 4;
             }
         }
     }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -100,7 +100,7 @@
             .collect();
         for id in gone {
             self.callers.remove(&id);
-            self.input(Input::CallerGone { id });
+            self.input(Input::CallerDisconnected { id });
         }
     }
 
--- a/crates/ownership/src/grant_table.rs
+++ b/crates/ownership/src/grant_table.rs
@@ -124,11 +124,11 @@
             .iter()
             .map(|slice| (slice.range.first, *slice))
             .collect();
-        self.forget_retired(now);
+        self.prune_retired(now);
     }
 
     /// Drops retired slices under which nothing is in flight.
-    fn forget_retired(&mut self, now: Time) {
+    fn prune_retired(&mut self, now: Time) {
         let in_flight = &self.in_flight;
         let checks_expiry = self.checks_expiry;
         self.retired.retain(|retired| {
@@ -183,7 +183,7 @@
     /// Ends an admitted request, whether or not it took effect.
     pub fn finish(&mut self, now: Time, ticket: Ticket) {
         self.in_flight.remove(&ticket);
-        self.forget_retired(now);
+        self.prune_retired(now);
     }
 
     /// Whether this run acts for `hash` at `now`; what a checker of sole
@@ -204,7 +204,7 @@
     }
 
     /// The slices of the present set, lapsed or not.
-    pub fn all(&self) -> Vec<GrantedSlice> {
+    pub fn granted_slices(&self) -> Vec<GrantedSlice> {
         self.slices.values().copied().collect()
     }
 
@@ -219,7 +219,7 @@
 
     /// Retired ranges in which a request may still commit.
     fn releasing(&mut self, now: Time) -> Vec<SliceRange> {
-        self.forget_retired(now);
+        self.prune_retired(now);
         let uncovered = |request: &&InFlight| {
             self.find(request.hash)
                 .is_none_or(|granted| granted.fence != request.fence)
--- a/crates/ownership/src/granter.rs
+++ b/crates/ownership/src/granter.rs
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GranterGuards {
     /// A silent owner's slices wait until its grants lapsed.
-    pub waits_for_lapse: bool,
+    pub waits_for_expiry: bool,
     /// A new leader waits until the grants of leaders before it lapsed.
-    pub waits_for_former: bool,
+    pub waits_for_previous_leaders: bool,
     /// A revoked slice waits for requests in flight at its old owner.
     pub waits_for_release: bool,
     /// A new run of a server waits for the grants of the run before.
@@ -39,8 +39,8 @@
 impl Default for GranterGuards {
     fn default() -> Self {
         Self {
-            waits_for_lapse: true,
-            waits_for_former: true,
+            waits_for_expiry: true,
+            waits_for_previous_leaders: true,
             waits_for_release: true,
             checks_incarnation: true,
         }
@@ -65,19 +65,19 @@
     /// Number of the first set without them.
     sequence: u64,
     /// When the last grant with them has lapsed, on the granter's clock.
-    lapses: Time,
+    expires_at: Time,
     released: bool,
 }
 
 /// Number of a link's first set; 0 stands for none acknowledged.
-const FIRST_SEQUENCE: u64 = 1;
+const INITIAL_SEQUENCE: u64 = 1;
 /// Between questions whether requests in flight on revoked slices have ended.
-const RELEASE_POLL: Duration = Duration::from_millis(10);
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a lapsed removal is remembered. Long past the longest grant.
-const REMOVED_MEMORY: Duration = Duration::from_secs(60);
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
-struct Link {
+struct ServerLink {
     address: SocketAddr,
     incarnation: Option<Incarnation>,
     /// The server's clock and when its reading arrived.
@@ -86,14 +86,14 @@
     sequence: u64,
     acknowledged: u64,
     sent_at: Option<Time>,
-    due: Time,
+    next_send_at: Time,
     /// When every grant sent so far has lapsed.
-    lapses: Time,
+    expires_at: Time,
     /// When the latest grant of this leader lapses.
     granted_until: Option<Time>,
     /// Before this a run that did not hold a grant must get none: another run
     /// of the same server may hold one.
-    quiet_until: Time,
+    no_grants_before: Time,
     removed: Vec<Removed>,
     created: Time,
     last_reply: Option<Time>,
@@ -106,8 +106,8 @@
     generation: Generation,
     term: Term,
     /// When the grants of every earlier leader have lapsed.
-    former_lapses: Time,
-    links: BTreeMap<ServerName, Link>,
+    previous_grants_expire_at: Time,
+    links: BTreeMap<ServerName, ServerLink>,
 }
 
 impl Granter {
@@ -118,7 +118,7 @@
         term: Term,
         elected_at: Time,
     ) -> Self {
-        let wait = if config.guards.waits_for_former {
+        let wait = if config.guards.waits_for_previous_leaders {
             config.grant_bound
         } else {
             Duration::ZERO
@@ -127,7 +127,7 @@
             config,
             generation,
             term,
-            former_lapses: elected_at + wait,
+            previous_grants_expire_at: elected_at + wait,
             links: BTreeMap::new(),
         }
     }
@@ -139,14 +139,14 @@
         servers: impl IntoIterator<Item = (ServerName, SocketAddr, Vec<GrantedSlice>)>,
     ) {
         for (name, address, set) in servers {
-            let former_lapses = self.former_lapses;
+            let previous_grants_expire_at = self.previous_grants_expire_at;
             let link = self
                 .links
                 .entry(name)
-                .or_insert_with(|| Link::new(address, now, former_lapses));
+                .or_insert_with(|| ServerLink::new(address, now, previous_grants_expire_at));
             if link.address != address {
                 link.address = address;
-                link.forget_run();
+                link.reset_run();
             }
             link.set_slices(now, set);
         }
@@ -156,7 +156,7 @@
     /// a grant of this leader.
     pub fn retain(&mut self, now: Time, keep: impl Fn(&ServerName) -> bool) {
         self.links
-            .retain(|name, link| keep(name) || now < link.lapses);
+            .retain(|name, link| keep(name) || now < link.expires_at);
     }
 
     /// Messages that are due. `has_lease` is the leader's own lease at `now`;
@@ -170,7 +170,7 @@
             .iter_mut()
             .filter(|(_, link)| link.is_due(now, config.renewal))
             .map(|(name, link)| {
-                link.due = now + config.renewal;
+                link.next_send_at = now + config.renewal;
                 link.sent_at = Some(now);
                 PendingGrant {
                     server: name.clone(),
@@ -194,7 +194,7 @@
         has_lease: bool,
     ) -> bool {
         let guards = self.config.guards;
-        let ours = (self.generation, self.term);
+        let current_leader = (self.generation, self.term);
         let Some(link) = self.links.get_mut(server) else {
             return false;
         };
@@ -205,13 +205,13 @@
         let was_silent = link
             .last_reply
             .is_none_or(|heard| now.since(heard) >= self.config.renewal * 2);
-        let waiting = link.removed.len();
+        let removed_before = link.removed.len();
         if link.incarnation != Some(reply.incarnation) {
             // A state from before this generation may have missed the latest
             // assignments, so only grants of this generation are continued.
             let same_generation = reply.version.generation == self.generation;
             let holding = reply.was_holding && same_generation;
-            link.meet_run(now, reply.incarnation, holding, guards);
+            link.handle_new_run(now, reply.incarnation, holding, guards);
         }
         link.last_reply = Some(now);
         let newer = link
@@ -220,18 +220,18 @@
         if newer {
             link.reading = Some((reply.reading, now));
         }
-        if (reply.version.generation, reply.version.term) == ours {
+        if (reply.version.generation, reply.version.term) == current_leader {
             link.acknowledge(reply, guards.waits_for_release);
             if link.is_releasing() {
                 // Requests are in flight on slices that someone waits for.
-                link.due = link.due.min(now + RELEASE_POLL);
+                link.next_send_at = link.next_send_at.min(now + RELEASE_POLL_INTERVAL);
             }
         }
-        was_silent || link.removed.len() < waiting
+        was_silent || link.removed.len() < removed_before
     }
 
     /// Notes that a message got no answer.
-    pub fn failed(&mut self, server: &ServerName) {
+    pub fn record_no_reply(&mut self, server: &ServerName) {
         if let Some(link) = self.links.get_mut(server) {
             link.sent_at = None;
         }
@@ -242,35 +242,40 @@
     pub fn is_free(&self, now: Time, server: &ServerName, range: SliceRange) -> bool {
         let guards = self.config.guards;
         let Some(link) = self.links.get(server) else {
-            return now >= self.former_lapses;
+            return now >= self.previous_grants_expire_at;
         };
-        if !guards.waits_for_lapse {
+        if !guards.waits_for_expiry {
             return true;
         }
         if link.set.iter().any(|slice| slice.range.overlaps(&range)) {
             return false;
         }
-        if now < link.quiet_until {
+        if now < link.no_grants_before {
             return false;
         }
         let removed = link.removed.iter();
         removed
             .filter(|removed| removed.ranges.iter().any(|other| other.overlaps(&range)))
-            .all(|removed| removed.released || now >= removed.lapses)
+            .all(|removed| removed.released || now >= removed.expires_at)
     }
 
     /// Whether a server has been silent for so long that all its grants
     /// lapsed; and since when.
-    pub fn lapsed_since(&self, now: Time, server: &ServerName) -> Option<Time> {
+    pub fn expired_since(&self, now: Time, server: &ServerName) -> Option<Time> {
         let link = self.links.get(server)?;
         let heard = link.last_reply.unwrap_or(link.created);
-        let lapsed = (heard + self.config.grant_bound).max(link.lapses);
-        (now >= lapsed).then_some(lapsed)
+        let expired_at = (heard + self.config.grant_bound).max(link.expires_at);
+        (now >= expired_at).then_some(expired_at)
     }
 
     /// Whether the server was first asked within `patience` and has not
     /// answered yet.
-    pub fn is_awaited(&self, now: Time, server: &ServerName, patience: Duration) -> bool {
+    pub fn is_first_reply_pending(
+        &self,
+        now: Time,
+        server: &ServerName,
+        patience: Duration,
+    ) -> bool {
         self.links
             .get(server)
             .is_some_and(|link| link.last_reply.is_none() && now.since(link.created) < patience)
@@ -291,26 +296,26 @@
     }
 }
 
-impl Link {
-    fn new(address: SocketAddr, now: Time, former_lapses: Time) -> Self {
+impl ServerLink {
+    fn new(address: SocketAddr, now: Time, previous_grants_expire_at: Time) -> Self {
         Self {
             address,
             incarnation: None,
             reading: None,
             set: Vec::new(),
-            sequence: FIRST_SEQUENCE,
+            sequence: INITIAL_SEQUENCE,
             acknowledged: 0,
             sent_at: None,
-            due: now,
-            lapses: former_lapses,
+            next_send_at: now,
+            expires_at: previous_grants_expire_at,
             granted_until: None,
-            quiet_until: former_lapses,
+            no_grants_before: previous_grants_expire_at,
             // Whatever earlier leaders granted is in force until the server
             // takes a set of this leader, or until it lapsed.
             removed: vec![Removed {
                 ranges: vec![SliceRange::ALL],
-                sequence: FIRST_SEQUENCE,
-                lapses: former_lapses,
+                sequence: INITIAL_SEQUENCE,
+                expires_at: previous_grants_expire_at,
                 released: false,
             }],
             created: now,
@@ -319,11 +324,11 @@
     }
 
     /// The server is to be met anew, at another address.
-    fn forget_run(&mut self) {
+    fn reset_run(&mut self) {
         self.incarnation = None;
         self.reading = None;
         self.acknowledged = 0;
-        self.quiet_until = self.quiet_until.max(self.lapses);
+        self.no_grants_before = self.no_grants_before.max(self.expires_at);
     }
 
     fn set_slices(&mut self, now: Time, set: Vec<GrantedSlice>) {
@@ -341,19 +346,19 @@
             self.removed.push(Removed {
                 ranges: gone,
                 sequence: self.sequence,
-                lapses: self.lapses,
+                expires_at: self.expires_at,
                 released: false,
             });
         }
         self.removed
-            .retain(|removed| !removed.released && now < removed.lapses + REMOVED_MEMORY);
+            .retain(|removed| !removed.released && now < removed.expires_at + REMOVED_RETENTION);
         self.set = set;
-        self.due = now;
+        self.next_send_at = now;
     }
 
     fn is_due(&self, now: Time, renewal: Duration) -> bool {
-        let waiting = self.sent_at.is_some_and(|sent| now.since(sent) < renewal);
-        now >= self.due && !waiting
+        let removed_before = self.sent_at.is_some_and(|sent| now.since(sent) < renewal);
+        now >= self.next_send_at && !removed_before
     }
 
     fn request(
@@ -363,14 +368,14 @@
         generation: Generation,
         term: Term,
     ) -> GrantRequest {
-        let may_grant = self.incarnation.is_some() && now >= self.quiet_until;
+        let can_grant = self.incarnation.is_some() && now >= self.no_grants_before;
         let valid_until = self
             .reading
-            .filter(|_| may_grant)
+            .filter(|_| can_grant)
             .map(|(reading, received)| {
-                let lapses = received + config.grant_bound;
-                self.lapses = self.lapses.max(lapses);
-                self.granted_until = self.granted_until.max(Some(lapses));
+                let expires_at = received + config.grant_bound;
+                self.expires_at = self.expires_at.max(expires_at);
+                self.granted_until = self.granted_until.max(Some(expires_at));
                 reading + config.grant
             });
         let set = if self.acknowledged == self.sequence {
@@ -382,7 +387,7 @@
             group: config.group,
             version: Fence::new(generation, term, LogIndex(self.sequence)),
             // Without leave to grant, the message is a probe of the clock.
-            incarnation: self.incarnation.filter(|_| may_grant),
+            incarnation: self.incarnation.filter(|_| can_grant),
             valid_until,
             set,
         }
@@ -393,7 +398,7 @@
     /// A run that holds an unexpired grant proves that whoever granted it had
     /// waited for the runs before, so its grants can be renewed at once. Any
     /// other run waits until whatever an earlier run may hold has lapsed.
-    fn meet_run(
+    fn handle_new_run(
         &mut self,
         now: Time,
         incarnation: Incarnation,
@@ -402,14 +407,14 @@
     ) {
         let first = self.last_reply.is_none();
         if first && holding {
-            self.quiet_until = now;
+            self.no_grants_before = now;
         } else if guards.checks_incarnation {
-            self.quiet_until = self.quiet_until.max(self.lapses);
+            self.no_grants_before = self.no_grants_before.max(self.expires_at);
         }
         self.incarnation = Some(incarnation);
         self.reading = None;
         self.acknowledged = 0;
-        self.due = now.min(self.due);
+        self.next_send_at = now.min(self.next_send_at);
     }
 
     /// Whether the server took a set without some slices and still has
--- a/crates/ownership/src/state.rs
+++ b/crates/ownership/src/state.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Operations remembered, so that a repeated confirmation finds its result.
-const REMEMBERED_OPERATIONS: usize = 256;
+const OPERATION_HISTORY_LIMIT: usize = 256;
 
 /// A live node as its group lists it.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -127,7 +127,7 @@
                 first,
                 expected,
                 to,
-            } => self.change(service, *first, *expected, |ownership| {
+            } => self.update_ownership(service, *first, *expected, |ownership| {
                 // Never from `Owned`: that owner was not asked to let go.
                 if !matches!(ownership, Ownership::Owned { .. }) {
                     let server = to.clone();
@@ -139,7 +139,7 @@
                 first,
                 expected,
                 to,
-            } => self.change(service, *first, Some(*expected), |ownership| {
+            } => self.update_ownership(service, *first, Some(*expected), |ownership| {
                 if let Ownership::Owned { server, fence } = ownership {
                     *ownership = Ownership::Revoking {
                         from: server.clone(),
@@ -152,7 +152,7 @@
                 service,
                 first,
                 expected,
-            } => self.change(service, *first, Some(*expected), |ownership| {
+            } => self.update_ownership(service, *first, Some(*expected), |ownership| {
                 if matches!(ownership, Ownership::Revoking { .. }) {
                     *ownership = Ownership::Unassigned;
                 }
@@ -178,7 +178,7 @@
         }
     }
 
-    fn change(
+    fn update_ownership(
         &mut self,
         service: &ServiceName,
         first: u64,
@@ -218,18 +218,18 @@
         } else {
             self.revision = revision;
             self.declaration = self.declaration.with(changes);
-            self.found_services();
+            self.create_slice_tables();
             ConfigureOutcome::InForce(revision)
         };
         self.operations.push_back((operation, outcome));
-        if self.operations.len() > REMEMBERED_OPERATIONS {
+        if self.operations.len() > OPERATION_HISTORY_LIMIT {
             self.operations.pop_front();
         }
     }
 
     /// Gives each new keyed service its slices. Those of services no longer
     /// declared stay until their owners let go of them.
-    fn found_services(&mut self) {
+    fn create_slice_tables(&mut self) {
         for service in &self.declaration.services {
             if service.division != Division::Keyed {
                 continue;
--- a/crates/ownership/tests/grants.rs
+++ b/crates/ownership/tests/grants.rs
@@ -34,7 +34,7 @@
     Fence::new(Generation(1), Term(1), LogIndex(index))
 }
 
-fn whole() -> GrantedSlice {
+fn full_range_slice() -> GrantedSlice {
     GrantedSlice {
         range: SliceRange::ALL,
         fence: fence(5),
@@ -57,18 +57,18 @@
 
 /// A granter whose wait for leaders before it is over, and a server with the
 /// whole hash space granted at 10 s.
-fn granted() -> (Granter, GrantTable) {
+fn granted_server() -> (Granter, GrantTable) {
     let mut granter = Granter::new(config(), Generation(1), Term(1), at(0));
     let mut table = GrantTable::new(Incarnation(7));
-    granter.set_servers(at(10_000), [(name(), address(), vec![whole()])]);
+    granter.set_servers(at(10_000), [(name(), address(), vec![full_range_slice()])]);
     exchange(&mut granter, &mut table, at(10_000));
     exchange(&mut granter, &mut table, at(10_400));
     (granter, table)
 }
 
 #[test]
-fn a_grant_lapses_on_the_servers_clock() {
-    let (_, table) = granted();
+fn a_grant_expires_on_the_servers_clock() {
+    let (_, table) = granted_server();
     let key = KeyHash::of("key");
     assert!(table.is_owner(at(10_500), key));
     // The grant at 10.4 s uses the reading of the answer before it.
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn a_delayed_grant_is_already_lapsed() {
-    let (mut granter, mut table) = granted();
+fn a_delayed_grant_is_already_expired() {
+    let (mut granter, mut table) = granted_server();
     let late = granter.poll(at(10_900), true).remove(0);
     let reply = table.handle(at(20_000), &late.request);
     assert!(reply.accepted);
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_grant_for_another_run_is_refused() {
-    let (mut granter, _) = granted();
+    let (mut granter, _) = granted_server();
     let renewal = granter.poll(at(10_900), true).remove(0);
     let mut restarted = GrantTable::new(Incarnation(8));
     let reply = restarted.handle(at(10_900), &renewal.request);
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn a_new_run_waits_for_the_grants_of_the_one_before() {
-    let (mut granter, _) = granted();
+fn a_new_run_waits_for_the_previous_runs_grants_to_expire() {
+    let (mut granter, _) = granted_server();
     let mut restarted = GrantTable::new(Incarnation(8));
     exchange(&mut granter, &mut restarted, at(10_900));
     assert!(!restarted.is_owner(at(10_950), KeyHash::of("key")));
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_fence_below_the_one_seen_is_refused() {
-    let (mut granter, mut table) = granted();
+fn a_fence_lower_than_the_highest_seen_is_refused() {
+    let (mut granter, mut table) = granted_server();
     let old = granter.poll(at(10_900), true).remove(0);
     let mut next = Granter::new(config(), Generation(1), Term(2), at(10_900));
     next.set_servers(at(10_900), [(name(), address(), Vec::new())]);
@@ -120,7 +120,7 @@
 
 #[test]
 fn requests_must_carry_the_fence_of_the_grant() {
-    let (_, mut table) = granted();
+    let (_, mut table) = granted_server();
     let wrong = table.admit(at(10_500), KeyHash::of("key"), fence(4));
     assert_eq!(wrong, Err(Refusal::Fence));
     assert!(
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn an_effect_needs_the_grant_at_its_own_instant() {
-    let (_, mut table) = granted();
+fn an_effect_requires_a_valid_grant_when_it_commits() {
+    let (_, mut table) = granted_server();
     let ticket = table
         .admit(at(10_500), KeyHash::of("key"), fence(5))
         .expect("granted");
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn a_revoked_slice_is_free_once_requests_in_flight_have_ended() {
-    let (mut granter, mut table) = granted();
+fn a_revoked_slice_is_free_once_in_flight_requests_finish() {
+    let (mut granter, mut table) = granted_server();
     let ticket = table
         .admit(at(10_500), KeyHash::of("key"), fence(5))
         .expect("granted");
@@ -159,15 +159,15 @@
 }
 
 #[test]
-fn a_silent_owners_slices_are_free_only_after_its_grants_lapsed() {
-    let (mut granter, _) = granted();
+fn an_unresponsive_owners_slices_are_free_only_after_its_grants_expire() {
+    let (mut granter, _) = granted_server();
     granter.set_servers(at(10_500), [(name(), address(), Vec::new())]);
     assert!(!granter.is_free(at(11_500), &name(), SliceRange::ALL));
     assert!(granter.is_free(at(10_000) + BOUND, &name(), SliceRange::ALL));
 }
 
 #[test]
-fn a_new_leader_waits_for_grants_that_it_does_not_know() {
+fn a_new_leader_waits_for_unknown_grants_to_expire() {
     let mut next = Granter::new(config(), Generation(1), Term(2), at(20_000));
     next.set_servers(at(20_000), [(name(), address(), Vec::new())]);
     assert!(!next.is_free(at(21_500), &name(), SliceRange::ALL));
@@ -175,19 +175,19 @@
 }
 
 #[test]
-fn a_new_leader_continues_grants_that_are_held() {
-    let (_, mut table) = granted();
+fn a_new_leader_renews_grants_still_held() {
+    let (_, mut table) = granted_server();
     let mut next = Granter::new(config(), Generation(1), Term(2), at(10_900));
-    next.set_servers(at(10_900), [(name(), address(), vec![whole()])]);
+    next.set_servers(at(10_900), [(name(), address(), vec![full_range_slice()])]);
     exchange(&mut next, &mut table, at(10_910));
     assert!(table.is_owner(at(12_300), KeyHash::of("key")));
 }
 
 #[test]
-fn a_new_generation_continues_nothing() {
-    let (_, mut table) = granted();
+fn a_new_generation_renews_no_earlier_grants() {
+    let (_, mut table) = granted_server();
     let mut next = Granter::new(config(), Generation(2), Term(1), at(10_900));
-    next.set_servers(at(10_900), [(name(), address(), vec![whole()])]);
+    next.set_servers(at(10_900), [(name(), address(), vec![full_range_slice()])]);
     let probe = next.poll(at(10_910), true).remove(0);
     next.handle(
         at(10_910),
@@ -200,8 +200,8 @@
 }
 
 #[test]
-fn without_a_lease_nothing_is_sent_and_no_reading_counts() {
-    let (mut granter, mut table) = granted();
+fn without_a_lease_nothing_is_sent_and_clock_readings_are_ignored() {
+    let (mut granter, mut table) = granted_server();
     assert!(granter.poll(at(10_900), false).is_empty());
     let renewal = granter.poll(at(10_900), true).remove(0);
     let reply = table.handle(at(10_900), &renewal.request);
@@ -211,8 +211,8 @@
 }
 
 #[test]
-fn an_unchanged_set_is_not_sent_again() {
-    let (mut granter, _) = granted();
+fn an_unchanged_set_is_not_resent() {
+    let (mut granter, _) = granted_server();
     let renewal = granter.poll(at(10_900), true).remove(0);
     assert_eq!(renewal.request.set, GrantSet::Unchanged);
 }
--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -12,13 +12,13 @@
 use std::collections::BTreeMap;
 
 /// Part of a slice's weight that is load; the rest is its share of keys.
-const LOAD_PART: f64 = 0.9;
+const LOAD_FRACTION: f64 = 0.9;
 /// Excess over the mean below which a server is left alone.
 const TOLERATED_EXCESS: f64 = 0.08;
 /// Seconds of requests that a rate is averaged over, about.
-const RATE_MEMORY_SECONDS: f64 = 4.0;
+const RATE_AVERAGING_SECONDS: f64 = 4.0;
 /// Moves for balance that may be under way, per four servers.
-const SERVERS_PER_MOVE: usize = 4;
+const SERVERS_PER_BALANCE_MOVE: usize = 4;
 /// Moves for emptying a server that may be under way, per server.
 const DRAIN_MOVES_PER_SERVER: usize = 2;
 /// A slice may be split until a service has this many times its founding
@@ -36,8 +36,8 @@
     }
     match input.policy {
         Policy::Balanced => Planner::new(input).plan(),
-        Policy::Ring => follow(input, ring_targets(&ranges(input), &input.available)),
-        Policy::Modulo => follow(input, modulo_targets(&ranges(input), &input.available)),
+        Policy::Ring => plan_baseline(input, ring_targets(&ranges(input), &input.available)),
+        Policy::Modulo => plan_baseline(input, modulo_targets(&ranges(input), &input.available)),
     }
 }
 
@@ -46,7 +46,7 @@
 }
 
 /// Moves every slice to the owner that a baseline names.
-fn follow(input: &PlacementInput, targets: Vec<Option<ServerName>>) -> Vec<Change> {
+fn plan_baseline(input: &PlacementInput, targets: Vec<Option<ServerName>>) -> Vec<Change> {
     let pairs = input.slices.iter().zip(targets);
     pairs
         .filter(|(slice, _)| !slice.moving)
@@ -65,7 +65,7 @@
     input: &'a PlacementInput,
     weights: Vec<f64>,
     totals: BTreeMap<&'a ServerName, f64>,
-    moves_under_way: usize,
+    moves_in_progress: usize,
     /// Excess over the mean that is left alone.
     tolerated: f64,
     changes: Vec<Change>,
@@ -80,7 +80,7 @@
             if rate <= 0.0 {
                 return keys;
             }
-            LOAD_PART * slice.rate / rate * servers + (1.0 - LOAD_PART) * keys
+            LOAD_FRACTION * slice.rate / rate * servers + (1.0 - LOAD_FRACTION) * keys
         };
         let weights: Vec<f64> = input.slices.iter().map(weight).collect();
         let mut totals: BTreeMap<&ServerName, f64> =
@@ -95,14 +95,14 @@
             weights,
             totals,
             tolerated: tolerated_excess(rate, servers),
-            moves_under_way: input.slices.iter().filter(|slice| slice.moving).count(),
+            moves_in_progress: input.slices.iter().filter(|slice| slice.moving).count(),
             changes: Vec::new(),
         }
     }
 
     fn plan(mut self) -> Vec<Change> {
         self.place_unowned();
-        self.empty_unavailable();
+        self.drain_unavailable();
         // Balance waits until every key has an owner that may keep it.
         if self.changes.is_empty() && self.input.allow_balance {
             self.balance();
@@ -133,20 +133,20 @@
     }
 
     /// Moves slices off servers that may hold none, a few at a time.
-    fn empty_unavailable(&mut self) {
+    fn drain_unavailable(&mut self) {
         let limit = self.input.available.len() * DRAIN_MOVES_PER_SERVER;
         for (position, slice) in self.input.slices.iter().enumerate() {
-            if self.moves_under_way >= limit {
+            if self.moves_in_progress >= limit {
                 return;
             }
             let Some(owner) = &slice.owner else { continue };
-            let stays = self.totals.contains_key(owner) || self.input.keeping.contains(owner);
+            let stays = self.totals.contains_key(owner) || self.input.unresponsive.contains(owner);
             if slice.moving || stays {
                 continue;
             }
             if let Some(to) = self.lightest() {
                 *self.totals.entry(to).or_default() += self.weights[position];
-                self.moves_under_way += 1;
+                self.moves_in_progress += 1;
                 let (first, to) = (slice.range.first, to.clone());
                 self.changes.push(Change::Move { first, to });
             }
@@ -154,34 +154,38 @@
     }
 
     fn balance(&mut self) {
-        let limit = self.input.available.len().div_ceil(SERVERS_PER_MOVE);
+        let limit = self
+            .input
+            .available
+            .len()
+            .div_ceil(SERVERS_PER_BALANCE_MOVE);
         let mut moved = vec![false; self.input.slices.len()];
-        while self.moves_under_way < limit {
-            let Some((heaviest, most)) = self.heaviest() else {
+        while self.moves_in_progress < limit {
+            let Some((heaviest, heaviest_total)) = self.heaviest() else {
                 return;
             };
             let Some(lightest) = self.lightest() else {
                 return;
             };
-            let least = self.totals[lightest];
-            if most < 1.0 + self.tolerated {
+            let lightest_total = self.totals[lightest];
+            if heaviest_total < 1.0 + self.tolerated {
                 return;
             }
             if self.split_dominant(heaviest) {
                 return;
             }
-            let candidate = self.best_move(heaviest, most, least, &moved);
+            let candidate = self.best_move(heaviest, heaviest_total, lightest_total, &moved);
             let Some((position, gain)) = candidate else {
-                return self.split_heaviest(heaviest, most - least);
+                return self.split_heaviest(heaviest, heaviest_total - lightest_total);
             };
-            if gain <= self.cost_of(position) {
-                return self.split_heaviest(heaviest, most - least);
+            if gain <= self.move_cost_of(position) {
+                return self.split_heaviest(heaviest, heaviest_total - lightest_total);
             }
             moved[position] = true;
             let weight = self.weights[position];
             *self.totals.entry(heaviest).or_default() -= weight;
             *self.totals.entry(lightest).or_default() += weight;
-            self.moves_under_way += 1;
+            self.moves_in_progress += 1;
             let first = self.input.slices[position].range.first;
             let to = lightest.clone();
             self.changes.push(Change::Move { first, to });
@@ -190,11 +194,11 @@
 
     /// A move costs by the keys that change owner: a slice of the founding
     /// size costs the service's `move_cost` of one such slice's weight.
-    fn cost_of(&self, position: usize) -> f64 {
-        let founding = f64::from(self.input.slices_per_server.max(1));
+    fn move_cost_of(&self, position: usize) -> f64 {
+        let initial_slices = f64::from(self.input.slices_per_server.max(1));
         let servers = self.input.available.len() as f64;
-        let size = self.input.slices[position].range.share() * servers * founding;
-        self.input.move_cost * size.min(1.0) / founding.sqrt()
+        let size = self.input.slices[position].range.share() * servers * initial_slices;
+        self.input.move_cost * size.min(1.0) / initial_slices.sqrt()
     }
 
     /// The slice of `server` whose move lowers the larger of both totals most,
@@ -202,11 +206,12 @@
     fn best_move(
         &self,
         server: &ServerName,
-        most: f64,
-        least: f64,
+        heaviest_total: f64,
+        lightest_total: f64,
         moved: &[bool],
     ) -> Option<(usize, f64)> {
-        let gain = |weight: f64| most - (most - weight).max(least + weight);
+        let gain =
+            |weight: f64| heaviest_total - (heaviest_total - weight).max(lightest_total + weight);
         (0..self.input.slices.len())
             .filter(|position| {
                 let slice = &self.input.slices[*position];
@@ -215,7 +220,7 @@
             .map(|position| (position, gain(self.weights[position])))
             .filter(|(_, gain)| *gain > 0.0)
             .max_by(|left, right| {
-                let net = |(position, gain): &(usize, f64)| gain - self.cost_of(*position);
+                let net = |(position, gain): &(usize, f64)| gain - self.move_cost_of(*position);
                 net(left).total_cmp(&net(right))
             })
     }
@@ -232,8 +237,8 @@
     /// Splits the heaviest slice of a server, if it weighs more than half the
     /// excess that no single move relieves.
     fn split_heaviest(&mut self, server: &ServerName, excess: f64) {
-        let founding = self.input.slices_per_server as usize * self.input.available.len();
-        if self.input.slices.len() >= founding.max(1) * MAX_SLICE_GROWTH {
+        let initial_slices = self.input.slices_per_server as usize * self.input.available.len();
+        if self.input.slices.len() >= initial_slices.max(1) * MAX_SLICE_GROWTH {
             return;
         }
         let heaviest = (0..self.input.slices.len())
@@ -256,8 +261,8 @@
     /// Joins neighbours that are light together and have one owner, once a
     /// service has clearly more slices than it was founded with.
     fn merge_light(&mut self) {
-        let founding = self.input.slices_per_server as usize * self.input.available.len();
-        if self.input.slices.len() <= founding + founding / 2 {
+        let initial_slices = self.input.slices_per_server as usize * self.input.available.len();
+        if self.input.slices.len() <= initial_slices + initial_slices / 2 {
             return;
         }
         let limit = MERGE_WEIGHT / f64::from(self.input.slices_per_server.max(1));
@@ -296,13 +301,13 @@
 /// of so many servers costs moves and gains nothing. `rate` is that of the
 /// whole service, per second.
 fn tolerated_excess(rate: f64, servers: f64) -> f64 {
-    let counted = rate / servers * RATE_MEMORY_SECONDS;
-    if counted <= 0.0 {
+    let sampled_requests = rate / servers * RATE_AVERAGING_SECONDS;
+    if sampled_requests <= 0.0 {
         return TOLERATED_EXCESS;
     }
     // The largest of n normal draws lies about this many deviations out.
     let deviations = 1.0 + (2.0 * servers.max(1.0).ln()).sqrt();
-    TOLERATED_EXCESS.max(LOAD_PART * deviations / counted.sqrt())
+    TOLERATED_EXCESS.max(LOAD_FRACTION * deviations / sampled_requests.sqrt())
 }
 
 /// Where to divide a slice: around its hot hash, so that the hash ends up in a
--- a/crates/placement/src/input.rs
+++ b/crates/placement/src/input.rs
@@ -38,7 +38,7 @@
     pub available: Vec<ServerName>,
     /// Servers that keep what they have and are given nothing more, because
     /// it is not known yet whether they are lost.
-    pub keeping: Vec<ServerName>,
+    pub unresponsive: Vec<ServerName>,
     /// Cost of a move, in shares of the mean load per server.
     pub move_cost: f64,
     /// Slices per server that the service was founded with.
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -17,7 +17,7 @@
     PlacementInput {
         slices,
         available,
-        keeping: Vec::new(),
+        unresponsive: Vec::new(),
         move_cost: 0.05,
         slices_per_server: SLICES_PER_SERVER,
         policy: Policy::Balanced,
@@ -26,7 +26,7 @@
 }
 
 /// Slices dealt out in turn, each with the given rate.
-fn dealt(servers: &[ServerName], rate: impl Fn(usize) -> f64) -> Vec<SliceLoad> {
+fn round_robin(servers: &[ServerName], rate: impl Fn(usize) -> f64) -> Vec<SliceLoad> {
     let count = servers.len() as u32 * SLICES_PER_SERVER;
     let ranges = SliceRange::even(count).into_iter().enumerate();
     ranges
@@ -41,7 +41,7 @@
 }
 
 /// Carries changes out at once until none is left; how many moved.
-fn settle(input: &mut PlacementInput) -> usize {
+fn apply_until_stable(input: &mut PlacementInput) -> usize {
     let mut moves = 0;
     for _ in 0..500 {
         let changes = plan(input);
@@ -90,20 +90,20 @@
 #[test]
 fn unowned_slices_are_spread_evenly() {
     let servers = servers(5);
-    let mut slices = dealt(&servers, |_| 0.0);
+    let mut slices = round_robin(&servers, |_| 0.0);
     for slice in &mut slices {
         slice.owner = None;
     }
     let mut input = input(slices, servers.clone());
-    settle(&mut input);
+    apply_until_stable(&mut input);
     assert!(imbalance(&input.slices, &servers).keys < 1.01);
 }
 
 #[test]
 fn a_lost_server_moves_only_its_own_slices() {
     let servers = servers(6);
-    let mut input = input(dealt(&servers, |_| 50.0), servers[1..].to_vec());
-    let moves = settle(&mut input);
+    let mut input = input(round_robin(&servers, |_| 50.0), servers[1..].to_vec());
+    let moves = apply_until_stable(&mut input);
     let held = SLICES_PER_SERVER as usize;
     assert!(moves <= held * 12 / 10, "{moves} moves for {held} slices");
     assert!(
@@ -117,8 +117,8 @@
 #[test]
 fn a_new_server_gets_its_share_and_little_else_moves() {
     let all = servers(6);
-    let mut input = input(dealt(&all[..5], |_| 50.0), all.clone());
-    let moves = settle(&mut input);
+    let mut input = input(round_robin(&all[..5], |_| 50.0), all.clone());
+    let moves = apply_until_stable(&mut input);
     let share = 5 * SLICES_PER_SERVER as usize / 6;
     assert!(
         moves <= share * 12 / 10,
@@ -128,28 +128,28 @@
 }
 
 #[test]
-fn a_silent_server_keeps_its_slices_and_gets_no_more() {
+fn an_unresponsive_server_keeps_its_slices_and_gets_no_more() {
     let servers = servers(4);
-    let mut input = input(dealt(&servers, |_| 50.0), servers[1..].to_vec());
-    input.keeping = vec![servers[0].clone()];
+    let mut input = input(round_robin(&servers, |_| 50.0), servers[1..].to_vec());
+    input.unresponsive = vec![servers[0].clone()];
     assert!(plan(&input).is_empty());
 }
 
 #[test]
-fn chance_is_left_alone() {
+fn random_load_variation_causes_no_moves() {
     let servers = servers(10);
     // A few requests a second, unevenly: no reason to move anything.
     let input = input(
-        dealt(&servers, |position| (position % 3) as f64 * 0.1),
+        round_robin(&servers, |position| (position % 3) as f64 * 0.1),
         servers.clone(),
     );
     assert!(plan(&input).is_empty());
 }
 
 #[test]
-fn a_hot_slice_is_divided_at_its_hot_key() {
+fn a_hot_slice_is_split_at_its_hot_key() {
     let servers = servers(4);
-    let mut slices = dealt(
+    let mut slices = round_robin(
         &servers,
         |position| if position == 3 { 4_000.0 } else { 10.0 },
     );
@@ -174,9 +174,9 @@
         }
     };
     let moves = |cost| {
-        let mut input = input(dealt(&servers, load), servers.clone());
+        let mut input = input(round_robin(&servers, load), servers.clone());
         input.move_cost = cost;
-        settle(&mut input)
+        apply_until_stable(&mut input)
     };
     assert!(
         moves(10.0) < moves(0.0),
@@ -189,15 +189,15 @@
 /// Whatever servers come and go, the slices cover the hash space once and each
 /// has an available owner.
 #[test]
-fn slices_cover_the_space_once() {
+fn slices_cover_the_hash_space_exactly_once() {
     fn covers(rates: Vec<u16>, gone: u8) -> bool {
         let all = servers(5);
         let rate = |position: usize| rates.get(position).map_or(1.0, |rate| f64::from(*rate));
         let gone = usize::from(gone % 5);
         let mut available = all.clone();
         available.remove(gone);
-        let mut input = input(dealt(&all, rate), available.clone());
-        settle(&mut input);
+        let mut input = input(round_robin(&all, rate), available.clone());
+        apply_until_stable(&mut input);
         let mut next = Some(0u64);
         for slice in &input.slices {
             if next != Some(slice.range.first) {
--- a/crates/sim/src/guard.rs
+++ b/crates/sim/src/guard.rs
@@ -99,8 +99,8 @@
     pub fn remove_from(self, guards: &mut WorldGuards) {
         let control = &mut guards.control;
         match self {
-            Guard::LapseWait => control.granter.waits_for_lapse = false,
-            Guard::FormerLeaderWait => control.granter.waits_for_former = false,
+            Guard::LapseWait => control.granter.waits_for_expiry = false,
+            Guard::FormerLeaderWait => control.granter.waits_for_previous_leaders = false,
             Guard::ReleaseWait => control.granter.waits_for_release = false,
             Guard::ServerIncarnation => control.granter.checks_incarnation = false,
             Guard::VoteWithholding => control.withhold_votes = false,
--- a/crates/sim/src/world/callers.rs
+++ b/crates/sim/src/world/callers.rs
@@ -309,7 +309,7 @@
             name: name.to_owned(),
             view,
         });
-        let input = Input::CallerGone { id };
+        let input = Input::CallerDisconnected { id };
         self.after(0, Happening::ToNode { node, run, input });
     }
 
--- a/crates/sim/src/world/servers.rs
+++ b/crates/sim/src/world/servers.rs
@@ -199,7 +199,7 @@
         let valid_until = table.valid_until();
         let unlimited = !table.checks_expiry;
         let slices = if unlimited || now < valid_until {
-            table.all()
+            table.granted_slices()
         } else {
             Vec::new()
         };
