--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -6,82 +6,82 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::BTreeSet;
 
-/// One change of the control state. A command whose expectation no longer
-/// holds when it is applied changes nothing.
+/// One change of the control state. A command whose precondition no longer
+/// holds when it is applied has no effect.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Command {
-    /// Puts a declaration in force that the key-value service accepted.
+    /// Activates a declaration that was stored in the key-value service.
     Configure {
-        /// The operator's write.
+        /// Identifies the operator's write.
         operation: OperationId,
-        /// Revision that the declaration has.
+        /// Revision of the new declaration.
         revision: Revision,
-        /// Revision that the steps lead away from.
+        /// Revision to which the changes apply.
         base: Revision,
-        /// The steps.
+        /// The changes.
         changes: Vec<DeclarationChange>,
     },
-    /// Gives a slice to a server. Proposed only after the owner that
-    /// `expected` names has released it or can no longer act.
+    /// Assigns a slice to a server. Proposed only after the owner identified by
+    /// `expected` has released the slice or its grant has expired.
     Assign {
         /// The service.
         service: ServiceName,
         /// Lowest hash of the slice.
         first: u64,
-        /// Fence of the ownership that ended; none when there was none.
+        /// Fencing token of the previous ownership; `None` if there was none.
         expected: Option<Fence>,
         /// The new owner.
         to: ServerName,
     },
-    /// Asks a slice back from its owner.
+    /// Starts revoking a slice from its owner.
     Revoke {
         /// The service.
         service: ServiceName,
         /// Lowest hash of the slice.
         first: u64,
-        /// Fence of the ownership to end.
+        /// Fencing token of the ownership to revoke.
         expected: Fence,
-        /// Who is to have it next, when that is decided.
+        /// The next owner, if already chosen.
         to: Option<ServerName>,
     },
-    /// Marks a revoked slice as nobody's.
+    /// Marks a revoked slice as unassigned.
     Release {
         /// The service.
         service: ServiceName,
         /// Lowest hash of the slice.
         first: u64,
-        /// Fence of the ownership that ended.
+        /// Fencing token of the revoked ownership.
         expected: Fence,
     },
-    /// Divides a slice in two with the same owner and fence.
+    /// Splits a slice into two with the same owner and fencing token.
     Split {
         /// The service.
         service: ServiceName,
         /// Lowest hash of the slice.
         first: u64,
-        /// Lowest hash of its second part.
+        /// Lowest hash of the upper part.
         at: u64,
     },
-    /// Joins a slice with the one above it when one server owns both.
+    /// Merges a slice with the next one if one server owns both.
     Merge {
         /// The service.
         service: ServiceName,
         /// Lowest hash of the lower slice.
         first: u64,
     },
-    /// Forgets a service that is no longer declared and owns nothing.
+    /// Removes a service that is no longer declared and has no owned slices.
     DropService {
         /// The service.
         service: ServiceName,
     },
-    /// Lists a node as live, or no longer.
+    /// Adds, updates or removes a live node.
     SetNode {
         /// The node.
         node: NodeId,
-        /// Its run; none when it is not live.
+        /// The live node's record; `None` removes the node.
         record: Option<NodeRecord>,
     },
-    /// Replaces the list of servers on machines that are leaving.
+    /// Replaces the set of servers on machines that are leaving.
     SetLeaving {
         /// The servers.
         servers: BTreeSet<ServerName>,
--- a/crates/ownership/src/grant.rs
+++ b/crates/ownership/src/grant.rs
@@ -1,9 +1,9 @@
-//! Messages between a granting leader and a server.
+//! Messages of the grant protocol between the leader and a server.
 
 use beamtray_types::{Fence, GroupId, Incarnation, SliceRange, Time};
 use serde::{Deserialize, Serialize};
 
-/// A slice that a server may act for.
+/// A slice granted to a server.
 #[derive(
     Clone,
     Copy,
@@ -18,49 +18,49 @@
 pub struct GrantedSlice {
     /// Its range of the hash space.
     pub range: SliceRange,
-    /// Fence of the assignment; requests must carry the same.
+    /// Fencing token of the assignment; requests must carry the same token.
     pub fence: Fence,
 }
 
-/// What a server is to hold.
+/// The set of slices granted to a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GrantSet {
     /// Exactly these slices.
     Full(Vec<GrantedSlice>),
-    /// What it holds under the same version.
+    /// The set already held under the same version.
     Unchanged,
 }
 
-/// A leader's message to a server: a probe, a renewal or a new set.
+/// A message from the leader to a server: a probe, a renewal or a new set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
     /// The control group.
     pub group: GroupId,
-    /// Generation and term of the leader with the number of the set as index.
-    /// A server refuses whatever is lower than the highest it accepted.
+    /// Generation and term of the leader, with the set's sequence number as the
+    /// index. A server rejects versions lower than the highest it accepted.
     pub version: Fence,
-    /// The run of the server that is meant; none in a probe.
+    /// Incarnation of the addressed server process; `None` in a probe.
     pub incarnation: Option<Incarnation>,
-    /// On the server's clock; none leaves the present expiry as it is.
+    /// Expiry on the server's clock; `None` leaves the current expiry unchanged.
     pub valid_until: Option<Time>,
-    /// What the server is to hold.
+    /// The slices that the server is granted.
     pub set: GrantSet,
 }
 
-/// A server's answer, also to what it refuses.
+/// A server's reply, sent for rejected requests as well.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantReply {
-    /// The server's run.
+    /// Incarnation of the server process.
     pub incarnation: Incarnation,
-    /// The server's monotonic clock.
+    /// Reading of the server's monotonic clock.
     pub reading: Time,
     /// The version that the server now holds.
     pub version: Fence,
-    /// Whether the message was accepted.
+    /// Whether the request was accepted.
     pub accepted: bool,
-    /// Whether the server held an unexpired grant when the message came.
+    /// Whether the server held an unexpired grant when the request arrived.
     pub was_holding: bool,
-    /// Ranges no longer granted in which requests are still in flight.
+    /// Ranges no longer granted that still have requests in flight.
     pub releasing: Vec<SliceRange>,
 }
--- a/crates/ownership/src/grant_table.rs
+++ b/crates/ownership/src/grant_table.rs
@@ -1,19 +1,19 @@
-//! The server's side: what it may act for, until when.
+//! The server's side of the grant protocol: the granted slices and their expiry.
 
 use crate::grant::{GrantReply, GrantRequest, GrantSet, GrantedSlice};
 use beamtray_types::{Fence, Incarnation, KeyHash, SliceRange, Time};
 use std::collections::BTreeMap;
 
-/// One admitted request, to be finished.
+/// Handle of an admitted request; must be passed to [`GrantTable::finish`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// Why a server will not act for a key. The request did not run.
+/// Why a server rejected a request for a key. The request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The key's slice is not granted, or the grant expired.
     NotOwner,
-    /// The request carries another fence than the grant.
+    /// The request's fencing token differs from that of the grant.
     Fence,
 }
 
@@ -23,14 +23,14 @@
     fence: Fence,
 }
 
-/// A set that was replaced while requests under it were in flight.
+/// A slice of a replaced set that may still have requests in flight.
 #[derive(Clone, Copy, Debug)]
 struct Retired {
     slice: GrantedSlice,
     valid_until: Time,
 }
 
-/// What one run of a server may act for.
+/// The slices that one incarnation of a server may act for.
 #[derive(Clone, Debug)]
 pub struct GrantTable {
     incarnation: Incarnation,
@@ -40,14 +40,16 @@
     retired: Vec<Retired>,
     in_flight: BTreeMap<Ticket, InFlight>,
     next_ticket: u64,
-    /// Whether expiry is checked. Only a test that shows why turns it off.
+    /// Whether expiry is checked. Disabled only by tests that demonstrate the
+    /// need for the check.
     pub checks_expiry: bool,
-    /// Whether fences are checked. Only a test that shows why turns it off.
+    /// Whether fencing tokens are checked. Disabled only by tests that
+    /// demonstrate the need for the check.
     pub checks_fence: bool,
 }
 
 impl GrantTable {
-    /// A run that holds nothing.
+    /// Creates a table without any granted slice.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -62,21 +64,21 @@
         }
     }
 
-    /// Slices held, whether or not the grant is still valid.
+    /// Number of slices held, including those whose grant has expired.
     pub fn slice_count(&self) -> usize {
         self.slices.len()
     }
 
-    /// Requests admitted and not finished.
+    /// Number of requests admitted and not finished.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Takes a leader's message.
+    /// Handles a message from the leader.
     ///
-    /// Invariant: an expiry is extended only together with the set that it
-    /// vouches for. Were an old set extended by a renewal of a newer one, a
-    /// slice already given to another server would stay granted here.
+    /// Invariant: a renewal extends the expiry only of the set it was issued
+    /// for. If a renewal of a newer set extended an old set, a slice already
+    /// assigned to another server would remain granted here.
     pub fn handle(&mut self, now: Time, request: &GrantRequest) -> GrantReply {
         let was_holding = self.is_valid(now, self.valid_until) && !self.slices.is_empty();
         let accepted = self.accept(now, request);
@@ -117,7 +119,7 @@
                 .map(|slice| Retired { slice, valid_until });
             self.retired.extend(retired);
         } else {
-            // Nothing under an expired set may be committed any more.
+            // Requests under an expired set can no longer commit.
             self.retired.clear();
         }
         self.slices = slices
@@ -127,7 +129,7 @@
         self.prune_retired(now);
     }
 
-    /// Drops retired slices under which nothing is in flight.
+    /// Removes retired slices that have expired or have no requests in flight.
     fn prune_retired(&mut self, now: Time) {
         let in_flight = &self.in_flight;
         let checks_expiry = self.checks_expiry;
@@ -140,10 +142,10 @@
         });
     }
 
-    /// Admits a request for a key under a fence.
+    /// Admits a request for a key under a fencing token.
     ///
     /// # Errors
-    /// [`Refusal`] when this run may not act; the request did not run.
+    /// [`Refusal`] if this server may not act for the key; the request did not run.
     pub fn admit(&mut self, now: Time, hash: KeyHash, fence: Fence) -> Result<Ticket, Refusal> {
         if !self.is_valid(now, self.valid_until) {
             return Err(Refusal::NotOwner);
@@ -159,9 +161,9 @@
         Ok(ticket)
     }
 
-    /// Whether an admitted request may take effect at this instant. To be
-    /// asked in the same step as the effect: a grant may lapse between
-    /// arrival and effect.
+    /// Whether an admitted request may take effect at `now`. Must be checked
+    /// atomically with the effect, because the grant may expire between
+    /// admission and effect.
     pub fn may_commit(&self, now: Time, ticket: Ticket) -> bool {
         let Some(request) = self.in_flight.get(&ticket) else {
             return false;
@@ -180,14 +182,14 @@
         })
     }
 
-    /// Ends an admitted request, whether or not it took effect.
+    /// Removes an admitted request, whether or not it took effect.
     pub fn finish(&mut self, now: Time, ticket: Ticket) {
         self.in_flight.remove(&ticket);
         self.prune_retired(now);
     }
 
-    /// Whether this run acts for `hash` at `now`; what a checker of sole
-    /// ownership asks.
+    /// Whether this server may act for `hash` at `now`. Used by the checker of
+    /// exclusive ownership.
     pub fn is_owner(&self, now: Time, hash: KeyHash) -> bool {
         let current = self.is_valid(now, self.valid_until) && self.find(hash).is_some();
         let in_flight = || {
@@ -198,12 +200,12 @@
         current || in_flight()
     }
 
-    /// When the present set lapses, on this run's clock.
+    /// Expiry of the current set on this server's clock.
     pub fn valid_until(&self) -> Time {
         self.valid_until
     }
 
-    /// The slices of the present set, lapsed or not.
+    /// The slices of the current set, including expired ones.
     pub fn granted_slices(&self) -> Vec<GrantedSlice> {
         self.slices.values().copied().collect()
     }
@@ -217,7 +219,7 @@
         !self.checks_expiry || now < until
     }
 
-    /// Retired ranges in which a request may still commit.
+    /// Retired ranges with requests that may still commit.
     fn releasing(&mut self, now: Time) -> Vec<SliceRange> {
         self.prune_retired(now);
         let uncovered = |request: &&InFlight| {
--- a/crates/ownership/src/granter.rs
+++ b/crates/ownership/src/granter.rs
@@ -1,4 +1,5 @@
-//! The leader's side: renewals, new sets, and what may be given away.
+//! The leader's side of the grant protocol: renewals, new sets, and tracking
+//! which slices may be reassigned.
 
 use crate::grant::{GrantReply, GrantRequest, GrantSet, GrantedSlice};
 use beamtray_types::{
@@ -13,26 +14,30 @@
 pub struct GranterConfig {
     /// The control group.
     pub group: GroupId,
-    /// Between renewals, and how long an answer is awaited.
+    /// Renewal interval, and how long a reply is awaited.
     pub renewal: Duration,
-    /// Life of a grant on the server's clock.
+    /// Lifetime of a grant on the server's clock.
     pub grant: Duration,
-    /// The same stretched by the clock drift: how long the granter counts it.
+    /// The lifetime extended by the maximum clock drift: how long the granter
+    /// treats a grant as live.
     pub grant_bound: Duration,
-    /// Checks that protect sole ownership.
+    /// Checks that protect exclusive ownership.
     pub guards: GranterGuards,
 }
 
-/// Checks that a test can switch off one by one to see what each is for.
+/// Checks that tests can disable one by one to demonstrate what each protects.
 #[derive(Clone, Copy, Debug)]
 pub struct GranterGuards {
-    /// A silent owner's slices wait until its grants lapsed.
+    /// Slices of an unresponsive owner are not reassigned before its grants
+    /// expire.
     pub waits_for_expiry: bool,
-    /// A new leader waits until the grants of leaders before it lapsed.
+    /// A new leader waits until the grants of previous leaders have expired.
     pub waits_for_previous_leaders: bool,
-    /// A revoked slice waits for requests in flight at its old owner.
+    /// A revoked slice is not reassigned while its old owner has requests in
+    /// flight on it.
     pub waits_for_release: bool,
-    /// A new run of a server waits for the grants of the run before.
+    /// A new incarnation of a server gets no grant before those of the previous
+    /// incarnation expire.
     pub checks_incarnation: bool,
 }
 
@@ -58,60 +63,60 @@
     pub request: GrantRequest,
 }
 
-/// Slices taken out of a server's set, until they are surely free.
+/// Slices removed from a server's set that may not be reassignable yet.
 #[derive(Clone, Debug)]
 struct Removed {
     ranges: Vec<SliceRange>,
-    /// Number of the first set without them.
+    /// Sequence number of the first set without them.
     sequence: u64,
-    /// When the last grant with them has lapsed, on the granter's clock.
+    /// Expiry of the last grant that includes them, on the granter's clock.
     expires_at: Time,
     released: bool,
 }
 
-/// Number of a link's first set; 0 stands for none acknowledged.
+/// Sequence number of a link's first set; 0 means that none is acknowledged.
 const INITIAL_SEQUENCE: u64 = 1;
-/// Between questions whether requests in flight on revoked slices have ended.
+/// Interval between polls for the end of requests in flight on revoked slices.
 const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a lapsed removal is remembered. Long past the longest grant.
+/// How long an expired removal is kept; far longer than the longest grant.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
 struct ServerLink {
     address: SocketAddr,
     incarnation: Option<Incarnation>,
-    /// The server's clock and when its reading arrived.
+    /// Reading of the server's clock, and the local time when it arrived.
     reading: Option<(Time, Time)>,
     set: Vec<GrantedSlice>,
     sequence: u64,
     acknowledged: u64,
     sent_at: Option<Time>,
     next_send_at: Time,
-    /// When every grant sent so far has lapsed.
+    /// Expiry of the last of all grants sent so far.
     expires_at: Time,
-    /// When the latest grant of this leader lapses.
+    /// Expiry of this leader's latest grant.
     granted_until: Option<Time>,
-    /// Before this a run that did not hold a grant must get none: another run
-    /// of the same server may hold one.
+    /// Until this time an incarnation that held no grant must not be given one:
+    /// another incarnation of the same server may still hold one.
     no_grants_before: Time,
     removed: Vec<Removed>,
     created: Time,
     last_reply: Option<Time>,
 }
 
-/// Grants of one leader in one term.
+/// Issues and tracks the grants of one leader in one term.
 #[derive(Clone, Debug)]
 pub struct Granter {
     config: GranterConfig,
     generation: Generation,
     term: Term,
-    /// When the grants of every earlier leader have lapsed.
+    /// Time by which the grants of all previous leaders have expired.
     previous_grants_expire_at: Time,
     links: BTreeMap<ServerName, ServerLink>,
 }
 
 impl Granter {
-    /// Starts granting after an election at `elected_at`.
+    /// Creates a granter for a leader elected at `elected_at`.
     pub fn new(
         config: GranterConfig,
         generation: Generation,
@@ -132,7 +137,7 @@
         }
     }
 
-    /// States which servers there are, where, and what each is to hold.
+    /// Sets the servers with their addresses and the slices granted to each.
     pub fn set_servers(
         &mut self,
         now: Time,
@@ -152,15 +157,14 @@
         }
     }
 
-    /// Stops dealing with servers that are neither kept nor able to act under
-    /// a grant of this leader.
+    /// Drops servers that `keep` does not select and whose grants have expired.
     pub fn retain(&mut self, now: Time, keep: impl Fn(&ServerName) -> bool) {
         self.links
             .retain(|name, link| keep(name) || now < link.expires_at);
     }
 
-    /// Messages that are due. `has_lease` is the leader's own lease at `now`;
-    /// without it nothing is sent.
+    /// Returns the messages that are due. `has_lease` tells whether the leader's
+    /// own lease is valid at `now`; without it nothing is sent.
     pub fn poll(&mut self, now: Time, has_lease: bool) -> Vec<PendingGrant> {
         if !has_lease {
             return Vec::new();
@@ -181,11 +185,12 @@
             .collect()
     }
 
-    /// Takes a server's reply; whether it may allow what was not possible
-    /// before: slices were released, or the server was silent. A reading counts only when the leader's lease
-    /// is valid as it arrives: this bounds what a leader that is paused and
-    /// replaced can still send, to grants that lapse before its successor
-    /// stops waiting.
+    /// Handles a server's reply. Returns whether it may unblock changes: slices
+    /// were released, or the server had been unresponsive.
+    ///
+    /// A clock reading is used only if the leader's lease is valid when it
+    /// arrives. A leader that is paused and replaced can therefore only send
+    /// grants that expire before its successor stops waiting.
     pub fn handle(
         &mut self,
         now: Time,
@@ -202,13 +207,13 @@
         if !has_lease {
             return false;
         }
-        let was_silent = link
+        let was_unresponsive = link
             .last_reply
             .is_none_or(|heard| now.since(heard) >= self.config.renewal * 2);
         let removed_before = link.removed.len();
         if link.incarnation != Some(reply.incarnation) {
-            // A state from before this generation may have missed the latest
-            // assignments, so only grants of this generation are continued.
+            // State from an earlier generation may lack the latest assignments,
+            // so only grants of this generation are renewed.
             let same_generation = reply.version.generation == self.generation;
             let holding = reply.was_holding && same_generation;
             link.handle_new_run(now, reply.incarnation, holding, guards);
@@ -223,22 +228,22 @@
         if (reply.version.generation, reply.version.term) == current_leader {
             link.acknowledge(reply, guards.waits_for_release);
             if link.is_releasing() {
-                // Requests are in flight on slices that someone waits for.
+                // Requests are in flight on slices that are to be reassigned.
                 link.next_send_at = link.next_send_at.min(now + RELEASE_POLL_INTERVAL);
             }
         }
-        was_silent || link.removed.len() < removed_before
+        was_unresponsive || link.removed.len() < removed_before
     }
 
-    /// Notes that a message got no answer.
+    /// Records that a message got no reply.
     pub fn record_no_reply(&mut self, server: &ServerName) {
         if let Some(link) = self.links.get_mut(server) {
             link.sent_at = None;
         }
     }
 
-    /// Whether no grant that covers any of `range` can be acted under at
-    /// `server`, so that the range may go to another.
+    /// Whether `server` holds no usable grant for any part of `range`, so that
+    /// the range may be assigned to another server.
     pub fn is_free(&self, now: Time, server: &ServerName, range: SliceRange) -> bool {
         let guards = self.config.guards;
         let Some(link) = self.links.get(server) else {
@@ -259,8 +264,8 @@
             .all(|removed| removed.released || now >= removed.expires_at)
     }
 
-    /// Whether a server has been silent for so long that all its grants
-    /// lapsed; and since when.
+    /// Time at which all grants of an unresponsive server expired; `None` while
+    /// one may still be valid.
     pub fn expired_since(&self, now: Time, server: &ServerName) -> Option<Time> {
         let link = self.links.get(server)?;
         let heard = link.last_reply.unwrap_or(link.created);
@@ -268,26 +273,26 @@
         (now >= expired_at).then_some(expired_at)
     }
 
-    /// Whether the server was first asked within `patience` and has not
-    /// answered yet.
+    /// Whether the server was first contacted less than `timeout` ago and has
+    /// not replied yet.
     pub fn is_first_reply_pending(
         &self,
         now: Time,
         server: &ServerName,
-        patience: Duration,
+        timeout: Duration,
     ) -> bool {
         self.links
             .get(server)
-            .is_some_and(|link| link.last_reply.is_none() && now.since(link.created) < patience)
+            .is_some_and(|link| link.last_reply.is_none() && now.since(link.created) < timeout)
     }
 
-    /// Whether the server may act under an unexpired grant of this leader.
+    /// Whether the server may hold an unexpired grant of this leader.
     pub fn is_granted(&self, now: Time, server: &ServerName) -> bool {
         let link = self.links.get(server);
         link.is_some_and(|link| link.granted_until.is_some_and(|until| now < until))
     }
 
-    /// Whether the server answered within the last two renewals.
+    /// Whether the server replied within the last two renewal intervals.
     pub fn is_answering(&self, now: Time, server: &ServerName) -> bool {
         self.links.get(server).is_some_and(|link| {
             link.last_reply
@@ -310,8 +315,8 @@
             expires_at: previous_grants_expire_at,
             granted_until: None,
             no_grants_before: previous_grants_expire_at,
-            // Whatever earlier leaders granted is in force until the server
-            // takes a set of this leader, or until it lapsed.
+            // Grants of previous leaders remain in force until they expire or
+            // the server accepts a set of this leader.
             removed: vec![Removed {
                 ranges: vec![SliceRange::ALL],
                 sequence: INITIAL_SEQUENCE,
@@ -323,7 +328,7 @@
         }
     }
 
-    /// The server is to be met anew, at another address.
+    /// Discards what is known of the server's process after its address changed.
     fn reset_run(&mut self) {
         self.incarnation = None;
         self.reading = None;
@@ -386,18 +391,19 @@
         GrantRequest {
             group: config.group,
             version: Fence::new(generation, term, LogIndex(self.sequence)),
-            // Without leave to grant, the message is a probe of the clock.
+            // While granting is not allowed, the message only probes the clock.
             incarnation: self.incarnation.filter(|_| can_grant),
             valid_until,
             set,
         }
     }
 
-    /// Another run of the server than the one known answers.
+    /// Handles a reply from an incarnation of the server not seen before.
     ///
-    /// A run that holds an unexpired grant proves that whoever granted it had
-    /// waited for the runs before, so its grants can be renewed at once. Any
-    /// other run waits until whatever an earlier run may hold has lapsed.
+    /// If it holds an unexpired grant, the leader that issued the grant had
+    /// already waited for earlier incarnations, so its grants can be renewed at
+    /// once. Otherwise it gets no grant until all grants that an earlier
+    /// incarnation may hold have expired.
     fn handle_new_run(
         &mut self,
         now: Time,
@@ -417,7 +423,7 @@
         self.next_send_at = now.min(self.next_send_at);
     }
 
-    /// Whether the server took a set without some slices and still has
+    /// Whether the server accepted a set without some slices and still has
     /// requests in flight on them.
     fn is_releasing(&self) -> bool {
         self.removed
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which server owns which slice, and how servers are told.
+//! Slice ownership and the protocol that grants it to servers.
 //!
-//! [`ControlState`] is the state machine on the replicated log. [`Granter`] is
-//! the leader's side of the grant protocol, [`GrantTable`] the server's. All
-//! three are pure.
+//! [`ControlState`] is the state machine replicated by the log. [`Granter`]
+//! implements the leader's side of the grant protocol, [`GrantTable`] the
+//! server's. All three are pure: they perform no I/O and read no clock.
 //!
-//! Grants expire on the server's own clock: a reply carries the server's
-//! reading, and the next grant says "valid until READING + D". The granter
-//! counts it as live until D, stretched by the clock drift, after it received
-//! the reading. No clock is compared with another.
+//! Grants expire on the server's own clock: each reply carries a reading of
+//! that clock, and the next grant is valid until the reading plus D. The
+//! granter treats the grant as live for D, extended by the maximum clock drift,
+//! from the moment it received the reading. Clocks of different machines are
+//! never compared.
 
 mod command;
 mod grant;
--- a/crates/ownership/src/slices.rs
+++ b/crates/ownership/src/slices.rs
@@ -1,35 +1,35 @@
-//! The slices of one service: contiguous ranges that cover the hash space once.
+//! The slices of one service: contiguous ranges that partition the hash space.
 
 use beamtray_types::{Fence, KeyHash, ServerName, SliceRange};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who may act for a slice.
+/// Ownership of a slice.
 #[derive(Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Ownership {
-    /// Nobody.
+    /// No server may act for the slice.
     #[default]
     Unassigned,
-    /// One server, under a fence.
+    /// Owned by one server under a fencing token.
     Owned {
-        /// The server.
+        /// The owner.
         server: ServerName,
-        /// Fence of the assignment.
+        /// Fencing token of the assignment.
         fence: Fence,
     },
-    /// Still the old owner's, until it released the slice or its grant lapsed.
+    /// Held by the old owner until it releases the slice or its grant expires.
     Revoking {
         /// The old owner.
         from: ServerName,
-        /// Its fence.
+        /// Fencing token of the old owner.
         fence: Fence,
-        /// Who is to have it next, when that is decided.
+        /// The next owner, if already chosen.
         to: Option<ServerName>,
     },
 }
 
 impl Ownership {
-    /// Fence of the ownership in force or being revoked.
+    /// Fencing token of the current ownership or of the one being revoked.
     pub fn fence(&self) -> Option<Fence> {
         match self {
             Ownership::Unassigned => None,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The server that owns the slice and is to keep it.
+    /// The owner; `None` while the slice is unassigned or being revoked.
     pub fn owner(&self) -> Option<&ServerName> {
         match self {
             Ownership::Owned { server, .. } => Some(server),
@@ -60,21 +60,21 @@
 pub struct Slice {
     /// Highest hash of the slice; its lowest is its key in the table.
     pub last: u64,
-    /// Who may act for it.
+    /// Its ownership.
     pub ownership: Ownership,
 }
 
-/// The slices of one service by their lowest hash.
+/// The slices of one service, keyed by their lowest hash.
 ///
-/// Invariant: the slices cover the hash space without gap or overlap. Every
-/// operation keeps it; a gap would be keys that nobody can ever serve.
+/// Invariant: the slices cover the hash space without gaps or overlaps, and
+/// every operation preserves this. Keys in a gap could never be served.
 #[derive(Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct SliceTable {
     slices: BTreeMap<u64, Slice>,
 }
 
 impl SliceTable {
-    /// `count` unassigned slices of equal size.
+    /// Creates `count` unassigned slices of equal size.
     pub fn even(count: u32) -> Self {
         let slices = SliceRange::even(count)
             .into_iter()
@@ -89,7 +89,7 @@
         Self { slices }
     }
 
-    /// The slice that holds `hash`.
+    /// Returns the slice that contains `hash`.
     pub fn find(&self, hash: KeyHash) -> Option<(SliceRange, &Slice)> {
         let (first, slice) = self.slices.range(..=hash.0).next_back()?;
         let range = SliceRange {
@@ -99,7 +99,7 @@
         Some((range, slice))
     }
 
-    /// All slices in order.
+    /// Iterates over all slices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (SliceRange, &Slice)> {
         self.slices.iter().map(|(first, slice)| {
             let range = SliceRange {
@@ -115,12 +115,12 @@
         self.slices.len()
     }
 
-    /// Whether there are no slices, as before the first declaration.
+    /// Whether the table has no slices, as is the case before the first declaration.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty()
     }
 
-    /// The slice that begins at `first`.
+    /// Returns the slice that begins at `first`.
     pub fn get(&self, first: u64) -> Option<&Slice> {
         self.slices.get(&first)
     }
@@ -129,7 +129,7 @@
         self.slices.get_mut(&first)
     }
 
-    /// Begins to take back every slice that one of `servers` owns.
+    /// Starts revoking every slice owned by one of `servers`.
     pub(crate) fn revoke_from(&mut self, servers: &BTreeSet<ServerName>) {
         for slice in self.slices.values_mut() {
             if let Ownership::Owned { server, fence } = &slice.ownership
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Divides the slice at `first` so that its second part begins at `at`.
+    /// Splits the slice at `first` so that its upper part begins at `at`.
     pub(crate) fn split(&mut self, first: u64, at: u64) {
         let Some(slice) = self.slices.get_mut(&first) else {
             return;
@@ -157,9 +157,9 @@
         self.slices.insert(at, upper);
     }
 
-    /// Joins the slice at `first` with the next one when one server owns both.
-    /// The higher fence goes to the whole, so that requests under the lower
-    /// one are refused rather than mistaken.
+    /// Merges the slice at `first` with the next one if one server owns both.
+    /// The merged slice takes the higher fencing token, so requests under the
+    /// lower one are rejected rather than accepted by mistake.
     pub(crate) fn merge(&mut self, first: u64) {
         let Some(lower) = self.slices.get(&first) else {
             return;
--- a/crates/ownership/src/state.rs
+++ b/crates/ownership/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine on the replicated log.
+//! The replicated state machine.
 
 use crate::command::{Command, CommandBatch};
 use crate::grant::GrantedSlice;
@@ -10,38 +10,39 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Operations remembered, so that a repeated confirmation finds its result.
+/// Number of completed operations kept so that a retried confirmation gets
+/// the original result.
 const OPERATION_HISTORY_LIMIT: usize = 256;
 
-/// A live node as its group lists it.
+/// A live node as recorded by its control group.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct NodeRecord {
-    /// Its run.
+    /// Incarnation of the node process.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
 }
 
-/// How a confirmed declaration ended.
+/// Outcome of a confirmed declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ConfigureOutcome {
-    /// In force as this revision.
+    /// Activated as this revision.
     InForce(Revision),
-    /// A later revision was in force already.
+    /// A later revision, given here, was already active.
     Superseded(Revision),
 }
 
-/// What a control group has agreed on.
+/// The replicated state of a control group.
 ///
-/// Invariant: applying the same entries gives the same state everywhere, so
-/// nothing here reads a clock or draws a random number.
+/// Invariant: applying the same entries yields the same state on every node,
+/// so nothing here reads a clock or draws random numbers.
 #[derive(Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ControlState {
-    /// Last entry applied.
+    /// Index of the last applied entry.
     pub applied: LogIndex,
-    /// Revision of the declaration in force.
+    /// Revision of the active declaration.
     pub revision: Revision,
-    /// The declaration in force.
+    /// The active declaration.
     pub declaration: Declaration,
     /// Slices of the keyed services.
     pub services: BTreeMap<ServiceName, SliceTable>,
@@ -53,7 +54,8 @@
 }
 
 impl ControlState {
-    /// How the write `operation` ended, when it was applied.
+    /// Outcome of the write `operation`, if it was applied and is still in the
+    /// history.
     pub fn operation(&self, operation: OperationId) -> Option<ConfigureOutcome> {
         self.operations
             .iter()
@@ -61,7 +63,7 @@
             .map(|(_, outcome)| *outcome)
     }
 
-    /// Whether a server is to receive nothing new.
+    /// Whether a server must be given no new slices or requests.
     pub fn is_leaving(&self, server: &ServerName) -> bool {
         self.leaving.contains(server)
             || self
@@ -70,12 +72,12 @@
                 .is_none_or(|(_, declared)| declared.drain)
     }
 
-    /// The slices that `server` is to hold.
+    /// The slices granted to `server`.
     pub fn grants_of(&self, server: &ServerName) -> Vec<GrantedSlice> {
         self.grants().remove(server).unwrap_or_default()
     }
 
-    /// The slices that each server is to hold.
+    /// The slices granted to each server.
     pub fn grants(&self) -> BTreeMap<ServerName, Vec<GrantedSlice>> {
         let mut grants: BTreeMap<ServerName, Vec<GrantedSlice>> = BTreeMap::new();
         for table in self.services.values() {
@@ -92,9 +94,9 @@
         grants
     }
 
-    /// Takes every slice back from servers that are to be emptied. For a
-    /// generation's first state: no grant is in force then, so nobody is cut
-    /// off, and no request needs to be sent to such a server any more.
+    /// Starts revoking every slice of the servers that are leaving. Used for the
+    /// initial state of a generation: no grant is in force at that point, so no
+    /// request is interrupted, and none needs to be routed to these servers.
     pub fn revoke_from_leaving(&mut self) {
         let leaving: BTreeSet<ServerName> = self
             .grants()
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Applies the commands of one log entry under its fence.
+    /// Applies the commands of one log entry; `fence` becomes the fencing token
+    /// of new assignments.
     pub fn apply(&mut self, fence: Fence, batch: &CommandBatch) {
         self.applied = fence.index;
         for command in &batch.commands {
@@ -128,7 +131,7 @@
                 expected,
                 to,
             } => self.update_ownership(service, *first, *expected, |ownership| {
-                // Never from `Owned`: that owner was not asked to let go.
+                // Never from `Owned`: that owner's grant was not revoked.
                 if !matches!(ownership, Ownership::Owned { .. }) {
                     let server = to.clone();
                     *ownership = Ownership::Owned { server, fence };
@@ -196,8 +199,8 @@
         }
     }
 
-    /// Revisions only rise: an older declaration that arrives late changes
-    /// nothing.
+    /// Activates a declaration. Revisions increase monotonically: an older
+    /// declaration that arrives late has no effect.
     fn configure(
         &mut self,
         operation: OperationId,
@@ -210,7 +213,8 @@
         }
         let whole = matches!(changes, [DeclarationChange::Replace(_)]);
         if revision > self.revision && base != self.revision && !whole {
-            // Steps from another revision; the leader proposes them anew.
+            // The changes are based on another revision; the leader proposes
+            // them again.
             return;
         }
         let outcome = if revision <= self.revision {
@@ -227,8 +231,8 @@
         }
     }
 
-    /// Gives each new keyed service its slices. Those of services no longer
-    /// declared stay until their owners let go of them.
+    /// Creates the slices of each new keyed service. Slices of services that
+    /// are no longer declared remain until their owners release them.
     fn create_slice_tables(&mut self) {
         for service in &self.declaration.services {
             if service.division != Division::Keyed {
--- a/crates/ownership/tests/grants.rs
+++ b/crates/ownership/tests/grants.rs
@@ -1,4 +1,4 @@
-//! The grant protocol between a granter and a server's table.
+//! Tests of the grant protocol between a granter and a server's grant table.
 
 use beamtray_ownership::{
     GrantSet, GrantTable, GrantedSlice, Granter, GranterConfig, GranterGuards, Refusal,
@@ -45,7 +45,7 @@
     Time(millis * 1_000)
 }
 
-/// Carries messages between the two at once; the server's clock is the same.
+/// Delivers messages between the two without delay; both use the same clock.
 fn exchange(granter: &mut Granter, table: &mut GrantTable, now: Time) {
     for _ in 0..3 {
         for pending in granter.poll(now, true) {
@@ -55,8 +55,8 @@
     }
 }
 
-/// A granter whose wait for leaders before it is over, and a server with the
-/// whole hash space granted at 10 s.
+/// Returns a granter past its wait for previous leaders' grants, and a server
+/// that was granted the whole hash space at 10 s.
 fn granted_server() -> (Granter, GrantTable) {
     let mut granter = Granter::new(config(), Generation(1), Term(1), at(0));
     let mut table = GrantTable::new(Incarnation(7));
@@ -71,7 +71,7 @@
     let (_, table) = granted_server();
     let key = KeyHash::of("key");
     assert!(table.is_owner(at(10_500), key));
-    // The grant at 10.4 s uses the reading of the answer before it.
+    // The grant at 10.4 s is based on the clock reading in the previous reply.
     assert!(table.is_owner(at(11_499), key));
     assert!(!table.is_owner(at(11_501), key));
 }
@@ -151,7 +151,7 @@
     assert!(!granter.is_free(at(10_520), &name(), SliceRange::ALL));
     assert!(
         table.may_commit(at(10_520), ticket),
-        "what was admitted may end"
+        "an admitted request may complete"
     );
     table.finish(at(10_530), ticket);
     exchange(&mut granter, &mut table, at(10_530));
