--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -1,35 +1,37 @@
-//! Placement by load.
+//! Load-based placement.
 //!
-//! A slice weighs its share of the service's load and, less, its share of the
-//! hash space, both in units of the mean per server, so that 1.0 is what one
-//! server should carry. Moves go from the heaviest server to the lightest
-//! while the gain exceeds the service's cost of a move. A slice too heavy to
-//! move with gain is split; splitting moves nothing.
+//! The weight of a slice combines its share of the service's load with, to a
+//! lesser extent, its share of the hash space. Both are relative to the mean per
+//! server, so 1.0 is the target weight of a server. Slices move from the
+//! heaviest server to the lightest while the gain exceeds the service's cost of
+//! a move. A slice too heavy to be moved with a gain is split; splitting changes
+//! no owner.
 
 use crate::baseline::{modulo_targets, ring_targets};
 use crate::input::{Change, PlacementInput, Policy, SliceLoad};
 use beamtray_types::{ServerName, SliceRange};
 use std::collections::BTreeMap;
 
-/// Part of a slice's weight that is load; the rest is its share of keys.
+/// Fraction of a slice's weight that is load; the rest is its share of keys.
 const LOAD_FRACTION: f64 = 0.9;
-/// Excess over the mean below which a server is left alone.
+/// Excess over the mean below which a server is not rebalanced.
 const TOLERATED_EXCESS: f64 = 0.08;
-/// Seconds of requests that a rate is averaged over, about.
+/// Approximate period that a request rate is averaged over, in seconds.
 const RATE_AVERAGING_SECONDS: f64 = 4.0;
-/// Moves for balance that may be under way, per four servers.
+/// Number of servers per concurrent balancing move.
 const SERVERS_PER_BALANCE_MOVE: usize = 4;
-/// Moves for emptying a server that may be under way, per server.
+/// Limit on concurrent moves while servers are drained, per available server.
 const DRAIN_MOVES_PER_SERVER: usize = 2;
-/// A slice may be split until a service has this many times its founding
-/// number of slices.
+/// Slices may be split until a service has this many times its initial number
+/// of slices.
 const MAX_SLICE_GROWTH: usize = 3;
-/// A slice of this weight is split before anything else is moved.
+/// A slice of at least this weight is split before any other slice is moved.
 const DOMINANT_WEIGHT: f64 = 0.6;
-/// Neighbours this light together, in shares of a founding slice, are merged.
+/// Adjacent slices whose combined weight is below this fraction of an initial
+/// slice are merged.
 const MERGE_WEIGHT: f64 = 0.5;
 
-/// The changes worth making now.
+/// Plans the changes to make now.
 pub fn plan(input: &PlacementInput) -> Vec<Change> {
     if input.available.is_empty() {
         return Vec::new();
@@ -45,7 +47,7 @@
     input.slices.iter().map(|slice| slice.range).collect()
 }
 
-/// Moves every slice to the owner that a baseline names.
+/// Moves every slice to the owner chosen by a baseline policy.
 fn plan_baseline(input: &PlacementInput, targets: Vec<Option<ServerName>>) -> Vec<Change> {
     let pairs = input.slices.iter().zip(targets);
     pairs
@@ -66,7 +68,7 @@
     weights: Vec<f64>,
     totals: BTreeMap<&'a ServerName, f64>,
     moves_in_progress: usize,
-    /// Excess over the mean that is left alone.
+    /// Excess over the mean that is not rebalanced.
     tolerated: f64,
     changes: Vec<Change>,
 }
@@ -103,7 +105,7 @@
     fn plan(mut self) -> Vec<Change> {
         self.place_unowned();
         self.drain_unavailable();
-        // Balance waits until every key has an owner that may keep it.
+        // Balancing starts only when every slice has an owner that may keep it.
         if self.changes.is_empty() && self.input.allow_balance {
             self.balance();
         }
@@ -113,7 +115,7 @@
         self.changes
     }
 
-    /// Heaviest first, each to the lightest server.
+    /// Assigns unowned slices, heaviest first, each to the lightest server.
     fn place_unowned(&mut self) {
         let mut unowned: Vec<usize> = (0..self.input.slices.len())
             .filter(|position| {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Moves slices off servers that may hold none, a few at a time.
+    /// Moves slices off servers that may not hold any, within the drain limit.
     fn drain_unavailable(&mut self) {
         let limit = self.input.available.len() * DRAIN_MOVES_PER_SERVER;
         for (position, slice) in self.input.slices.iter().enumerate() {
@@ -192,8 +194,9 @@
         }
     }
 
-    /// A move costs by the keys that change owner: a slice of the founding
-    /// size costs the service's `move_cost` of one such slice's weight.
+    /// Cost of moving a slice, proportional to the keys that change owner up to
+    /// the initial slice size, for which it is the service's `move_cost` divided
+    /// by the square root of the initial number of slices per server.
     fn move_cost_of(&self, position: usize) -> f64 {
         let initial_slices = f64::from(self.input.slices_per_server.max(1));
         let servers = self.input.available.len() as f64;
@@ -201,8 +204,8 @@
         self.input.move_cost * size.min(1.0) / initial_slices.sqrt()
     }
 
-    /// The slice of `server` whose move lowers the larger of both totals most,
-    /// per cost.
+    /// The slice of `server` whose move reduces the larger of the two totals the
+    /// most, net of the move's cost.
     fn best_move(
         &self,
         server: &ServerName,
@@ -225,17 +228,17 @@
             })
     }
 
-    /// Splits a slice that alone is most of what a server should carry: its
-    /// parts can be spread, while moving the others away from it would only
-    /// change owners.
+    /// Splits a slice that alone makes up most of a server's target weight: its
+    /// parts can be spread over servers, whereas moving the other slices away
+    /// would only change their owners.
     fn split_dominant(&mut self, server: &ServerName) -> bool {
         let before = self.changes.len();
         self.split_heaviest(server, 2.0 * DOMINANT_WEIGHT);
         self.changes.len() > before
     }
 
-    /// Splits the heaviest slice of a server, if it weighs more than half the
-    /// excess that no single move relieves.
+    /// Splits the heaviest slice of a server if its weight is at least half of
+    /// the excess that no single move can remove.
     fn split_heaviest(&mut self, server: &ServerName, excess: f64) {
         let initial_slices = self.input.slices_per_server as usize * self.input.available.len();
         if self.input.slices.len() >= initial_slices.max(1) * MAX_SLICE_GROWTH {
@@ -258,8 +261,8 @@
         }
     }
 
-    /// Joins neighbours that are light together and have one owner, once a
-    /// service has clearly more slices than it was founded with.
+    /// Merges light adjacent slices of one owner once a service has more than
+    /// one and a half times its initial number of slices.
     fn merge_light(&mut self) {
         let initial_slices = self.input.slices_per_server as usize * self.input.available.len();
         if self.input.slices.len() <= initial_slices + initial_slices / 2 {
@@ -297,21 +300,22 @@
     }
 }
 
-/// The excess that is left alone: what chance alone would show on the busiest
-/// of so many servers costs moves and gains nothing. `rate` is that of the
-/// whole service, per second.
+/// The excess that is not rebalanced. Correcting the random variation expected
+/// on the busiest of `servers` servers would cost moves without any gain.
+/// `rate` is the request rate of the whole service per second.
 fn tolerated_excess(rate: f64, servers: f64) -> f64 {
     let sampled_requests = rate / servers * RATE_AVERAGING_SECONDS;
     if sampled_requests <= 0.0 {
         return TOLERATED_EXCESS;
     }
-    // The largest of n normal draws lies about this many deviations out.
+    // The maximum of n normally distributed samples is about this many standard
+    // deviations above the mean.
     let deviations = 1.0 + (2.0 * servers.max(1.0).ln()).sqrt();
     TOLERATED_EXCESS.max(LOAD_FRACTION * deviations / sampled_requests.sqrt())
 }
 
-/// Where to divide a slice: around its hot hash, so that the hash ends up in a
-/// slice of its own, or else in the middle.
+/// Where to split a slice: next to its hot hash, so that repeated splits isolate
+/// that hash in a slice of its own, or else in the middle.
 fn split_point(slice: &SliceLoad) -> Option<u64> {
     let SliceRange { first, last } = slice.range;
     if first == last {
--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -1,9 +1,9 @@
-//! The baselines: a consistent-hash ring and plain modulo.
+//! Baseline policies: a consistent-hash ring and plain modulo.
 
 use beamtray_types::{KeyHash, ServerName, SliceRange};
 use std::collections::BTreeMap;
 
-/// Points that each server has on the ring.
+/// Number of points of each server on the ring.
 const VIRTUAL_NODES: u32 = 100;
 
 /// Owners of `ranges` on a consistent-hash ring of `servers`.
--- a/crates/placement/src/input.rs
+++ b/crates/placement/src/input.rs
@@ -1,79 +1,79 @@
-//! What placement is told and what it answers.
+//! Input and output of placement.
 
 use beamtray_types::{ServerName, SliceRange};
 
-/// How slices are placed. The baselines exist to be measured against.
+/// Placement policy. The baselines exist only for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// By load, moving only what gains more than it costs.
+    /// By load, making only moves whose gain exceeds their cost.
     #[default]
     Balanced,
     /// A consistent-hash ring with virtual nodes.
     Ring,
-    /// Position of the slice modulo the number of servers.
+    /// The slice's position modulo the number of servers.
     Modulo,
 }
 
-/// One slice as placement sees it.
+/// One slice and its load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SliceLoad {
     /// Its range.
     pub range: SliceRange,
-    /// Who owns it; none when it is to be placed.
+    /// Its owner; `None` if it needs one.
     pub owner: Option<ServerName>,
-    /// Whether it is between owners and must be left alone.
+    /// Whether it is changing owners and must not be changed.
     pub moving: bool,
     /// Requests per second.
     pub rate: f64,
-    /// The hash that alone makes up most of the load, when one does.
+    /// The hash that accounts for most of the load, if there is one.
     pub hot_hash: Option<u64>,
 }
 
-/// One keyed service at one moment.
+/// Snapshot of one keyed service.
 #[derive(Clone, Debug)]
 pub struct PlacementInput {
-    /// All slices in order of their range.
+    /// All slices, ordered by range.
     pub slices: Vec<SliceLoad>,
-    /// Servers that may be given slices.
+    /// Servers that may be assigned slices.
     pub available: Vec<ServerName>,
-    /// Servers that keep what they have and are given nothing more, because
-    /// it is not known yet whether they are lost.
+    /// Unresponsive servers that are not known to be lost yet: they keep their
+    /// slices and are assigned no more.
     pub unresponsive: Vec<ServerName>,
-    /// Cost of a move, in shares of the mean load per server.
+    /// Cost of a move, as a fraction of the mean load per server.
     pub move_cost: f64,
-    /// Slices per server that the service was founded with.
+    /// Initial number of slices per server of the service.
     pub slices_per_server: u32,
-    /// How slices are placed.
+    /// Placement policy.
     pub policy: Policy,
-    /// Whether moves for balance, splits and merges may be planned now.
+    /// Whether balancing moves, splits and merges may be planned now.
     pub allow_balance: bool,
 }
 
-/// One change worth making.
+/// One planned change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Give a slice that nobody owns to a server.
+    /// Assign an unowned slice to a server.
     Place {
         /// Lowest hash of the slice.
         first: u64,
-        /// Its owner to be.
+        /// Its new owner.
         to: ServerName,
     },
     /// Move a slice from its owner to another server.
     Move {
         /// Lowest hash of the slice.
         first: u64,
-        /// Its owner to be.
+        /// Its new owner.
         to: ServerName,
     },
-    /// Divide a slice.
+    /// Split a slice.
     Split {
         /// Lowest hash of the slice.
         first: u64,
-        /// Lowest hash of its second part.
+        /// Lowest hash of the upper part.
         at: u64,
     },
-    /// Join a slice with the next one.
+    /// Merge a slice with the next one.
     Merge {
         /// Lowest hash of the lower slice.
         first: u64,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,8 @@
-//! Where slices belong: placement, balance and splitting.
+//! Slice placement: assignment, load balancing, splitting and merging.
 //!
-//! Pure: the caller states the slices, their load and the servers that may
-//! take more, and gets the changes that are worth their churn. Nothing here
-//! knows how a slice moves.
+//! Pure functions: the caller passes the slices, their load and the available
+//! servers, and gets the changes whose gain justifies their cost. How a slice
+//! is moved is outside the scope of this crate.
 
 mod balance;
 mod baseline;
--- a/crates/placement/src/measure.rs
+++ b/crates/placement/src/measure.rs
@@ -1,15 +1,16 @@
-//! Imbalance, as the ratio of the busiest server to the mean.
+//! Imbalance, measured as the ratio of the busiest server to the mean.
 
 use crate::input::SliceLoad;
 use beamtray_types::ServerName;
 use std::collections::BTreeMap;
 
-/// Ratios of maximum to mean over servers; 1 is perfect, 0 means no servers.
+/// Ratio of the maximum to the mean over servers; 1 is perfect balance, 0 means
+/// that there is nothing to measure.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Imbalance {
     /// By requests per second.
     pub load: f64,
-    /// By share of the hash space, which stands for the number of keys.
+    /// By share of the hash space, as an estimate of the number of keys.
     pub keys: f64,
 }
 
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: everything owned, little moved, hot slices divided.
+//! Tests that placement assigns every slice, moves few and splits hot ones.
 
 use beamtray_placement::{Change, PlacementInput, Policy, SliceLoad, imbalance, plan};
 use beamtray_types::{ServerName, SliceRange};
@@ -25,7 +25,7 @@
     }
 }
 
-/// Slices dealt out in turn, each with the given rate.
+/// Slices assigned round-robin, with the rate given for each position.
 fn round_robin(servers: &[ServerName], rate: impl Fn(usize) -> f64) -> Vec<SliceLoad> {
     let count = servers.len() as u32 * SLICES_PER_SERVER;
     let ranges = SliceRange::even(count).into_iter().enumerate();
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// Carries changes out at once until none is left; how many moved.
+/// Applies planned changes until none is left; returns the number of moves.
 fn apply_until_stable(input: &mut PlacementInput) -> usize {
     let mut moves = 0;
     for _ in 0..500 {
@@ -62,7 +62,7 @@
             .slices
             .iter()
             .position(|slice| slice.range.first == first)
-            .expect("a slice")
+            .expect("a slice begins at this hash")
     };
     match change {
         Change::Place { first, to } | Change::Move { first, to } => {
@@ -138,7 +138,7 @@
 #[test]
 fn random_load_variation_causes_no_moves() {
     let servers = servers(10);
-    // A few requests a second, unevenly: no reason to move anything.
+    // A few unevenly distributed requests per second do not justify a move.
     let input = input(
         round_robin(&servers, |position| (position % 3) as f64 * 0.1),
         servers.clone(),
@@ -186,7 +186,7 @@
     );
 }
 
-/// Whatever servers come and go, the slices cover the hash space once and each
+/// After any server is lost, the slices still partition the hash space and each
 /// has an available owner.
 #[test]
 fn slices_cover_the_hash_space_exactly_once() {
