--- a/crates/control/src/checkpoint.rs
+++ b/crates/control/src/checkpoint.rs
@@ -1,8 +1,8 @@
-//! Checkpoints: the group's state in the key-value service, for the case that
-//! a majority of its voters is lost.
+//! Checkpoints: copies of the group's state in the key-value service, used for
+//! recovery after the loss of a majority of its voters.
 //!
-//! What was agreed on after the last checkpoint is exposed to that loss alone.
-//! The interval bounds the exposure while the service answers.
+//! Only entries committed after the last checkpoint can be lost in that case.
+//! The checkpoint interval bounds them while the key-value service responds.
 
 use crate::core::{LeaderPurpose, NodeCore, Purpose};
 use crate::founding::{Checkpoint, checkpoint_key};
@@ -10,15 +10,15 @@
 use beamtray_types::{LogIndex, Time};
 use std::time::Duration;
 
-/// Least time between checkpoints.
+/// Minimum time between checkpoints.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Pause after a failed call.
+/// Delay before retrying a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// A leader's checkpointing.
+/// Checkpointing state of a leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Checkpointing {
-    /// Version of the key; unknown until read.
+    /// Version of the key; `None` until it has been read.
     version: Option<u64>,
     pub(crate) saved: LogIndex,
     due: Time,
@@ -78,7 +78,7 @@
         match result {
             KeyValueResult::Absent => checkpointing.version = Some(0),
             KeyValueResult::Value { version, value } => {
-                // A later generation's checkpoint is not this leader's to replace.
+                // A checkpoint of a later generation must not be overwritten.
                 let later = borsh::from_slice::<Checkpoint>(&value)
                     .is_ok_and(|checkpoint| checkpoint.generation > generation);
                 if later {
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a node's core, and the guards that tests switch off.
+//! Configuration of a node's core, and the guards that tests can disable.
 
 use beamtray_ownership::GranterGuards;
 use beamtray_placement::Policy;
@@ -8,7 +8,7 @@
 /// Another node that may belong to the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerInfo {
-    /// Its number.
+    /// Its node ID.
     pub node: NodeId,
     /// Its zone.
     pub zone: Zone,
@@ -17,7 +17,7 @@
 /// Settings of a [`crate::NodeCore`].
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// This run of this node.
+    /// ID and incarnation of this node.
     pub me: Member,
     /// The control group.
     pub group: GroupId,
@@ -25,45 +25,48 @@
     pub zone: Zone,
     /// The other nodes.
     pub peers: Vec<PeerInfo>,
-    /// Voters that the group should have.
+    /// Target number of voters of the group.
     pub voters: usize,
     /// Protocol timing.
     pub timing: TimingSettings,
-    /// Longest time that a planned stop takes, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_millis: u64,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Placement policy.
     pub policy: Policy,
-    /// Protections.
+    /// Safety guards.
     pub guards: Guards,
 }
 
-/// Protections that a test can switch off one by one, to show that a checker
-/// notices. A running node has them all on.
+/// Safety guards that a test can disable one by one to show that a checker
+/// detects the resulting fault. All are enabled in production.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// Those of granting.
+    /// Guards of the grant protocol.
     pub granter: GranterGuards,
-    /// Voters withhold their vote during a leader's lease.
+    /// Voters withhold their votes while a leader's lease is valid.
     pub withhold_votes: bool,
-    /// A leader grants only under its own lease.
+    /// A leader issues grants only while its own lease is valid.
     pub leader_lease: bool,
-    /// A try that may have run is never called `not run`.
+    /// An attempt that may have run is never reported as `not run`.
     pub keeps_unknown: bool,
-    /// A gate drops a try that comes twice.
+    /// A gate drops duplicate attempts.
     pub drops_duplicates: bool,
-    /// A node without word from its group admits no request.
+    /// A node without recent contact to its group admits no requests.
     pub configuration_lease: bool,
-    /// Founding again waits until a majority of voters is lost for good.
+    /// A new generation is founded only after the voters' majority is
+    /// permanently lost.
     pub refounding_wait: bool,
-    /// A configuration is called accepted only once the group has committed it.
+    /// A configuration is reported as accepted only once the group has committed
+    /// it.
     pub accepts_committed: bool,
-    /// A write whose reply is lost is written again and read back.
+    /// A write whose reply is lost is retried and read back.
     pub reads_back: bool,
-    /// A change of voters is in the founding record before it takes effect.
+    /// A change of voters is recorded in the founding record before it takes
+    /// effect.
     pub records_voters: bool,
-    /// Servers that leave receive nothing new.
+    /// Leaving servers receive no new slices.
     pub drains: bool,
 }
 
--- a/crates/control/src/configure.rs
+++ b/crates/control/src/configure.rs
@@ -1,10 +1,10 @@
 //! Confirmation of declarations.
 //!
-//! Confirming is one compare-and-swap in the key-value service at the revision
-//! that the plan was made on, and then one entry of the log. It is called
-//! accepted only when the entry is committed. A write whose reply is lost is
-//! written again under the same expectation: if the first one took effect, the
-//! second conflicts, and reading back shows whose it was.
+//! A confirmation is a compare-and-swap in the key-value service against the
+//! revision that the plan is based on, followed by a log entry. It is reported
+//! as accepted only when the entry is committed. A write whose reply is lost is
+//! retried with the same expected version: if the first write took effect, the
+//! retry conflicts, and reading the key back shows which operation wrote it.
 
 use crate::core::{LeaderPurpose, NodeCore, Purpose};
 use crate::event::{Event, Level};
@@ -19,24 +19,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between readings of the configuration by a leader.
+/// Interval between a leader's reads of the stored configuration.
 const READ_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Pause after a failed call.
+/// Delay before retrying a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// After this an operator is told that the outcome is unknown.
+/// Time after which an operator is answered that the outcome is unknown.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(6_000);
 
-/// The configuration as the key-value service holds it. Its revision is the
-/// key's version.
+/// The configuration as stored in the key-value service. Its revision is the
+/// version of the key.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct StoredConfiguration {
-    /// The write that put it there.
+    /// The operation that wrote it.
     pub operation: OperationId,
     /// The declaration.
     pub declaration: Declaration,
 }
 
-/// Who is to be answered.
+/// Recipient of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OperatorReply {
     Local(crate::io::OperatorCall),
@@ -49,11 +49,11 @@
     declaration: Declaration,
     replies: Vec<OperatorReply>,
     expires: Time,
-    /// When to write next; none while a call or an entry is under way.
+    /// Time of the next write; `None` while a call or log entry is pending.
     write_due: Option<Time>,
 }
 
-/// A leader's part in changes of configuration.
+/// A leader's pending configuration changes.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfigurationChanges {
     read_due: Time,
@@ -83,7 +83,7 @@
 }
 
 impl NodeCore {
-    /// Starts a confirmation, or joins one already under way.
+    /// Starts a confirmation, or joins a pending one for the same operation.
     pub(crate) fn confirm(
         &mut self,
         reply: OperatorReply,
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Another way for a stored configuration to be found: a leader that came
-    /// after the one that wrote it.
+    /// Lets a new leader discover a configuration that a previous leader stored
+    /// but did not propose to the log.
     pub(crate) fn on_configuration_read(&mut self, result: KeyValueResult) {
         if let KeyValueResult::Value { version, value } = result
             && let Ok(stored) = borsh::from_slice::<StoredConfiguration>(&value)
@@ -187,10 +187,10 @@
         if revision <= known {
             return;
         }
-        // Steps lead away from the revision in force; with another one on its
-        // way the whole declaration goes.
-        let under_way = leadership.configuration_changes.proposed > self.state.revision;
-        let changes = if under_way {
+        // Incremental changes apply to the active revision; while another
+        // revision is pending, the whole declaration is sent instead.
+        let has_pending = leadership.configuration_changes.proposed > self.state.revision;
+        let changes = if has_pending {
             vec![DeclarationChange::Replace(stored.declaration)]
         } else {
             self.state.declaration.changes_to(&stored.declaration)
@@ -255,16 +255,16 @@
         let Ok(stored) = borsh::from_slice::<StoredConfiguration>(&value) else {
             return;
         };
-        let ours = stored.operation == operation;
+        let is_own_write = stored.operation == operation;
         let declaration = confirmation.declaration.clone();
         self.propose_configuration(Revision(version), stored);
-        if !ours {
+        if !is_own_write {
             let answer = self.conflict_answer(&declaration);
             self.finish_confirmation(operation, answer);
         }
     }
 
-    /// Answers confirmations whose entry is applied.
+    /// Answers confirmations whose entry has been applied.
     pub(crate) fn answer_applied_confirmations(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,4 +1,5 @@
-//! The core of one node: takes inputs, keeps the parts in step, gives outputs.
+//! The core of one node: dispatches inputs to its components and collects
+//! their outputs.
 
 use crate::config::ControlConfig;
 use crate::event::{Event, Level};
@@ -20,7 +21,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why the key-value service was called.
+/// Purpose of a call to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     ReadFounding,
@@ -30,7 +31,7 @@
     Leader(LeaderPurpose),
 }
 
-/// Why a leader called it. Answers to an earlier term's calls are dropped.
+/// Purpose of a leader's call. Results of calls from an earlier term are dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderPurpose {
     ReadCheckpoint,
@@ -42,33 +43,33 @@
     WriteVoters,
 }
 
-/// An operator's request that the leader answers for this node.
+/// An operator's request that was forwarded to the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct ForwardedRequest {
     pub(crate) call: crate::io::OperatorCall,
     pub(crate) expires: Time,
-    /// The answer when none comes.
+    /// The answer given if the leader does not reply in time.
     pub(crate) timeout_answer: OperatorAnswer,
 }
 
-/// One node's decisions.
+/// The control state machine of one node.
 #[derive(Debug)]
 pub struct NodeCore {
     pub(crate) config: ControlConfig,
     pub(crate) now: Time,
     pub(crate) outputs: Vec<Output>,
-    /// Generation of `state`; 0 before the node knows of any.
+    /// Generation of `state`; 0 while none is known.
     pub(crate) generation: Generation,
     pub(crate) state: ControlState,
     pub(crate) gates: GateMap,
     pub(crate) raft: Option<Raft>,
-    /// Generation whose log `raft` is or was. A run joins the log of a
-    /// generation at most once, so it never forgets a vote.
+    /// Generation of the current or most recent log in `raft`. An incarnation
+    /// joins the log of a generation at most once, so it never forgets a vote.
     pub(crate) raft_generation: Generation,
     pub(crate) leadership: Option<Leadership>,
     pub(crate) router: Router,
-    /// This node's clock when a leader was last known to have nothing newer
-    /// than `state`.
+    /// Latest time on this node's clock as of which a leader confirmed that
+    /// `state` was current.
     pub(crate) contact: Option<Time>,
     pub(crate) leader_hint: Option<Member>,
     pub(crate) peers: Peers,
@@ -83,13 +84,13 @@
     pub(crate) rng: ChaCha8Rng,
 }
 
-/// How long an answer of the key-value service is awaited.
+/// How long a result of the key-value service is awaited.
 pub(crate) const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a stopping node waits to be taken out of the group's lists.
+/// How long a stopping node waits to be removed from the group's node list.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl NodeCore {
-    /// A node that knows of no group yet.
+    /// Creates a node that does not know its group yet.
     pub fn new(config: ControlConfig, now: Time) -> Self {
         let router = Router::new(RouterConfig {
             seed: config.seed,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes one input in and returns what is to be done, in order.
+    /// Handles one input and returns the resulting outputs in order.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
@@ -160,12 +161,12 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// The group's state as far as this node has it.
+    /// The group's state as known to this node.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Generation of the group, 0 when unknown.
+    /// Generation of the group; 0 if unknown.
     pub fn generation(&self) -> Generation {
         self.generation
     }
@@ -175,7 +176,7 @@
         self.leadership.is_some() && self.has_lease()
     }
 
-    /// Whether this node has a vote.
+    /// Whether this node is a voter.
     pub fn is_voter(&self) -> bool {
         self.raft.as_ref().is_some_and(Raft::is_voter)
     }
@@ -185,7 +186,7 @@
         self.is_fresh() && self.stopping.is_none()
     }
 
-    /// Whether a leader vouched for the state within the configuration lease.
+    /// Whether a leader confirmed the state within the configuration lease.
     fn is_fresh(&self) -> bool {
         let lease = self.config.timing.configuration_lease();
         let fresh = self.contact.is_some_and(|at| self.now.since(at) < lease);
@@ -193,12 +194,12 @@
         known && (fresh || !self.config.guards.configuration_lease)
     }
 
-    /// The node's requests and tries in flight, for metrics.
+    /// The router, with its requests and attempts in flight, for metrics.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// Number of upstreams whose gate this node is.
+    /// Number of upstreams for which this node is the gate.
     pub fn gate_count(&self) -> usize {
         self.gates.count(self.config.me.node)
     }
@@ -262,7 +263,7 @@
         }
     }
 
-    /// A try that never left this node did not run.
+    /// Handles a message that was never sent: a forwarded attempt did not run.
     fn on_unsent(&mut self, to: NodeId, message: PeerMessage) {
         match message {
             PeerMessage::Forward(forward) => {
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Runs the router with the present view.
+    /// Runs `step` on the router with the current view.
     pub(crate) fn with_router(
         &mut self,
         step: impl FnOnce(&mut Router, Time, &RoutingView) -> Vec<RouterOutput>,
@@ -338,7 +339,7 @@
         }
     }
 
-    /// To be called whenever `state` changed.
+    /// Must be called whenever `state` has changed.
     pub(crate) fn on_state_changed(&mut self) {
         self.gates = GateMap::of(&self.state);
         let outputs = self.with_router(|router, now, view| router.tick(now, view));
@@ -352,7 +353,7 @@
         self.outputs.push(Output::KeyValue { call, request });
     }
 
-    /// Whether a call for `purpose` is under way.
+    /// Whether a call for `purpose` is pending.
     pub(crate) fn is_calling(&self, purpose: &Purpose) -> bool {
         self.calls.values().any(|(_, other)| other == purpose)
     }
@@ -392,8 +393,8 @@
         self.transfer_leadership_for_stop();
     }
 
-    /// Ends a planned stop: when the group no longer counts on this node and
-    /// nothing is in flight, or when the time allowed is over.
+    /// Completes a planned stop once the group no longer depends on this node and
+    /// nothing is in flight, or when the stop timeout expires.
     fn tick_stop(&mut self) {
         let Some(since) = self.stopping else { return };
         if self.stopped {
@@ -401,8 +402,8 @@
         }
         let waited = self.now.since(since);
         let listed = self.state.nodes.contains_key(&self.config.me.node);
-        // A voter that ends before it is replaced is a voter lost, so it uses
-        // all the time it has.
+        // A voter that stops before it is replaced is a lost voter, so it stays
+        // up to the stop timeout.
         let left = !self.is_voter() && (!listed || waited >= LEAVE_TIMEOUT);
         let overdue = waited >= Duration::from_millis(self.config.stop_millis);
         if (left && self.router.is_idle()) || overdue {
--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -1,29 +1,29 @@
-//! Events for the log, as data.
+//! Structured log events.
 
-/// How much an event matters.
+/// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// For whoever follows the protocol.
+    /// Details for debugging the protocol.
     Debug,
-    /// What an operator may want to know.
+    /// Information for operators.
     Info,
-    /// What an operator should look at.
+    /// A condition that an operator should investigate.
     Warning,
 }
 
 /// One event: a name and key=value pairs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// How much it matters.
+    /// Its severity.
     pub level: Level,
-    /// What happened.
+    /// Name of the event.
     pub name: &'static str,
-    /// Details.
+    /// Key-value pairs with details.
     pub fields: Vec<(&'static str, String)>,
 }
 
 impl Event {
-    /// An event without details.
+    /// Creates an event without fields.
     pub fn new(level: Level, name: &'static str) -> Self {
         Self {
             level,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds a detail.
+    /// Adds a field.
     pub fn with(mut self, key: &'static str, value: impl ToString) -> Self {
         self.fields.push((key, value.to_string()));
         self
--- a/crates/control/src/feed.rs
+++ b/crates/control/src/feed.rs
@@ -1,11 +1,11 @@
-//! How a node that has no vote keeps the group's state, and how every node
-//! knows that its state is fresh.
+//! Replication of the group's state to nodes without a vote, and the freshness
+//! check of every node's state.
 //!
-//! A node reports itself with its clock reading; a leader answers under its
-//! lease with what the node lacks and the reading. Having applied it, the node
-//! knows: as of that reading nothing newer was committed. A delayed answer of
-//! a replaced leader proves nothing later than its report, so no pause can
-//! make old state look fresh.
+//! A node sends a report with its clock reading. The leader answers under its
+//! lease with the missing state and echoes the reading. Once the node has
+//! applied the answer, it knows that nothing newer was committed as of that
+//! reading. A delayed answer of a replaced leader proves freshness only as of
+//! the report it answers, so no pause can make old state look fresh.
 
 use crate::core::NodeCore;
 use crate::message::{Feed, FeedBody, Hello, PeerMessage};
@@ -17,13 +17,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between reports to a leader.
+/// Interval between reports to a leader.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Between reports to everyone, while no leader answers.
+/// Interval between search reports while no leader answers.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(300);
-/// Nodes asked at once while no leader answers.
+/// Number of nodes contacted at random per search while no leader answers.
 const SEARCH_FANOUT: usize = 8;
-/// Without an answer for this long a node looks for a leader.
+/// Time without an answer after which a node searches for a leader.
 pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 impl NodeCore {
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Whom to ask for a leader: the recorded voters and some others. In a
-    /// large fleet asking everyone would drown whoever leads.
+    /// Nodes to contact when searching for a leader: the recorded voters and some
+    /// random others. In a large fleet, contacting every node would overload the
+    /// leader.
     fn search_targets(&mut self) -> BTreeSet<NodeId> {
         let mut targets = self.founding.recorded_voters();
         targets.remove(&self.config.me.node);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Answers a report with what the node lacks.
+    /// Answers a report with the state that the node is missing.
     fn feed(&mut self, to: Member, hello: &Hello) {
         if self.generation != self.raft_generation {
             return;
@@ -159,7 +160,7 @@
         self.send(to, PeerMessage::Feed(feed));
     }
 
-    /// Sends new entries to every node at once, without waiting for reports.
+    /// Sends new entries to all nodes immediately, without waiting for reports.
     pub(crate) fn push_feed(&mut self) {
         if !self.has_lease() || self.generation != self.raft_generation {
             return;
@@ -196,7 +197,7 @@
                 self.contact = self.contact.max(Some(echoed));
             }
         } else {
-            // Something is missing: report at once and get it.
+            // State is missing: report immediately to request it.
             self.hello_due = self.now;
         }
     }
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -1,17 +1,17 @@
-//! Founding a control group, and founding it again when its voters can no
-//! longer form a majority.
+//! Founding of a control group, and founding of a new generation when its
+//! voters can no longer form a majority.
 //!
-//! The founding record in the key-value service is the one truth about which
-//! generation lives and whose votes count. It changes only by compare-and-swap,
-//! and a change of voters is written there before it takes effect.
+//! The founding record in the key-value service is the source of truth for the
+//! current generation and its voters. It is changed only by compare-and-swap,
+//! and a change of voters is written to it before it takes effect.
 //!
-//! A generation is over once, of every recorded set of voters, so many are
-//! lost for certain or have abandoned it that the rest is no majority. Lost for
-//! certain is a run whose machine is gone or whose node started again. A run
-//! abandons a generation when it has had no leader for long and hears that the
-//! others have none: it then takes no part in that log any more, so nothing
-//! can be agreed on or leased without it. The new generation starts from the
-//! latest state among the nodes in reach and the checkpoint.
+//! A generation is over once no recorded set of voters has a majority left that
+//! is neither permanently lost nor has abandoned the generation. An incarnation
+//! is permanently lost if its machine is gone or its node has restarted. It
+//! abandons a generation after a long time without a leader if the other voters
+//! have none either: it then no longer takes part in that log, so no entry can
+//! be committed and no lease obtained without it. The new generation starts from
+//! the latest state among the reachable nodes and the checkpoint.
 
 use crate::configure::StoredConfiguration;
 use crate::core::{NodeCore, Purpose};
@@ -28,45 +28,45 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between readings of the founding record while no leader answers.
+/// Interval between reads of the founding record while no leader answers.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// Random addition to it, so that nodes do not read in step.
+/// Random jitter added to the interval so that nodes do not read in lockstep.
 const READ_JITTER_MILLIS: u64 = 500;
-/// The same per node of the fleet, which keeps all of them together under the
-/// service's rate.
+/// Jitter per node of the fleet, which keeps the combined read rate of all nodes
+/// below the service's limit.
 const READ_JITTER_PER_NODE_MILLIS: u64 = 25;
-/// A node counts as live for founding when it reported within this time.
+/// A node is considered live for founding if it reported within this time.
 const LIVE_REPORT_WINDOW: Duration = Duration::from_secs(3);
-/// How long a voter is without a leader before it abandons its generation.
-/// Several elections fit into it.
+/// Time without a leader after which a voter may abandon its generation. Long
+/// enough for several elections.
 const ABANDON_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// A gap between ticks that shows a pause of this process.
+/// Gap between ticks above which this process is assumed to have been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(400);
-/// Whoever looks for a leader reports to everyone several times in this.
+/// Window in which a node without a leader sends several search reports.
 const SEARCH_REPORT_WINDOW: Duration = Duration::from_millis(1_200);
-/// How long a first founding waits for more nodes to report.
+/// How long the initial founding waits for more nodes to report.
 const INITIAL_DISCOVERY_WAIT: Duration = Duration::from_millis(800);
 
-/// The record of a group's founding.
+/// The stored record of a group's current generation.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct FoundingRecord {
-    /// The generation founded.
+    /// The generation.
     pub generation: Generation,
-    /// Its first voters.
+    /// Its initial voters.
     pub founders: BTreeSet<Member>,
-    /// Sets of voters of which one is in force: the present one, and the next
-    /// while a change is under way.
+    /// Sets of voters, one of which is in effect: the current set and, while a
+    /// change is pending, the next one.
     pub voters: Vec<BTreeSet<Member>>,
-    /// The state that the generation starts from.
+    /// Initial state of the generation.
     pub state: ControlState,
 }
 
-/// The latest state of a group that a leader saved.
+/// A checkpoint of a group's state, saved by its leader.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Checkpoint {
     /// Generation of the state.
     pub generation: Generation,
-    /// Last entry in the state.
+    /// Index of the last entry applied to the state.
     pub applied: LogIndex,
     /// The state.
     pub state: ControlState,
@@ -87,25 +87,24 @@
     format!("group-{group}-configuration")
 }
 
-/// What a node knows of its group's founding.
+/// A node's knowledge of its group's founding.
 #[derive(Clone, Debug)]
 pub(crate) struct Founding {
     started: Time,
     read_due: Time,
-    /// Another node reported a later generation.
+    /// Whether another node reported a later generation.
     newer_generation_reported: bool,
-    /// The record as last read, with its version.
+    /// The record last read, with its version.
     record: Option<(u64, FoundingRecord)>,
-    /// Since when every recorded set of voters is known to be no majority.
+    /// Time since which no recorded set of voters has had a usable majority.
     majority_lost_since: Option<Time>,
-    /// Since when this run has been looking for a leader without a break.
+    /// Time since which this node has been searching for a leader without a pause.
     leaderless_since: Option<Time>,
     last_tick: Time,
-    /// Highest generation in whose log this run takes no part any more.
+    /// Highest generation that this node has abandoned.
     pub(crate) abandoned: Generation,
     reclaimed_machines: BTreeSet<String>,
-    /// State that a new generation is to start from, while its configuration
-    /// is being read.
+    /// Initial state for a new generation, held while the configuration is read.
     state: Option<ControlState>,
     machines_due: Time,
 }
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Nodes of the voters in the record as last read.
+    /// Nodes of the voters in the record last read.
     pub(crate) fn recorded_voters(&self) -> BTreeSet<NodeId> {
         let record = self.record.iter().flat_map(|(_, record)| &record.voters);
         record.flatten().map(|member| member.node).collect()
@@ -138,13 +137,13 @@
         self.newer_generation_reported = true;
     }
 
-    /// Starts the count of time without a leader anew.
+    /// Resets the time without a leader.
     pub(crate) fn restart_search(&mut self) {
         self.leaderless_since = None;
     }
 
-    /// Counts the time without a leader. A gap between ticks is a pause of
-    /// this process, in which it could not have heard of one.
+    /// Tracks the time without a leader. A long gap between ticks means that this
+    /// process was paused and could not have received messages from a leader.
     fn track_leader_search(&mut self, now: Time, searching: bool) {
         let paused = now.since(self.last_tick) > PAUSE_THRESHOLD;
         self.last_tick = now;
@@ -207,8 +206,8 @@
         }
     }
 
-    /// Founds the first generation once enough nodes reported, from the lowest
-    /// of them; should two try, compare-and-swap chooses.
+    /// Founds the first generation once enough nodes have reported. The lowest of
+    /// them does so; if two try, compare-and-swap lets only one succeed.
     fn found_initial_generation(&mut self) {
         if self.now.since(self.founding.started) < INITIAL_DISCOVERY_WAIT {
             return;
@@ -257,7 +256,7 @@
         self.call_key_value(Purpose::WriteFounding, request);
     }
 
-    /// However the write ended, reading back tells the truth.
+    /// Reads the record back, which shows the outcome whatever the write returned.
     pub(crate) fn on_founding_written(&mut self) {
         self.founding.read_due = self.now;
     }
@@ -269,7 +268,7 @@
             return self.join_as_founder(generation, &record.founders, state);
         }
         if record.generation > self.raft_generation.max(self.generation) && self.raft.is_some() {
-            // This log's generation is over.
+            // The generation of this log is over.
             self.raft = None;
             self.end_leadership();
         }
@@ -288,8 +287,8 @@
             return;
         }
         let since = *self.founding.majority_lost_since.get_or_insert(self.now);
-        // A leader lost just now may have held its lease this long; grants
-        // under it are waited for by the new generation's leader.
+        // A leader that was just lost may still hold its lease for this long. The
+        // new generation's leader waits for the grants issued under it.
         let timing = &self.config.timing;
         let wait = timing.with_drift(timing.leader_lease()) + timing.election();
         if self.now.since(since) < wait {
@@ -308,8 +307,8 @@
         }
     }
 
-    /// Gives up on a generation that stands still: this run has had no leader
-    /// for long, and so many others are lost or look for one too that no
+    /// Abandons a generation that makes no progress: this voter has had no leader
+    /// for a long time, and so many others are lost or without a leader that no
     /// recorded set of voters can have a majority elsewhere.
     fn abandon_if_stalled(&mut self, record: &FoundingRecord) {
         let generation = record.generation;
@@ -337,8 +336,8 @@
         }
     }
 
-    /// Whether a run reported itself just now, as only those do that have no
-    /// leader, or is this one.
+    /// Whether `member` is this node or recently reported to it, as nodes that
+    /// search for a leader do.
     fn is_leaderless(&self, member: Member) -> bool {
         let report = self.peers.get(member.node);
         member == self.config.me
@@ -347,7 +346,7 @@
             })
     }
 
-    /// Whether a run takes no part in a generation's log any more.
+    /// Whether a member no longer takes part in a generation's log.
     fn is_excluded(&self, member: Member, generation: Generation) -> bool {
         if member == self.config.me {
             return self.founding.abandoned >= generation;
@@ -359,8 +358,8 @@
         abandoned || self.is_lost(member)
     }
 
-    /// Whether no node in reach has later state of `generation`; among equals
-    /// the lowest node founds.
+    /// Whether no reachable node has later state of `generation`. Ties are
+    /// resolved in favor of the lowest node.
     fn has_latest_state(&self, generation: Generation) -> bool {
         let rank = |known: Generation, applied, node| {
             let applied = if known == generation {
@@ -370,20 +369,20 @@
             };
             (applied, std::cmp::Reverse(node))
         };
-        let mine = rank(self.generation, self.state.applied, self.config.me.node);
+        let own_rank = rank(self.generation, self.state.applied, self.config.me.node);
         let live = self.peers.live(self.now, LIVE_REPORT_WINDOW);
         live.iter()
-            .all(|peer| rank(peer.generation, peer.applied, peer.member.node) <= mine)
+            .all(|peer| rank(peer.generation, peer.applied, peer.member.node) <= own_rank)
     }
 
-    /// Whether a run is over for certain: its machine is gone, or a later run
-    /// of its node reported itself.
+    /// Whether a member is permanently lost: its machine is gone, or a later
+    /// incarnation of its node has reported.
     fn is_lost(&self, member: Member) -> bool {
         if member.node == self.config.me.node {
             return member.incarnation < self.config.me.incarnation;
         }
-        // Incarnations of one node rise, so a late report of an earlier run
-        // is not taken for a successor.
+        // Incarnations of a node increase, so a delayed report of an earlier one
+        // is not mistaken for a successor.
         let replaced = self
             .peers
             .get(member.node)
@@ -405,7 +404,7 @@
                 let Ok(checkpoint) = borsh::from_slice::<Checkpoint>(&value) else {
                     return;
                 };
-                // The checkpoint may be from before this generation's founding.
+                // The checkpoint may predate the founding of this generation.
                 if checkpoint.generation < record.generation {
                     record.state.clone()
                 } else {
@@ -421,8 +420,8 @@
         self.call_key_value(purpose, KeyValueRequest::Get { key });
     }
 
-    /// A configuration may have been accepted after the checkpoint. The new
-    /// generation starts from it, so that no node ever goes back to an older.
+    /// Applies the stored configuration, which may have been accepted after the
+    /// checkpoint, so that no node ever reverts to an older configuration.
     pub(crate) fn on_configuration_to_found(&mut self, result: KeyValueResult) {
         let (Some((version, record)), Some(mut state)) =
             (self.founding.record.clone(), self.founding.state.take())
@@ -450,7 +449,7 @@
     }
 }
 
-/// Whether the voters that are not `excluded` are less than a majority.
+/// Whether the voters that are not `excluded` are fewer than a majority.
 fn lacks_majority(voters: &BTreeSet<Member>, excluded: &dyn Fn(&Member) -> bool) -> bool {
     let left = voters.iter().filter(|member| !excluded(member)).count();
     left < voters.len() / 2 + 1
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,4 +1,4 @@
-//! The node's member of the replicated log, and the state that it applies.
+//! The node's consensus member and the application of committed entries.
 
 use crate::core::NodeCore;
 use crate::event::{Event, Level};
@@ -14,9 +14,9 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Entries kept behind a snapshot before the log is compacted.
+/// Log length above which the log is compacted into a snapshot.
 const LOG_ENTRIES_KEPT: usize = 512;
-/// Index of the snapshot that founds a generation. Above 0, so that a member
+/// Index of a generation's initial snapshot. Greater than 0, so that a member
 /// that starts empty is always sent the snapshot.
 pub(crate) const FOUNDING_INDEX: LogIndex = LogIndex(1);
 
@@ -56,7 +56,8 @@
         self.founding.restart_search();
     }
 
-    /// Replaces the state by that of a generation, or a later one of the same.
+    /// Replaces the state with one of `generation`: a new generation, or a later
+    /// state of the current one.
     pub(crate) fn adopt_state(&mut self, generation: Generation, state: ControlState) {
         if generation > self.generation {
             self.contact = None;
@@ -79,7 +80,7 @@
             return;
         }
         if generation > self.raft_generation {
-            // Only a leader that counts this run as a member sends these.
+            // Only a leader that has this incarnation as a member sends these.
             let invited = matches!(message.body, Body::Append { .. } | Body::Install { .. });
             if !invited || message.to != self.config.me {
                 return;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Carries out what the log asks for and follows changes of leadership.
+    /// Processes outputs of the consensus member and handles leadership changes.
     pub(crate) fn process_raft_outputs(&mut self) {
         loop {
             let Some(raft) = &mut self.raft else { return };
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Applies committed entries that follow the state without a gap; others
-    /// are already applied, or will come again.
+    /// Applies committed entries that directly follow the state. Other entries
+    /// are already applied or will be sent again.
     pub(crate) fn apply(&mut self, generation: Generation, entries: &[FeedEntry]) {
         if generation != self.generation {
             return;
@@ -189,13 +190,13 @@
         }
     }
 
-    /// Starts or ends the leader's work as the log's leadership changes.
+    /// Starts or ends the leader's duties when the consensus role changes.
     fn update_leadership(&mut self) {
         let Some(raft) = &self.raft else { return };
-        let leads = raft.role() == Role::Leader;
+        let is_leader = raft.role() == Role::Leader;
         let term = raft.term();
         let current = self.leadership.as_ref().map(|leadership| leadership.term);
-        if leads && current != Some(term) && raft.has_lease(self.now) {
+        if is_leader && current != Some(term) && raft.has_lease(self.now) {
             let elected_at = raft.elected_at();
             self.leadership = Some(Leadership::new(
                 &self.config,
@@ -211,7 +212,7 @@
                 .with("term", term);
             self.log(event);
         }
-        if !leads && self.leadership.is_some() {
+        if !is_leader && self.leadership.is_some() {
             self.end_leadership();
             let event = Event::new(Level::Info, "not_leading").with("term", term);
             self.log(event);
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Hands leadership to another voter before a planned stop.
+    /// Transfers leadership to another voter before a planned stop.
     pub(crate) fn transfer_leadership_for_stop(&mut self) {
         let now = self.now;
         let me = self.config.me;
--- a/crates/control/src/io.rs
+++ b/crates/control/src/io.rs
@@ -1,4 +1,4 @@
-//! What a node's core is told and what it asks for.
+//! Inputs and outputs of a node's core.
 
 use crate::event::Event;
 use crate::message::PeerMessage;
@@ -10,46 +10,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names a call to the key-value service; unique within one run.
+/// Identifies a call to the key-value service; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyValueCall(pub u64);
 
-/// Names an operator's request; unique within one run.
+/// Identifies an operator's request; unique within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorCall(pub u64);
 
-/// Something that happened.
+/// An input event.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed. To be given every 20 ms or so.
+    /// Timer tick, expected about every 20 ms.
     Tick,
-    /// A message of another node.
+    /// A message from another node.
     Peer {
         /// The sender.
         from: Member,
         /// The message.
         message: PeerMessage,
     },
-    /// A message of this node was never sent.
+    /// A message from this node was never sent.
     Unsent {
-        /// The node that it was for.
+        /// The intended recipient.
         to: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A connection to a node broke; messages on it may be lost.
+    /// The connection to a node broke; messages in transit may be lost.
     PeerLost {
         /// The node.
         node: NodeId,
     },
     /// A caller's request.
     Caller {
-        /// Names it in the answer.
+        /// Correlates the answer with the request.
         id: RequestId,
         /// The request.
         request: CallerRequest,
     },
-    /// A caller is gone.
+    /// A caller disconnected.
     CallerDisconnected {
         /// Its request.
         id: RequestId,
@@ -58,40 +58,40 @@
     CallResult {
         /// The call.
         call: CallId,
-        /// How.
+        /// Its outcome.
         outcome: UpstreamOutcome,
     },
-    /// A server answered a grant, or did not.
+    /// A server replied to a grant, or the grant request failed.
     Grant {
         /// The server.
         server: ServerName,
-        /// Its answer.
+        /// Its reply; `None` if there was none.
         reply: Option<GrantReply>,
     },
     /// A call to the key-value service ended.
     KeyValue {
         /// The call.
         call: KeyValueCall,
-        /// How.
+        /// Its outcome.
         result: KeyValueResult,
     },
-    /// The machine list, when it could be read.
+    /// Result of reading the machine list.
     Machines {
-        /// The list.
+        /// The list; `None` if it could not be read.
         list: Option<Vec<Machine>>,
     },
     /// An operator's request.
     Operator {
-        /// Names it in the answer.
+        /// Correlates the answer with the request.
         call: OperatorCall,
         /// The request.
         request: OperatorRequest,
     },
-    /// Stop, without cutting anything off.
+    /// Begin a planned stop without interrupting requests.
     Stop,
 }
 
-/// Something to do.
+/// An action for the caller to perform.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to a node.
@@ -110,22 +110,22 @@
     },
     /// Call an upstream.
     Call {
-        /// Names the call in [`Input::CallResult`].
+        /// Identifies the call in [`Input::CallResult`].
         call: CallId,
-        /// Where.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// What.
+        /// The attempt to send.
         forward: Forward,
-        /// For how long.
+        /// Maximum duration of the call.
         timeout: Duration,
     },
     /// Send a grant to a server.
     Grant(PendingGrant),
     /// Call the key-value service.
     KeyValue {
-        /// Names the call in [`Input::KeyValue`].
+        /// Identifies the call in [`Input::KeyValue`].
         call: KeyValueCall,
-        /// What.
+        /// The request.
         request: KeyValueRequest,
     },
     /// Read the machine list.
@@ -139,9 +139,9 @@
     },
     /// Write an event to the log.
     Log(Event),
-    /// The planned stop is complete: the process may end.
+    /// The planned stop is complete and the process may exit.
     Stopped {
-        /// Requests that are not concluded; nobody knows what becomes of them.
+        /// Number of unfinished requests and attempts, whose outcome is unknown.
         cut_off: usize,
     },
 }
--- a/crates/control/src/key_value.rs
+++ b/crates/control/src/key_value.rs
@@ -1,4 +1,4 @@
-//! Brings answers of the key-value service to whoever asked.
+//! Dispatches key-value service results to their handlers.
 
 use crate::core::{LeaderPurpose, NodeCore, Purpose};
 use crate::io::KeyValueCall;
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,5 +1,5 @@
-//! What only a leader does: it lists nodes, grants, places slices, keeps
-//! voters, checkpoints and the configuration. Ends with its term.
+//! Duties of the leader: tracking nodes, granting and placing slices, managing
+//! voters, checkpoints and the configuration. They end with its term.
 
 use crate::checkpoint::Checkpointing;
 use crate::config::ControlConfig;
@@ -17,18 +17,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A node that has not reported for this long is not live.
+/// Time without reports after which a node is not considered live.
 const NODE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Entries kept for nodes that lack a few.
+/// Number of entries kept for nodes that are slightly behind.
 const ENTRY_HISTORY_LIMIT: usize = 1_024;
-/// Between readings of the machine list.
+/// Interval between reads of the machine list.
 const MACHINES_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Between looks at what might be changed.
+/// Interval between planning passes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Between plans for balance.
+/// Interval between balancing passes.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A node as the leader knows it.
+/// A node as known to the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownNode {
     pub(crate) member: Member,
@@ -37,7 +37,7 @@
     pub(crate) leaving: bool,
 }
 
-/// The work of one leader in one term.
+/// State of one leader in one term.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     pub(crate) term: Term,
@@ -50,9 +50,9 @@
     pub(crate) voter_change: VoterChange,
     recent: VecDeque<FeedEntry>,
     sent_up_to: Option<LogIndex>,
-    /// Plans wait until what was proposed last is applied.
+    /// Index of the last proposal; planning waits until it is applied.
     last_proposed: LogIndex,
-    /// Next look at what might be changed when nothing calls for one.
+    /// Time of the next periodic planning pass.
     pub(crate) plan_due: Time,
     balance_due: Time,
     machines_due: Time,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The entries after `index` up to `applied`, when all are remembered.
+    /// The entries after `index` up to `applied`, if all are in the history.
     pub(crate) fn entries_after(
         &self,
         index: LogIndex,
@@ -117,7 +117,8 @@
         })
     }
 
-    /// Entries that were not pushed yet; none when there are none.
+    /// Returns the entries not sent yet; `None` if there are none or they are no
+    /// longer in the history.
     pub(crate) fn take_unsent_entries(&mut self, applied: LogIndex) -> Option<Vec<FeedEntry>> {
         let from = self.sent_up_to.replace(applied)?;
         let entries = self.entries_after(from, applied)?;
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Whether the platform says that the node's machine is reclaimed.
+    /// Whether the platform reports the node's machine as reclaimed.
     pub(crate) fn is_machine_reclaimed(&self, name: &str) -> bool {
         self.reclaimed_machines.contains(name)
     }
@@ -193,7 +194,7 @@
         self.tick_voters();
     }
 
-    /// Proposes what the leader's knowledge calls for, one batch at a time.
+    /// Proposes the changes that are due, one batch at a time.
     fn plan_changes(&mut self) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
@@ -217,7 +218,7 @@
         self.propose(commands);
     }
 
-    /// Adds commands to the log and holds further plans until it is applied.
+    /// Proposes commands and defers further planning until they are applied.
     pub(crate) fn propose(&mut self, commands: Vec<Command>) {
         let now = self.now;
         let batch = borsh::to_vec(&CommandBatch { commands }).unwrap_or_default();
@@ -230,7 +231,7 @@
         }
     }
 
-    /// The nodes that differ from those listed.
+    /// Commands that update the group's node list.
     fn node_changes(&self) -> Vec<Command> {
         let now = self.now;
         let Some(leadership) = &self.leadership else {
@@ -249,7 +250,7 @@
                 (*id, record)
             })
             .collect();
-        // A new leader has not heard of everyone yet.
+        // A new leader has not received reports from all nodes yet.
         if now.since(leadership.started) < NODE_TIMEOUT {
             for (id, record) in &self.state.nodes {
                 if !leadership.nodes.contains_key(id) {
@@ -285,7 +286,7 @@
         changed.then_some(Command::SetLeaving { servers })
     }
 
-    /// Follows a change of the state: nodes are told, grants are adapted.
+    /// Reacts to a state change: sends it to the nodes and updates grants.
     pub(crate) fn on_leader_state_changed(&mut self) {
         if self.leadership.is_none() {
             return;
@@ -363,7 +364,8 @@
         }
     }
 
-    /// Answers what waits for this leader as unknown and forgets the rest.
+    /// Ends leadership. Pending confirmations are answered as unknown; all other
+    /// leader state is discarded.
     pub(crate) fn end_leadership(&mut self) {
         let waiting = match self.leadership.take() {
             Some(leadership) => leadership.configuration_changes.into_pending_replies(),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,13 @@
-//! One node's decisions: the group it belongs to, what a leader does, what a
-//! follower knows, and the routing on top.
+//! The control logic of one node: group membership, the duties of the leader,
+//! state replication to followers, and request routing based on that state.
 //!
-//! [`NodeCore`] is pure: it takes the time and an [`Input`] and returns
-//! [`Output`]s. It owns no clock, socket, thread or unseeded random number, so
-//! the simulator runs it as it is.
+//! [`NodeCore`] is a pure state machine: it takes the time and an [`Input`] and
+//! returns [`Output`]s. It uses no clock, socket, thread or unseeded random
+//! number generator, so the simulator runs it unmodified.
 //!
-//! Nothing on the request path and no renewal of ownership waits for the
-//! platform's key-value service; only founding, changes of voters and changes
-//! of configuration do.
+//! Neither request handling nor grant renewal waits for the platform's key-value
+//! service; only founding a group, changing voters and changing the
+//! configuration do.
 
 mod checkpoint;
 mod config;
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -6,117 +6,118 @@
 use beamtray_types::{Generation, GroupId, LogIndex, Member, Term, Time, Zone};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A message with its sender, as it goes over the wire.
+/// A message with its sender, as encoded on the wire.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Envelope {
     /// The control group.
     pub group: GroupId,
-    /// The sending run.
+    /// Node and incarnation of the sender.
     pub from: Member,
-    /// What it says.
+    /// The message.
     pub message: PeerMessage,
 }
 
-/// What a node says to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerMessage {
-    /// The replicated log's.
+    /// A message of the consensus protocol.
     Consensus {
-        /// Generation of the group whose log it is.
+        /// Generation of the log.
         generation: Generation,
         /// The message.
         message: Message,
     },
-    /// A node reports itself.
+    /// A node's periodic status report.
     Hello(Hello),
-    /// The group's state, from its leader.
+    /// A state update from the group's leader.
     Feed(Feed),
-    /// Who leads, from a node that does not.
+    /// The current leader, reported by another node.
     LeaderHint {
         /// Generation of the group.
         generation: Generation,
         /// The leader.
         leader: Member,
     },
-    /// A try on its way to its gate.
+    /// A request attempt forwarded to its gate.
     Forward(Forward),
-    /// A try that is no longer wanted.
+    /// Cancels an attempt whose result is no longer needed.
     Cancel(AttemptId),
-    /// How a try ended.
+    /// The outcome of an attempt.
     Result {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Its outcome.
         outcome: UpstreamOutcome,
     },
-    /// An operator's request for the leader.
+    /// An operator's request, forwarded to the leader.
     Operator {
-        /// Names it in the answer.
+        /// Correlates the answer with the request.
         call: u64,
         /// The request.
         request: OperatorRequest,
     },
-    /// The leader's answer.
+    /// The leader's answer to an operator's request.
     OperatorAnswer {
-        /// The request.
+        /// Identifies the request.
         call: u64,
         /// The answer.
         answer: OperatorAnswer,
     },
 }
 
-/// What a node reports of itself.
+/// A node's status report.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Hello {
     /// Its zone.
     pub zone: Zone,
-    /// Generation of the state that it has.
+    /// Generation of its state.
     pub generation: Generation,
-    /// Last index of the state that it has.
+    /// Last log index applied to its state.
     pub applied: LogIndex,
-    /// Highest generation in whose log it will take no part any more.
+    /// Highest generation that it has abandoned: it no longer takes part in the
+    /// logs of generations up to this one.
     pub abandoned: Generation,
-    /// Its clock; returned in the leader's answer.
+    /// Reading of its clock; echoed in the leader's answer.
     pub sent_at: Time,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// Requests counted since its last report.
+    /// Requests per slice since its previous report.
     pub load: Vec<SliceCount>,
 }
 
-/// State from a leader to a node.
+/// A state update from the leader to a node.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Feed {
     /// Generation of the group.
     pub generation: Generation,
     /// Term of the leader.
     pub term: Term,
-    /// The leader's last applied index: a node that has applied it is up to
-    /// date as of the sending of what this answers.
+    /// The leader's last applied index. A node that has applied it is up to date
+    /// as of the time at which it sent the report that this update answers.
     pub applied: LogIndex,
-    /// `sent_at` of the report that this answers; none when it answers none.
+    /// `sent_at` of the report that this update answers; `None` if unsolicited.
     pub echoed: Option<Time>,
     /// The state.
     pub body: FeedBody,
 }
 
-/// How state is sent.
+/// The content of a state update.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum FeedBody {
-    /// Entries that follow an index without a gap.
+    /// Consecutive log entries.
     Entries(Vec<FeedEntry>),
-    /// Everything, as encoded [`beamtray_ownership::ControlState`].
+    /// The full state, as encoded [`beamtray_ownership::ControlState`].
     Snapshot(Vec<u8>),
 }
 
-/// A committed entry.
+/// A committed log entry.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct FeedEntry {
     /// Term of the entry.
     pub term: Term,
     /// Its index.
     pub index: LogIndex,
-    /// Encoded [`beamtray_ownership::CommandBatch`]; empty when the entry
-    /// changes nothing of the state.
+    /// Encoded [`beamtray_ownership::CommandBatch`]; empty if the entry
+    /// does not change the state.
     pub command: Vec<u8>,
 }
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask and what they are told.
+//! Operator requests and answers.
 
 use crate::plan::PlanReport;
 use beamtray_settings::Declaration;
@@ -10,61 +10,62 @@
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRequest {
-    /// What would change if the declaration were put in force.
+    /// Computes the effects of activating a declaration.
     Plan {
         /// The declaration.
         declaration: Declaration,
     },
-    /// Puts a declaration in force, if the revision that it was planned on
-    /// still is.
+    /// Activates a declaration if the revision that its plan is based on is
+    /// still active.
     Confirm {
-        /// Names the write.
+        /// Identifies the write.
         operation: OperationId,
-        /// Revision that the plan was made on.
+        /// Revision that the plan is based on.
         base: Revision,
         /// The declaration.
         declaration: Declaration,
     },
-    /// How a write ended.
+    /// Queries the outcome of a write.
     Operation {
         /// The write.
         operation: OperationId,
     },
     /// The state of the group.
     Status,
-    /// The owners of a service's slices.
+    /// Queries the owners of a service's slices.
     Assignments {
         /// The service.
         service: ServiceName,
-        /// Only the slice of this key.
+        /// Restricts the answer to the slice of this key.
         key: Option<String>,
     },
 }
 
-/// The answer.
+/// An answer to an operator's request.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorAnswer {
     /// A plan.
     Plan(PlanReport),
-    /// The declaration is in force.
+    /// The declaration is active.
     InForce {
-        /// As this revision.
+        /// Its revision.
         revision: Revision,
     },
-    /// Another declaration came first; nothing was changed.
+    /// Another declaration was activated first; nothing was changed.
     Conflict {
-        /// The revision in force.
+        /// The active revision.
         revision: Revision,
-        /// What differs from the one planned on, in words.
+        /// Descriptions of the differences between the declaration in the request
+        /// and the active one.
         changed: Vec<String>,
     },
-    /// It is not known whether the write took effect; ask again by its name.
+    /// It is not known whether the write took effect; query the operation again.
     Unknown {
         /// The write.
         operation: OperationId,
     },
-    /// The group has applied no such write.
+    /// The group has no record of this write.
     NoSuchOperation,
     /// The state of the group.
     Status(StatusReport),
@@ -72,34 +73,34 @@
     Assignments(Vec<AssignmentRow>),
     /// The request cannot be served now; nothing was changed.
     Unavailable {
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// The request is wrong; nothing was changed.
+    /// The request is invalid; nothing was changed.
     Invalid {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// The state of a group as its leader sees it.
+/// The state of a group as known to its leader.
 #[derive(
     Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize,
 )]
 pub struct StatusReport {
     /// Generation of the group.
     pub generation: u64,
-    /// Term.
+    /// Term of the leader.
     pub term: u64,
-    /// The leading node.
+    /// Node ID of the leader.
     pub leader: u32,
-    /// Revision in force.
+    /// Active revision.
     pub revision: u64,
-    /// Last applied index.
+    /// Last applied log index.
     pub applied: u64,
-    /// Last index in the checkpoint.
+    /// Last log index in the checkpoint.
     pub checkpointed: u64,
-    /// Voting nodes.
+    /// Voters.
     pub voters: Vec<VoterRow>,
     /// Live nodes.
     pub nodes: Vec<NodeRow>,
@@ -112,7 +113,7 @@
 pub struct VoterRow {
     /// The node.
     pub node: u32,
-    /// Whether the run that votes is live; one that is not will be replaced.
+    /// Whether the voter's incarnation is live; a voter that is not is replaced.
     pub live: bool,
 }
 
@@ -130,17 +131,17 @@
 pub struct ServiceRow {
     /// The service.
     pub service: String,
-    /// Its slices.
+    /// Number of slices.
     pub slices: u32,
-    /// Slices without an owner that may serve.
+    /// Number of slices that are unassigned or being revoked.
     pub unowned: u32,
-    /// Servers that answer grants.
+    /// Number of servers that reply to grants.
     pub answering: u32,
-    /// Servers declared.
+    /// Number of declared servers.
     pub declared: u32,
-    /// Busiest server's load over the mean.
+    /// Ratio of the busiest server's load to the mean.
     pub load_imbalance: f64,
-    /// Largest server's share of keys over the mean.
+    /// Ratio of the largest share of keys of a server to the mean.
     pub key_imbalance: f64,
 }
 
@@ -151,8 +152,8 @@
     pub slice: String,
     /// `owned`, `revoking` or `unassigned`.
     pub state: String,
-    /// The server that holds it.
+    /// The server that holds the slice.
     pub server: Option<String>,
-    /// Its fence.
+    /// Fencing token of the assignment.
     pub fence: Option<String>,
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,5 @@
-//! Serving operators: here when this node leads, else by its leader.
+//! Handling of operator requests: served locally by the leader, otherwise
+//! forwarded to it.
 
 use crate::configure::OperatorReply;
 use crate::core::{ForwardedRequest, NodeCore};
@@ -15,7 +16,7 @@
 use beamtray_types::{KeyHash, Member, ServerName, ServiceName, SliceRange};
 use std::time::Duration;
 
-/// How long the leader's answer is awaited.
+/// How long an answer from the leader is awaited.
 const LEADER_ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl NodeCore {
@@ -58,7 +59,7 @@
         if self.is_leader() {
             return self.serve_operator(reply, request);
         }
-        let reason = format!("node {} does not lead", self.config.me.node);
+        let reason = format!("node {} is not the leader", self.config.me.node);
         self.reply_to_operator(reply, OperatorAnswer::Unavailable { reason });
     }
 
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,10 +1,10 @@
-//! What a node has heard of others directly.
+//! Status reports received directly from other nodes.
 
 use beamtray_types::{Generation, LogIndex, Member, NodeId, Time, Zone};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A node that reported itself.
+/// The latest status report of a node.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerReport {
     pub(crate) member: Member,
@@ -31,18 +31,18 @@
         self.reports.get(&node)
     }
 
-    /// Nodes that reported within `patience` and are not stopping.
-    pub(crate) fn live(&self, now: Time, patience: Duration) -> Vec<PeerReport> {
+    /// Nodes that reported within `window` and are not stopping.
+    pub(crate) fn live(&self, now: Time, window: Duration) -> Vec<PeerReport> {
         self.reports
             .values()
-            .filter(|peer| now.since(peer.at) < patience && !peer.leaving)
+            .filter(|peer| now.since(peer.at) < window && !peer.leaving)
             .cloned()
             .collect()
     }
 }
 
-/// Chooses `count` of `candidates`, spread over zones: of each zone in turn
-/// the lowest node.
+/// Selects up to `count` of `candidates`, spread over zones: takes the lowest
+/// remaining node of each zone in turn.
 pub(crate) fn spread_over_zones(candidates: &[(Member, Zone)], count: usize) -> Vec<Member> {
     let mut zones: BTreeMap<&Zone, Vec<Member>> = BTreeMap::new();
     for (member, zone) in candidates {
--- a/crates/control/src/placing.rs
+++ b/crates/control/src/placing.rs
@@ -1,4 +1,4 @@
-//! From loads and grants to commands that move slices.
+//! Derives commands that assign and move slices from loads and grants.
 
 use crate::core::NodeCore;
 use crate::event::{Event, Level};
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Over which loads are averaged.
+/// Length of a load measurement window.
 const LOAD_WINDOW: Duration = Duration::from_millis(1_000);
-/// Weight of the newest window.
+/// Weight of the newest window in the exponential moving average.
 const LOAD_WEIGHT: f64 = 0.4;
-/// Rates below this are forgotten.
+/// Rates not above this are dropped.
 const MIN_RATE: f64 = 0.01;
-/// Servers that are asked for the first time have this long to answer before
-/// anything is placed on the strength of their silence.
+/// How long servers contacted for the first time may take to reply before
+/// placement treats them as unresponsive.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,7 +27,7 @@
     hot_hash: Option<u64>,
 }
 
-/// Requests per second of each slice, as the nodes' reports tell.
+/// Requests per second of each slice, measured from the nodes' reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Loads {
     rates: BTreeMap<ServiceName, BTreeMap<u64, Rate>>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Closes the window when it is over.
+    /// Closes the current measurement window once it has elapsed.
     pub(crate) fn advance(&mut self, now: Time) {
         let elapsed = now.since(self.window_start);
         if elapsed < LOAD_WINDOW {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// A slice is about to be split: both parts are taken for equal until
-    /// reports tell them apart.
+    /// Divides the load of a slice that is about to be split equally between both
+    /// parts until reports distinguish them.
     fn split(&mut self, service: &ServiceName, first: u64, at: u64) {
         let Some(slices) = self.rates.get_mut(service) else {
             return;
@@ -84,7 +84,7 @@
     }
 }
 
-/// The slices of a service as placement sees them.
+/// Converts a service's slices into the input of placement.
 pub(crate) fn slice_loads(
     name: &ServiceName,
     table: &SliceTable,
@@ -134,7 +134,8 @@
         commands
     }
 
-    /// Takes back every slice of a service that is no longer declared.
+    /// Commands that revoke and release every slice of a service that is no
+    /// longer declared.
     fn undeclared_changes(&self, name: &ServiceName) -> Vec<Command> {
         let (Some(leadership), Some(table)) = (&self.leadership, self.state.services.get(name))
         else {
@@ -181,8 +182,8 @@
         let now = self.now;
         let granter = &leadership.granter;
         let (available, unresponsive) = self.usable_servers(service, granter);
-        // Were the first server to answer alone in being available, it would
-        // be given everything.
+        // Otherwise the first server to reply would be the only available one
+        // and would be assigned every slice.
         let awaited = unresponsive
             .iter()
             .any(|name| granter.is_first_reply_pending(now, name, FIRST_REPLY_TIMEOUT));
@@ -213,7 +214,8 @@
         commands
     }
 
-    /// Servers that may be given slices, and those that only keep theirs.
+    /// Returns the servers that may be assigned slices, and the unresponsive ones
+    /// that only keep theirs.
     fn usable_servers(
         &self,
         service: &ServiceDeclaration,
@@ -225,17 +227,17 @@
             .iter()
             .map(|server| &server.name)
             .filter(|name| !drains || !self.state.is_leaving(name));
-        let (available, silent): (Vec<ServerName>, Vec<ServerName>) = staying
+        let (available, unresponsive): (Vec<ServerName>, Vec<ServerName>) = staying
             .cloned()
             .partition(|name| granter.is_answering(self.now, name));
-        (available, silent)
+        (available, unresponsive)
     }
 
-    /// Takes back the slices of servers that are silent and whose grants lapsed,
-    /// or that are leaving.
+    /// Commands that revoke the slices of servers that are no longer declared,
+    /// are unresponsive with expired grants, or are leaving without a grant.
     fn revoke_from_lost_servers(&mut self, service: &ServiceDeclaration) -> Vec<Command> {
         let now = self.now;
-        let patience = Duration::from_millis(service.reassign_after_millis);
+        let reassign_after = Duration::from_millis(service.reassign_after_millis);
         let (Some(leadership), Some(table)) =
             (&self.leadership, self.state.services.get(&service.name))
         else {
@@ -243,14 +245,14 @@
         };
         let settled = now.since(leadership.started) >= FIRST_REPLY_TIMEOUT;
         let lost = |server: &ServerName| {
-            // Nobody is served by a server that leaves and has no grant.
+            // A leaving server without a grant serves no requests.
             let leaves = self.config.guards.drains && self.state.is_leaving(server);
             if settled && leaves && !leadership.granter.is_granted(now, server) {
                 return true;
             }
             let unknown = service.servers.iter().all(|known| known.name != *server);
             let expired_since = leadership.granter.expired_since(now, server);
-            unknown || expired_since.is_some_and(|since| now.since(since) >= patience)
+            unknown || expired_since.is_some_and(|since| now.since(since) >= reassign_after)
         };
         let mut commands = Vec::new();
         for (range, slice) in table.iter() {
@@ -274,7 +276,7 @@
         commands
     }
 
-    /// Gives revoked slices that are free to the servers they were meant for.
+    /// Commands that assign released slices to their intended servers.
     fn assign_released_slices(
         &self,
         service: &ServiceDeclaration,
@@ -330,5 +332,5 @@
     }
 }
 
-/// The policy that plans for operators are made with.
+/// The placement policy of plans for operators.
 pub(crate) const PLANNING_POLICY: Policy = Policy::Balanced;
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what a declaration would change, before anyone confirms it.
+//! Plans: the effects of a declaration, computed before it is confirmed.
 
 use crate::placing::{Loads, PLANNING_POLICY, slice_loads};
 use beamtray_ownership::{Command, CommandBatch, ControlState, Ownership, SliceTable};
@@ -9,44 +9,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rounds of placement that a plan looks ahead.
+/// Maximum number of placement rounds that a plan simulates.
 const MAX_ROUNDS: usize = 2_000;
 
-/// What confirming a declaration would change.
+/// The effects of confirming a declaration.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 pub struct PlanReport {
-    /// Revision that the plan is made on; confirming needs it in force still.
+    /// Revision that the plan is based on; confirmation requires that it is
+    /// still active.
     pub base: u64,
-    /// The declaration planned.
+    /// The planned declaration.
     pub declaration: Declaration,
-    /// What changes, in words.
+    /// Descriptions of the changes.
     pub changes: Vec<String>,
-    /// What it means for each keyed service.
+    /// The effects on each keyed service.
     pub services: Vec<ServicePlan>,
 }
 
-/// What a plan means for one keyed service.
+/// The effects of a plan on one keyed service.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 pub struct ServicePlan {
     /// The service.
     pub service: String,
-    /// Slices that would have another owner.
+    /// Number of slices that would change owner.
     pub slices_moved: u32,
-    /// Slices in all.
+    /// Total number of slices.
     pub slices: u32,
-    /// Share of the keys that would have another owner, from 0 to 1.
+    /// Fraction of the keys that would change owner, from 0 to 1.
     pub keys_moved: f64,
-    /// Busiest server over the mean, now.
+    /// Current ratio of the busiest server's load to the mean.
     pub load_imbalance_before: f64,
-    /// The same after the moves.
+    /// The same ratio after the moves.
     pub load_imbalance_after: f64,
-    /// Largest server's share of keys over the mean, now.
+    /// Current ratio of the largest share of keys of a server to the mean.
     pub key_imbalance_before: f64,
-    /// The same after the moves.
+    /// The same ratio after the moves.
     pub key_imbalance_after: f64,
 }
 
-/// Plans `declaration` on `state`.
+/// Plans the change from `state` to `declaration`.
 pub(crate) fn plan_report(
     state: &ControlState,
     loads: Option<&Loads>,
@@ -136,8 +137,8 @@
     ownership.holder().cloned()
 }
 
-/// Carries out moves at once until none is left. Splits are left out: they
-/// depend on load that is yet to come.
+/// Applies planned moves until none is left. Splits are ignored because they
+/// depend on future load.
 fn apply_moves_until_stable(input: &mut PlacementInput) {
     for _ in 0..MAX_ROUNDS {
         let mut moved = false;
@@ -156,7 +157,7 @@
     }
 }
 
-/// The differences between two declarations, a line each.
+/// Describes the differences between two declarations, one per line.
 pub(crate) fn describe_changes(old: &Declaration, new: &Declaration) -> Vec<String> {
     let mut lines = Vec::new();
     let names: BTreeSet<_> = old
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -1,9 +1,10 @@
-//! Keeping the group at its number of voters, spread over zones.
+//! Maintains the target number of voters, spread over zones.
 //!
-//! A voter that is lost or leaves is replaced by a live node: the newcomer
-//! first learns the log, then gets a vote, then the old voter loses its own.
-//! Each step that changes votes is written to the founding record before it is
-//! proposed, and the record is trimmed once the step is committed.
+//! A voter that is lost or leaving is replaced by a live node: the new node
+//! first joins as a learner, then becomes a voter, and then the old voter is
+//! removed. Each change of the voter set is written to the founding record
+//! before it is proposed, and the previous set is removed from the record once
+//! the change is committed.
 
 use crate::core::{LeaderPurpose, NodeCore, Purpose};
 use crate::event::{Event, Level};
@@ -15,21 +16,22 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between looks at the voters.
+/// Interval between checks of the voters.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence after which a voter counts as lost.
+/// Time without an answer after which a voter is considered lost.
 const VOTER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A member that answered within this time is in touch.
+/// A member that answered within this time is considered responsive.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// A learner this close to the leader's log may get a vote.
+/// Maximum number of entries a learner may lag behind the leader's commit index
+/// to become a voter.
 const CAUGHT_UP_ENTRIES: u64 = 16;
 
-/// A change of voters under way.
+/// State of a voter change.
 #[derive(Clone, Debug)]
 pub(crate) struct VoterChange {
     due: Time,
     busy: bool,
-    /// The record as last read or written, with its version.
+    /// The founding record last read or written, with its version.
     record: Option<(u64, FoundingRecord)>,
     wanted: Option<BTreeSet<Member>>,
 }
@@ -73,7 +75,7 @@
         self.record_voters();
     }
 
-    /// Voters that no longer count on the node's side: lost or leaving.
+    /// Voters that are lost or leaving.
     fn failing_voters(&self, voters: &BTreeSet<Member>) -> BTreeSet<Member> {
         let (Some(leadership), Some(raft)) = (&self.leadership, &self.raft) else {
             return BTreeSet::new();
@@ -86,13 +88,16 @@
             let replaced = node.is_some_and(|node| node.member.incarnation > member.incarnation);
             let leaving = node.is_some_and(|node| node.leaving);
             let answered = raft.last_answer(*member).unwrap_or(leadership.started);
-            let silent = self.now.since(answered.max(leadership.started)) > VOTER_TIMEOUT;
-            replaced || leaving || silent || leadership.is_machine_reclaimed(&machine_name(*member))
+            let unresponsive = self.now.since(answered.max(leadership.started)) > VOTER_TIMEOUT;
+            replaced
+                || leaving
+                || unresponsive
+                || leadership.is_machine_reclaimed(&machine_name(*member))
         };
         voters.iter().copied().filter(failing).collect()
     }
 
-    /// Live nodes that could vote, with their zones.
+    /// Live nodes that could become voters, with their zones.
     fn candidates(&self, voters: &BTreeSet<Member>) -> Vec<(Member, Zone)> {
         let Some(leadership) = &self.leadership else {
             return Vec::new();
@@ -106,7 +111,7 @@
             .collect()
     }
 
-    /// The learners that there should be, when there are others.
+    /// The desired learners, if they differ from the current ones.
     fn wanted_learners(&self) -> Option<BTreeSet<Member>> {
         let membership = self.raft.as_ref()?.membership();
         let failing = self.failing_voters(&membership.voters);
@@ -135,11 +140,11 @@
             voters: raft.membership().voters.clone(),
             learners,
         };
-        // A refusal is tried again at the next look.
+        // A rejected proposal is retried at the next check.
         let _ = raft.propose_membership(now, next);
     }
 
-    /// The voters after the next step, when a step is due.
+    /// The voters after the next change, if one is due.
     fn wanted_voters(&self) -> Option<BTreeSet<Member>> {
         let raft = self.raft.as_ref()?;
         let membership = raft.membership();
@@ -160,8 +165,8 @@
             .find(|member| *member != self.config.me)?;
         let leaving = self.leadership.as_ref()?.nodes.get(&removable.node);
         let leaving = leaving.is_some_and(|node| node.leaving && node.member == removable);
-        // A lost voter stays until another has taken its place: the group's
-        // majority does not shrink by accident.
+        // A lost voter remains until it has been replaced, so that the size of the
+        // majority never shrinks unintentionally.
         let spare = membership.voters.len() > self.config.voters;
         let smaller = leaving && membership.voters.len() > 1 && membership.learners.is_empty();
         if !spare && !smaller {
@@ -171,14 +176,14 @@
         Some(next).filter(|next| self.has_answering_majority(next))
     }
 
-    /// Whether a member answered the log's leader just now.
+    /// Whether a member answered the leader recently.
     fn answers(&self, member: Member) -> bool {
         let answered = self.raft.as_ref().and_then(|raft| raft.last_answer(member));
         member == self.config.me || answered.is_some_and(|at| self.now.since(at) < ANSWER_TIMEOUT)
     }
 
-    /// Whether a change would leave a majority that answers. One that does not
-    /// could never be committed, and the group would stand still.
+    /// Whether a majority of `voters` is responsive. A change without one could
+    /// never be committed, and the group would stop making progress.
     fn has_answering_majority(&self, voters: &BTreeSet<Member>) -> bool {
         let answering = voters
             .iter()
@@ -187,8 +192,8 @@
         answering > voters.len() / 2
     }
 
-    /// Brings the founding record in line: with the wanted voters beside the
-    /// present ones, or with the present ones alone.
+    /// Updates the founding record to hold the current voters and, if a change is
+    /// wanted, the next ones. Proposes the change once the record is written.
     fn record_voters(&mut self) {
         let Some(present) = self
             .raft
@@ -267,7 +272,7 @@
             return;
         };
         if record.generation > generation {
-            // The group was founded again without this leader.
+            // A new generation was founded without this leader.
             self.founding.read_soon(self.now);
             return;
         }
