--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -66,7 +66,7 @@
     /// A change of voters is recorded in the founding record before it takes
     /// effect.
     pub records_voters: bool,
-    /// Leaving servers receive no new slices.
+    /// Leaving servers are drained and receive no new slices.
     pub drains: bool,
 }
 
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -165,11 +165,14 @@
 
 impl NodeCore {
     pub(crate) fn tick_founding(&mut self) {
-        let quiet = self
+        let no_recent_contact = self
             .contact
             .is_none_or(|at| self.now.since(at) > CONTACT_TIMEOUT);
-        self.founding.track_leader_search(self.now, quiet);
-        if (!quiet && !self.founding.newer_generation_reported) || self.stopping.is_some() {
+        self.founding
+            .track_leader_search(self.now, no_recent_contact);
+        if (!no_recent_contact && !self.founding.newer_generation_reported)
+            || self.stopping.is_some()
+        {
             self.founding.majority_lost_since = None;
             return;
         }
@@ -278,11 +281,11 @@
     fn refound_if_lost(&mut self, version: u64, record: &FoundingRecord) {
         self.abandon_if_stalled(record);
         let excluded = |member: &Member| self.is_excluded(*member, record.generation);
-        let all_lost = record
+        let no_majority_left = record
             .voters
             .iter()
             .all(|voters| lacks_majority(voters, &excluded));
-        if !all_lost && self.config.guards.refounding_wait {
+        if !no_majority_left && self.config.guards.refounding_wait {
             self.founding.majority_lost_since = None;
             return;
         }
@@ -312,12 +315,12 @@
     /// recorded set of voters can have a majority elsewhere.
     fn abandon_if_stalled(&mut self, record: &FoundingRecord) {
         let generation = record.generation;
-        let votes = self.raft_generation == generation && self.raft.is_some();
+        let is_participant = self.raft_generation == generation && self.raft.is_some();
         let leaderless = self
             .founding
             .leaderless_since
             .is_some_and(|since| self.now.since(since) > ABANDON_TIMEOUT);
-        if !votes || !leaderless {
+        if !is_participant || !leaderless {
             return;
         }
         let excluded =
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeSet;
 
 /// Log length above which the log is compacted into a snapshot.
-const LOG_ENTRIES_KEPT: usize = 512;
+const LOG_COMPACTION_THRESHOLD: usize = 512;
 /// Index of a generation's initial snapshot. Greater than 0, so that a member
 /// that starts empty is always sent the snapshot.
 pub(crate) const FOUNDING_INDEX: LogIndex = LogIndex(1);
@@ -222,7 +222,7 @@
     fn compact_log(&mut self) {
         let Some(raft) = &mut self.raft else { return };
         let same = self.raft_generation == self.generation;
-        if same && raft.log_len() > LOG_ENTRIES_KEPT {
+        if same && raft.log_len() > LOG_COMPACTION_THRESHOLD {
             raft.compact(self.state.applied, encode_state(&self.state));
         }
     }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -117,8 +117,8 @@
         })
     }
 
-    /// Returns the entries not sent yet; `None` if there are none or they are no
-    /// longer in the history.
+    /// Returns the entries applied since the previous call; `None` on the first
+    /// call, if there are none, or if they are no longer in the history.
     pub(crate) fn take_unsent_entries(&mut self, applied: LogIndex) -> Option<Vec<FeedEntry>> {
         let from = self.sent_up_to.replace(applied)?;
         let entries = self.entries_after(from, applied)?;
--- a/crates/control/src/placing.rs
+++ b/crates/control/src/placing.rs
@@ -243,11 +243,11 @@
         else {
             return Vec::new();
         };
-        let settled = now.since(leadership.started) >= FIRST_REPLY_TIMEOUT;
-        let lost = |server: &ServerName| {
+        let first_replies_due = now.since(leadership.started) >= FIRST_REPLY_TIMEOUT;
+        let must_revoke = |server: &ServerName| {
             // A leaving server without a grant serves no requests.
             let leaves = self.config.guards.drains && self.state.is_leaving(server);
-            if settled && leaves && !leadership.granter.is_granted(now, server) {
+            if first_replies_due && leaves && !leadership.granter.is_granted(now, server) {
                 return true;
             }
             let unknown = service.servers.iter().all(|known| known.name != *server);
@@ -257,7 +257,7 @@
         let mut commands = Vec::new();
         for (range, slice) in table.iter() {
             if let Ownership::Owned { server, fence } = &slice.ownership
-                && lost(server)
+                && must_revoke(server)
             {
                 commands.push(Command::Revoke {
                     service: service.name.clone(),
--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -69,7 +69,8 @@
         /// Lowest hash of the lower slice.
         first: u64,
     },
-    /// Removes a service that is no longer declared and has no owned slices.
+    /// Removes a service that is no longer declared and whose slices are all
+    /// unassigned.
     DropService {
         /// The service.
         service: ServiceName,
--- a/crates/ownership/src/granter.rs
+++ b/crates/ownership/src/granter.rs
@@ -151,7 +151,7 @@
                 .or_insert_with(|| ServerLink::new(address, now, previous_grants_expire_at));
             if link.address != address {
                 link.address = address;
-                link.reset_run();
+                link.reset_process_state();
             }
             link.set_slices(now, set);
         }
@@ -209,14 +209,14 @@
         }
         let was_unresponsive = link
             .last_reply
-            .is_none_or(|heard| now.since(heard) >= self.config.renewal * 2);
+            .is_none_or(|last_heard_at| now.since(last_heard_at) >= self.config.renewal * 2);
         let removed_before = link.removed.len();
         if link.incarnation != Some(reply.incarnation) {
             // State from an earlier generation may lack the latest assignments,
             // so only grants of this generation are renewed.
             let same_generation = reply.version.generation == self.generation;
             let holding = reply.was_holding && same_generation;
-            link.handle_new_run(now, reply.incarnation, holding, guards);
+            link.handle_new_incarnation(now, reply.incarnation, holding, guards);
         }
         link.last_reply = Some(now);
         let newer = link
@@ -268,8 +268,8 @@
     /// one may still be valid.
     pub fn expired_since(&self, now: Time, server: &ServerName) -> Option<Time> {
         let link = self.links.get(server)?;
-        let heard = link.last_reply.unwrap_or(link.created);
-        let expired_at = (heard + self.config.grant_bound).max(link.expires_at);
+        let last_heard_at = link.last_reply.unwrap_or(link.created);
+        let expired_at = (last_heard_at + self.config.grant_bound).max(link.expires_at);
         (now >= expired_at).then_some(expired_at)
     }
 
@@ -296,7 +296,7 @@
     pub fn is_answering(&self, now: Time, server: &ServerName) -> bool {
         self.links.get(server).is_some_and(|link| {
             link.last_reply
-                .is_some_and(|heard| now.since(heard) < self.config.renewal * 2)
+                .is_some_and(|last_heard_at| now.since(last_heard_at) < self.config.renewal * 2)
         })
     }
 }
@@ -329,7 +329,7 @@
     }
 
     /// Discards what is known of the server's process after its address changed.
-    fn reset_run(&mut self) {
+    fn reset_process_state(&mut self) {
         self.incarnation = None;
         self.reading = None;
         self.acknowledged = 0;
@@ -404,7 +404,7 @@
     /// already waited for earlier incarnations, so its grants can be renewed at
     /// once. Otherwise it gets no grant until all grants that an earlier
     /// incarnation may hold have expired.
-    fn handle_new_run(
+    fn handle_new_incarnation(
         &mut self,
         now: Time,
         incarnation: Incarnation,
@@ -435,11 +435,11 @@
         let sequence = reply.version.index.0;
         self.acknowledged = self.acknowledged.max(sequence);
         for removed in &mut self.removed {
-            let quiet = !removed
+            let no_requests_in_flight = !removed
                 .ranges
                 .iter()
                 .any(|range| reply.releasing.iter().any(|other| other.overlaps(range)));
-            if sequence >= removed.sequence && (quiet || !waits_for_release) {
+            if sequence >= removed.sequence && (no_requests_in_flight || !waits_for_release) {
                 removed.released = true;
             }
         }
