--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RaftConfig {
     /// Between heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long the answers of a majority keep a leader's lease, counted from
     /// the sending of what they answer.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Least silence of a leader before an election, and how long a voter
     /// withholds its vote after word from a leader. Must exceed `lease`
     /// stretched by the largest clock drift, else two leaders can hold a lease.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Whether voters withhold votes during a leader's lease. Only a test that
     /// shows why turns it off.
     pub withhold_votes: bool,
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -10,7 +10,7 @@
     /// Whether a leader may hold a lease that this member's answers gave it.
     pub(crate) fn withholds_votes(&self, now: Time) -> bool {
         self.config.withhold_votes
-            && (now < self.leader_contact + self.config.election
+            && (now < self.leader_contact + self.config.election_timeout
                 || (self.role == Role::Leader && self.has_lease(now)))
     }
 
@@ -143,7 +143,7 @@
     /// that it has no vote any more.
     pub(crate) fn refresh_progress(&mut self) {
         let members: Vec<Member> = self.membership().all().collect();
-        if self.is_membership_settled() {
+        if self.is_membership_committed() {
             self.progress.retain(|member, _| members.contains(member));
         }
         let last = self.log.last_index();
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -48,7 +48,7 @@
         granted: bool,
     },
     /// Entries, or a heartbeat when there are none.
-    Append {
+    AppendEntries {
         /// Index before the first entry.
         previous_index: LogIndex,
         /// Term of that index.
@@ -71,7 +71,7 @@
         echoed: Time,
     },
     /// A whole state for a follower that is behind the leader's log.
-    Install {
+    InstallSnapshot {
         /// The state.
         snapshot: Snapshot,
         /// The leader's clock at sending.
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -121,7 +121,7 @@
     }
 
     /// Highest index known to be committed.
-    pub fn commit(&self) -> LogIndex {
+    pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Whether the last change of members is committed.
-    pub fn is_membership_settled(&self) -> bool {
+    pub fn is_membership_committed(&self) -> bool {
         self.log.membership().0 <= self.commit
     }
 
@@ -156,12 +156,12 @@
     }
 
     /// Highest index that `member` is known to hold. Leader only.
-    pub fn matched(&self, member: Member) -> Option<LogIndex> {
+    pub fn match_index(&self, member: Member) -> Option<LogIndex> {
         self.progress.get(&member).map(|progress| progress.matched)
     }
 
     /// When `member` last answered, by the sending time of what it answered.
-    pub fn last_answer(&self, member: Member) -> Option<Time> {
+    pub fn last_acknowledged(&self, member: Member) -> Option<Time> {
         self.progress.get(&member)?.answered
     }
 
@@ -184,7 +184,7 @@
         {
             return None;
         }
-        Some(self.quorum_answered()? + self.config.lease)
+        Some(self.quorum_answered()? + self.config.lease_duration)
     }
 
     /// Adds a command to the log.
@@ -209,7 +209,7 @@
         let ready = self.role == Role::Leader
             && self.transferring.is_none()
             && self.commit >= self.first_of_term
-            && self.is_membership_settled()
+            && self.is_membership_committed()
             && !next.voters.is_empty()
             && self.membership().is_single_step_to(&next);
         if !ready {
@@ -281,7 +281,7 @@
                 transfer,
             } => self.on_vote(now, from, term, (last_term, last_index), transfer),
             Body::VoteReply { granted } => self.on_vote_reply(now, from, term, granted),
-            Body::Append {
+            Body::AppendEntries {
                 previous_index,
                 previous_term,
                 entries,
@@ -298,7 +298,7 @@
                 matched,
                 echoed,
             } => self.on_append_reply(now, from, term, (accepted, matched), echoed),
-            Body::Install { snapshot, sent_at } => {
+            Body::InstallSnapshot { snapshot, sent_at } => {
                 if self.accept_leader(now, from, term, sent_at) {
                     self.on_install(from, snapshot, sent_at);
                 }
@@ -335,7 +335,7 @@
 
     pub(crate) fn reset_election(&mut self, now: Time) {
         let stretch = 1.0 + self.rng.random_range(0.0..ELECTION_SPREAD);
-        self.election_due = now + self.config.election.mul_f64(stretch);
+        self.election_due = now + self.config.election_timeout.mul_f64(stretch);
     }
 
     pub(crate) fn send(&mut self, to: Member, body: Body) {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -13,7 +13,7 @@
         }
         // A transfer that led to no election leaves this member leading.
         if let Some(since) = self.transferring
-            && now.since(since) > self.config.election * 2
+            && now.since(since) > self.config.election_timeout * 2
         {
             self.transferring = None;
         }
@@ -26,11 +26,11 @@
     /// that its clients look for another.
     fn lost_quorum(&self, now: Time) -> bool {
         let answered = self.quorum_answered().unwrap_or(self.elected_at);
-        now.since(answered.max(self.elected_at)) > self.config.election * 2
+        now.since(answered.max(self.elected_at)) > self.config.election_timeout * 2
     }
 
     pub(crate) fn replicate_all(&mut self, now: Time) {
-        self.heartbeat_due = now + self.config.heartbeat;
+        self.heartbeat_due = now + self.config.heartbeat_interval;
         let others: Vec<Member> = self
             .progress
             .keys()
@@ -51,14 +51,14 @@
         let Some(previous_term) = self.log.term_at(previous_index) else {
             let snapshot = self.log.snapshot.clone();
             let sent_at = now;
-            return self.send(to, Body::Install { snapshot, sent_at });
+            return self.send(to, Body::InstallSnapshot { snapshot, sent_at });
         };
         let entries = self.log.from(progress.next, MAX_APPEND_ENTRIES);
         let next = LogIndex(progress.next.0 + entries.len() as u64);
         if let Some(progress) = self.progress.get_mut(&to) {
             progress.next = next;
         }
-        let body = Body::Append {
+        let body = Body::AppendEntries {
             previous_index,
             previous_term,
             entries,
@@ -187,10 +187,10 @@
         if self.log.term_at(index) == Some(self.term) {
             self.advance_commit(index);
         }
-        if self.role == Role::Leader && self.is_membership_settled() {
+        if self.role == Role::Leader && self.is_membership_committed() {
             self.refresh_progress();
         }
-        let removed = self.is_membership_settled() && !self.is_voter();
+        let removed = self.is_membership_committed() && !self.is_voter();
         if self.role == Role::Leader && removed {
             let (now, term) = (self.heartbeat_due, self.term);
             self.become_follower(now, term);
@@ -201,7 +201,7 @@
         if member == self.me {
             return self.log.last_index();
         }
-        self.matched(member).unwrap_or_default()
+        self.match_index(member).unwrap_or_default()
     }
 
     /// The latest moment such that a majority answered something sent then or
@@ -215,7 +215,7 @@
                 if *member == self.me {
                     return Some(Time(u64::MAX / 2));
                 }
-                self.last_answer(*member)
+                self.last_acknowledged(*member)
             })
             .collect();
         answered.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/consensus/tests/log/harness.rs
+++ b/crates/consensus/tests/log/harness.rs
@@ -35,9 +35,9 @@
     pub fn new(count: u32, seed: u64, withhold_votes: bool) -> Self {
         let voters: Vec<Member> = (1..=count).map(member).collect();
         let config = RaftConfig {
-            heartbeat: Duration::from_millis(150),
-            lease: Duration::from_millis(600),
-            election: Duration::from_millis(700),
+            heartbeat_interval: Duration::from_millis(150),
+            lease_duration: Duration::from_millis(600),
+            election_timeout: Duration::from_millis(700),
             withhold_votes,
             seed,
         };
--- a/crates/consensus/tests/log/main.rs
+++ b/crates/consensus/tests/log/main.rs
@@ -118,7 +118,7 @@
     let leader = group.leader().expect("a leader");
     let now = group.now;
     let raft = group.members.get_mut(&leader).expect("a member");
-    raft.compact(raft.commit(), vec![42]);
+    raft.compact(raft.commit_index(), vec![42]);
     let newcomer = member(4);
     let learners = Membership {
         voters: raft.membership().voters.clone(),
@@ -129,7 +129,7 @@
     group.start(newcomer, Snapshot::default());
     group.run(SETTLE);
     let raft = group.members.get_mut(&leader).expect("a member");
-    assert_eq!(raft.matched(newcomer), Some(raft.last_index()));
+    assert_eq!(raft.match_index(newcomer), Some(raft.last_index()));
     let mut voters = raft.membership().voters.clone();
     voters.insert(newcomer);
     let now = group.now;
@@ -156,7 +156,7 @@
     group.propose(1);
     group.run(Duration::from_millis(100));
     assert_eq!(group.commands(member(1)), vec![1]);
-    assert!(group.members[&member(1)].commit() > LogIndex(1));
+    assert!(group.members[&member(1)].commit_index() > LogIndex(1));
 }
 
 /// Fixed, so that every run draws the same cases.
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -93,8 +93,8 @@
     pub fn new(config: ControlConfig, now: Time) -> Self {
         let router = Router::new(RouterConfig {
             seed: config.seed,
-            keeps_unknown: config.guards.keeps_unknown,
-            drops_duplicates: config.guards.drops_duplicates,
+            track_unknown_outcomes: config.guards.keeps_unknown,
+            drop_duplicate_attempts: config.guards.drops_duplicates,
         });
         Self {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
@@ -130,7 +130,8 @@
             Input::Peer { from, message } => self.on_peer(from, message),
             Input::Unsent { to, message } => self.on_unsent(to, message),
             Input::PeerLost { node } => {
-                let outputs = self.route(|router, now, view| router.on_node_lost(now, view, node));
+                let outputs =
+                    self.route(|router, now, view| router.on_node_disconnected(now, view, node));
                 self.carry(outputs);
             }
             Input::Caller { id, request } => {
@@ -139,7 +140,8 @@
                 self.carry(outputs);
             }
             Input::CallerGone { id } => {
-                let outputs = self.route(|router, now, view| router.on_caller_gone(now, view, id));
+                let outputs =
+                    self.route(|router, now, view| router.on_caller_disconnected(now, view, id));
                 self.carry(outputs);
             }
             Input::CallResult { call, outcome } => {
@@ -337,7 +339,7 @@
 
     /// To be called whenever `state` changed.
     pub(crate) fn on_state_changed(&mut self) {
-        self.gates = GateMap::of(&self.state);
+        self.gates = GateMap::from_state(&self.state);
         let outputs = self.route(|router, now, view| router.tick(now, view));
         self.carry(outputs);
     }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -23,9 +23,9 @@
 impl NodeCore {
     fn raft_config(&mut self) -> RaftConfig {
         RaftConfig {
-            heartbeat: self.config.timing.heartbeat(),
-            lease: self.config.timing.leader_lease(),
-            election: self.config.timing.election(),
+            heartbeat_interval: self.config.timing.heartbeat(),
+            lease_duration: self.config.timing.leader_lease(),
+            election_timeout: self.config.timing.election(),
             withhold_votes: self.config.guards.withhold_votes,
             seed: self.rng.next_u64(),
         }
@@ -80,7 +80,10 @@
         }
         if generation > self.raft_generation {
             // Only a leader that counts this run as a member sends these.
-            let invited = matches!(message.body, Body::Append { .. } | Body::Install { .. });
+            let invited = matches!(
+                message.body,
+                Body::AppendEntries { .. } | Body::InstallSnapshot { .. }
+            );
             if !invited || message.to != self.config.me {
                 return;
             }
@@ -237,7 +240,7 @@
         let voters = raft.membership().voters.iter().copied();
         let successor = voters
             .filter(|member| *member != me)
-            .max_by_key(|member| (raft.matched(*member), raft.last_answer(*member)));
+            .max_by_key(|member| (raft.match_index(*member), raft.last_acknowledged(*member)));
         if let Some(successor) = successor {
             let handed = raft.transfer_leadership(now, successor).is_ok();
             let event = Event::new(Level::Info, "leadership_transfer")
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -51,7 +51,7 @@
         let settled = self
             .raft
             .as_ref()
-            .is_some_and(|raft| raft.is_membership_settled());
+            .is_some_and(|raft| raft.is_membership_committed());
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -85,7 +85,9 @@
             let node = leadership.nodes.get(&member.node);
             let replaced = node.is_some_and(|node| node.member.incarnation > member.incarnation);
             let leaving = node.is_some_and(|node| node.leaving);
-            let answered = raft.last_answer(*member).unwrap_or(leadership.started);
+            let answered = raft
+                .last_acknowledged(*member)
+                .unwrap_or(leadership.started);
             let silent = self.now.since(answered.max(leadership.started)) > VOTER_PATIENCE;
             replaced || leaving || silent || leadership.is_machine_gone(&machine_name(*member))
         };
@@ -147,8 +149,8 @@
         let healthy = membership.voters.len() - failing.len();
         let mut next = membership.voters.clone();
         let ready = membership.learners.iter().find(|member| {
-            let matched = raft.matched(**member).map_or(0, |index| index.0);
-            let near = matched > 0 && matched + CAUGHT_UP_ENTRIES >= raft.commit().0;
+            let matched = raft.match_index(**member).map_or(0, |index| index.0);
+            let near = matched > 0 && matched + CAUGHT_UP_ENTRIES >= raft.commit_index().0;
             near && self.answers(**member)
         });
         if let Some(member) = ready.filter(|_| healthy < self.config.voters) {
@@ -173,7 +175,10 @@
 
     /// Whether a member answered the log's leader just now.
     fn answers(&self, member: Member) -> bool {
-        let answered = self.raft.as_ref().and_then(|raft| raft.last_answer(member));
+        let answered = self
+            .raft
+            .as_ref()
+            .and_then(|raft| raft.last_acknowledged(member));
         member == self.config.me || answered.is_some_and(|at| self.now.since(at) < ANSWER_PATIENCE)
     }
 
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -68,15 +68,15 @@
     running: BTreeMap<CallId, Running>,
     cancelled: BTreeSet<AttemptId>,
     seen: BTreeMap<NodeId, (Incarnation, SeenTries)>,
-    drops_duplicates: bool,
+    drop_duplicate_attempts: bool,
     next_call: u64,
     pub(crate) load: LoadCounter,
 }
 
 impl Gate {
-    pub(crate) fn new(drops_duplicates: bool) -> Self {
+    pub(crate) fn new(drop_duplicate_attempts: bool) -> Self {
         Self {
-            drops_duplicates,
+            drop_duplicate_attempts,
             ..Self::default()
         }
     }
@@ -110,7 +110,7 @@
                 retry_after_micros: after.map(|after| after.as_micros() as u64),
             },
         };
-        if self.drops_duplicates && !self.is_new(forward.attempt) {
+        if self.drop_duplicate_attempts && !self.is_new(forward.attempt) {
             // The first copy is answered; a word about this one could be
             // taken for its answer.
             return;
--- a/crates/routing/src/gates.rs
+++ b/crates/routing/src/gates.rs
@@ -14,7 +14,7 @@
 
 impl GateMap {
     /// Computes the gates for a state.
-    pub fn of(state: &ControlState) -> Self {
+    pub fn from_state(state: &ControlState) -> Self {
         let mut gates = BTreeMap::new();
         for server in state.declaration.services.iter().flat_map(|s| &s.servers) {
             if let Some(node) = choose(&state.nodes, &server.name, &server.zone) {
--- a/crates/routing/src/ingress.rs
+++ b/crates/routing/src/ingress.rs
@@ -39,7 +39,7 @@
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
     rng: ChaCha8Rng,
     stopping: bool,
-    pub(crate) keeps_unknown: bool,
+    pub(crate) track_unknown_outcomes: bool,
 }
 
 impl Ingress {
@@ -53,7 +53,7 @@
             pools: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(config.seed),
             stopping: false,
-            keeps_unknown: config.keeps_unknown,
+            track_unknown_outcomes: config.track_unknown_outcomes,
         }
     }
 
@@ -125,7 +125,7 @@
         self.route(now, view, id, outputs);
     }
 
-    pub(crate) fn on_caller_gone(
+    pub(crate) fn on_caller_disconnected(
         &mut self,
         _now: Time,
         id: RequestId,
@@ -247,7 +247,7 @@
         }
     }
 
-    pub(crate) fn on_node_lost(
+    pub(crate) fn on_node_disconnected(
         &mut self,
         now: Time,
         view: &RoutingView,
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -119,12 +119,12 @@
         cause: &str,
         outputs: &mut Vec<RouterOutput>,
     ) {
-        let keeps_unknown = self.keeps_unknown;
+        let track_unknown_outcomes = self.track_unknown_outcomes;
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        pending.may_have_run |= keeps_unknown;
-        let repeatable = pending.repeatable || !keeps_unknown;
+        pending.may_have_run |= track_unknown_outcomes;
+        let repeatable = pending.repeatable || !track_unknown_outcomes;
         if repeatable && self.withdraw(id) {
             return self.retry(now, view, id, Duration::ZERO, outputs);
         }
@@ -188,7 +188,7 @@
         };
         let out = matches!(pending.stage, Stage::Out(ref attempt)
             if self.tries.remove(&attempt.id.number).is_some());
-        let may_have_run = pending.may_have_run || (out && self.keeps_unknown);
+        let may_have_run = pending.may_have_run || (out && self.track_unknown_outcomes);
         let run_state = if may_have_run {
             RunState::Unknown
         } else {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -32,10 +32,10 @@
     pub seed: u64,
     /// Whether a try that may have run is treated as such. Only a test that
     /// shows why turns it off.
-    pub keeps_unknown: bool,
+    pub track_unknown_outcomes: bool,
     /// Whether a gate drops a try that comes twice. Only a test that shows why
     /// turns it off.
-    pub drops_duplicates: bool,
+    pub drop_duplicate_attempts: bool,
 }
 
 /// What the owner of a [`Router`] must do.
@@ -96,7 +96,7 @@
     pub fn new(config: RouterConfig) -> Self {
         Self {
             ingress: Ingress::new(config),
-            gate: Gate::new(config.drops_duplicates),
+            gate: Gate::new(config.drop_duplicate_attempts),
         }
     }
 
@@ -145,14 +145,14 @@
     }
 
     /// A caller is gone.
-    pub fn on_caller_gone(
+    pub fn on_caller_disconnected(
         &mut self,
         now: Time,
         view: &RoutingView,
         id: RequestId,
     ) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
-        self.ingress.on_caller_gone(now, id, &mut outputs);
+        self.ingress.on_caller_disconnected(now, id, &mut outputs);
         self.settle(now, view, outputs)
     }
 
@@ -202,14 +202,15 @@
     }
 
     /// The connection to a node is gone: tries that it had are lost.
-    pub fn on_node_lost(
+    pub fn on_node_disconnected(
         &mut self,
         now: Time,
         view: &RoutingView,
         node: NodeId,
     ) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
-        self.ingress.on_node_lost(now, view, node, &mut outputs);
+        self.ingress
+            .on_node_disconnected(now, view, node, &mut outputs);
         self.settle(now, view, outputs)
     }
 
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -60,8 +60,8 @@
     fn new() -> Self {
         let config = RouterConfig {
             seed: 1,
-            keeps_unknown: true,
-            drops_duplicates: true,
+            track_unknown_outcomes: true,
+            drop_duplicate_attempts: true,
         };
         let mut bench = Self {
             router: Router::new(config),
@@ -94,7 +94,7 @@
         let fence = Fence::new(Generation(1), Term(1), LogIndex(self.index));
         let commands = vec![command];
         self.state.apply(fence, &CommandBatch { commands });
-        self.gates = GateMap::of(&self.state);
+        self.gates = GateMap::from_state(&self.state);
     }
 
     fn owner_fence(&self) -> Option<Fence> {
@@ -310,7 +310,7 @@
         bench.request(at(0), id, request("accounts", "GET"));
     }
     assert_eq!(bench.router.queued(), 1);
-    bench.with(|router, view| router.on_caller_gone(at(1), view, RequestId(2)));
+    bench.with(|router, view| router.on_caller_disconnected(at(1), view, RequestId(2)));
     assert_eq!(bench.router.queued(), 0);
 }
 
@@ -391,8 +391,8 @@
 #[test]
 fn nodes_with_one_view_agree_on_gates() {
     let bench = Bench::new();
-    let one = GateMap::of(&bench.state).get(&ServerName::from("a1"));
-    let other = GateMap::of(&bench.state.clone()).get(&ServerName::from("a1"));
+    let one = GateMap::from_state(&bench.state).get(&ServerName::from("a1"));
+    let other = GateMap::from_state(&bench.state.clone()).get(&ServerName::from("a1"));
     assert_eq!(one, other);
     assert_eq!(one, Some(ME.node));
 }
