--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -22,6 +22,6 @@
 }
 
 /// Election timeouts spread from the least to this multiple of it.
-pub(crate) const ELECTION_SPREAD: f64 = 0.6;
+pub(crate) const ELECTION_TIMEOUT_SPREAD: f64 = 0.6;
 /// Most entries that one message carries.
 pub(crate) const MAX_APPEND_ENTRIES: usize = 512;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -10,7 +10,7 @@
     /// Whether a leader may hold a lease that this member's answers gave it.
     pub(crate) fn withholds_votes(&self, now: Time) -> bool {
         self.config.withhold_votes
-            && (now < self.leader_contact + self.config.election_timeout
+            && (now < self.last_leader_contact + self.config.election_timeout
                 || (self.role == Role::Leader && self.has_lease(now)))
     }
 
@@ -22,7 +22,7 @@
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = [self.me].into();
-        self.reset_election(now);
+        self.reset_election_timer(now);
         if self.has_majority() {
             return self.start_election(now, false);
         }
@@ -64,11 +64,11 @@
         self.voted_for = Some(self.me);
         self.leader = None;
         self.votes = [self.me].into();
-        self.reset_election(now);
+        self.reset_election_timer(now);
         if self.has_majority() {
             return self.become_leader(now);
         }
-        let body = Body::Vote {
+        let body = Body::RequestVote {
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
             transfer,
@@ -84,14 +84,14 @@
         (last_term, last_index): (Term, LogIndex),
         transfer: bool,
     ) {
-        let free = self.voted_for.is_none_or(|member| member == from);
+        let may_vote_for = self.voted_for.is_none_or(|member| member == from);
         let granted = term == self.term
-            && free
+            && may_vote_for
             && (transfer || !self.withholds_votes(now))
             && self.is_up_to_date(last_term, last_index);
         if granted {
             self.voted_for = Some(from);
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         self.send(from, Body::VoteReply { granted });
     }
@@ -116,9 +116,9 @@
         self.role = Role::Leader;
         self.leader = Some(self.me);
         self.elected_at = now;
-        self.transferring = None;
+        self.transfer_started_at = None;
         self.progress.clear();
-        self.first_of_term = self.log.push(self.term, Payload::Noop);
+        self.first_index_of_term = self.log.push(self.term, Payload::Noop);
         self.refresh_progress();
         self.replicate_all(now);
     }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -77,13 +77,13 @@
         self.entries.get(position as usize)
     }
 
-    /// Entries from `first` on, at most `most`.
-    pub(crate) fn from(&self, first: LogIndex, most: usize) -> Vec<Entry> {
+    /// Entries from `first` on, at most `limit`.
+    pub(crate) fn entries_from(&self, first: LogIndex, limit: usize) -> Vec<Entry> {
         let skipped = first.0.saturating_sub(self.snapshot.index.0 + 1) as usize;
         self.entries
             .iter()
             .skip(skipped)
-            .take(most)
+            .take(limit)
             .cloned()
             .collect()
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -33,7 +33,7 @@
         granted: bool,
     },
     /// Asks for a vote.
-    Vote {
+    RequestVote {
         /// Last index of the candidate's log.
         last_index: LogIndex,
         /// Term of that entry.
@@ -62,13 +62,13 @@
     },
     /// Answers an append or a snapshot.
     AppendReply {
-        /// Whether the follower's log now matches up to `matched`.
+        /// Whether the follower's log now matches up to `match_index`.
         accepted: bool,
         /// Highest index known to match, or on refusal the highest at which
         /// the follower's log could match.
-        matched: LogIndex,
+        match_index: LogIndex,
         /// `sent_at` of what is answered.
-        echoed: Time,
+        echoed_sent_at: Time,
     },
     /// A whole state for a follower that is behind the leader's log.
     InstallSnapshot {
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -5,19 +5,19 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     /// Highest index known to match the leader's log.
-    pub(crate) matched: LogIndex,
+    pub(crate) match_index: LogIndex,
     /// Next index to send.
-    pub(crate) next: LogIndex,
+    pub(crate) next_index: LogIndex,
     /// Latest `sent_at` that the follower answered, on the leader's clock.
-    pub(crate) answered: Option<Time>,
+    pub(crate) last_acknowledged: Option<Time>,
 }
 
 impl Progress {
     pub(crate) fn starting_after(last: LogIndex) -> Self {
         Self {
-            matched: LogIndex(0),
-            next: last.next(),
-            answered: None,
+            match_index: LogIndex(0),
+            next_index: last.next(),
+            last_acknowledged: None,
         }
     }
 }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,6 +1,6 @@
 //! A member's state, its public operations and its timers.
 
-use crate::config::{ELECTION_SPREAD, RaftConfig};
+use crate::config::{ELECTION_TIMEOUT_SPREAD, RaftConfig};
 use crate::log::{Entry, Log, Payload, Snapshot};
 use crate::membership::Membership;
 use crate::message::{Body, Message};
@@ -52,17 +52,17 @@
     applied: LogIndex,
     /// Last word from a leader. Starts at creation: a member that does not yet
     /// know whether a leader holds a lease must assume so.
-    pub(crate) leader_contact: Time,
-    pub(crate) election_due: Time,
-    pub(crate) heartbeat_due: Time,
+    pub(crate) last_leader_contact: Time,
+    pub(crate) election_deadline: Time,
+    pub(crate) next_heartbeat_at: Time,
     pub(crate) votes: BTreeSet<Member>,
     pub(crate) progress: BTreeMap<Member, Progress>,
     /// Index of this leader's first entry; until it is committed the leader
     /// may not know of everything that is.
-    pub(crate) first_of_term: LogIndex,
+    pub(crate) first_index_of_term: LogIndex,
     /// When this leader was elected.
     pub(crate) elected_at: Time,
-    pub(crate) transferring: Option<Time>,
+    pub(crate) transfer_started_at: Option<Time>,
     pub(crate) outputs: Vec<Output>,
     rng: ChaCha8Rng,
 }
@@ -81,17 +81,17 @@
             commit: snapshot.index,
             applied: snapshot.index,
             log: Log::new(snapshot),
-            leader_contact: now,
-            election_due: now,
-            heartbeat_due: now,
+            last_leader_contact: now,
+            election_deadline: now,
+            next_heartbeat_at: now,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
-            first_of_term: LogIndex(0),
+            first_index_of_term: LogIndex(0),
             elected_at: now,
-            transferring: None,
+            transfer_started_at: None,
             outputs: Vec::new(),
         };
-        raft.reset_election(now);
+        raft.reset_election_timer(now);
         raft
     }
 
@@ -157,12 +157,14 @@
 
     /// Highest index that `member` is known to hold. Leader only.
     pub fn match_index(&self, member: Member) -> Option<LogIndex> {
-        self.progress.get(&member).map(|progress| progress.matched)
+        self.progress
+            .get(&member)
+            .map(|progress| progress.match_index)
     }
 
     /// When `member` last answered, by the sending time of what it answered.
     pub fn last_acknowledged(&self, member: Member) -> Option<Time> {
-        self.progress.get(&member)?.answered
+        self.progress.get(&member)?.last_acknowledged
     }
 
     /// Whether this member leads, knows all that is committed, and no other
@@ -179,12 +181,12 @@
     /// End of the lease, when this member leads and has had one.
     pub fn lease_until(&self) -> Option<Time> {
         if self.role != Role::Leader
-            || self.transferring.is_some()
-            || self.commit < self.first_of_term
+            || self.transfer_started_at.is_some()
+            || self.commit < self.first_index_of_term
         {
             return None;
         }
-        Some(self.quorum_answered()? + self.config.lease_duration)
+        Some(self.quorum_acknowledged_at()? + self.config.lease_duration)
     }
 
     /// Adds a command to the log.
@@ -192,7 +194,7 @@
     /// # Errors
     /// [`NotLeader`] when this member does not lead or hands leadership over.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Result<LogIndex, NotLeader> {
-        if self.role != Role::Leader || self.transferring.is_some() {
+        if self.role != Role::Leader || self.transfer_started_at.is_some() {
             return Err(NotLeader);
         }
         let index = self.log.push(self.term, Payload::Command(command));
@@ -207,8 +209,8 @@
     /// committed, this term has committed nothing yet, or the step is too long.
     pub fn propose_membership(&mut self, now: Time, next: Membership) -> Result<(), NotLeader> {
         let ready = self.role == Role::Leader
-            && self.transferring.is_none()
-            && self.commit >= self.first_of_term
+            && self.transfer_started_at.is_none()
+            && self.commit >= self.first_index_of_term
             && self.is_membership_committed()
             && !next.voters.is_empty()
             && self.membership().is_single_step_to(&next);
@@ -229,7 +231,7 @@
         if self.role != Role::Leader || !self.membership().voters.contains(&to) || to == self.me {
             return Err(NotLeader);
         }
-        self.transferring = Some(now);
+        self.transfer_started_at = Some(now);
         self.send(to, Body::TimeoutNow);
         Ok(())
     }
@@ -255,7 +257,7 @@
     pub fn tick(&mut self, now: Time) {
         match self.role {
             Role::Leader => self.tick_leader(now),
-            _ if now >= self.election_due && self.is_voter() => self.start_pre_vote(now),
+            _ if now >= self.election_deadline && self.is_voter() => self.start_pre_vote(now),
             _ => {}
         }
     }
@@ -265,7 +267,7 @@
         if message.to != self.me {
             return;
         }
-        if message.term > self.term && !self.keeps_term(now, &message.body) {
+        if message.term > self.term && !self.ignores_term(now, &message.body) {
             self.become_follower(now, message.term);
         }
         let (from, term) = (message.from, message.term);
@@ -275,7 +277,7 @@
                 last_term,
             } => self.on_pre_vote(now, from, term, last_index, last_term),
             Body::PreVoteReply { granted } => self.on_pre_vote_reply(now, from, term, granted),
-            Body::Vote {
+            Body::RequestVote {
                 last_index,
                 last_term,
                 transfer,
@@ -295,9 +297,9 @@
             }
             Body::AppendReply {
                 accepted,
-                matched,
-                echoed,
-            } => self.on_append_reply(now, from, term, (accepted, matched), echoed),
+                match_index,
+                echoed_sent_at,
+            } => self.on_append_reply(now, from, term, (accepted, match_index), echoed_sent_at),
             Body::InstallSnapshot { snapshot, sent_at } => {
                 if self.accept_leader(now, from, term, sent_at) {
                     self.on_install(from, snapshot, sent_at);
@@ -309,11 +311,11 @@
 
     /// Messages that must not raise this member's term: a pre-vote never does,
     /// nor does a vote asked for while a leader may hold its lease.
-    fn keeps_term(&self, now: Time, body: &Body) -> bool {
+    fn ignores_term(&self, now: Time, body: &Body) -> bool {
         match body {
             Body::PreVote { .. } => true,
             Body::PreVoteReply { granted } => *granted,
-            Body::Vote { transfer, .. } => !transfer && self.withholds_votes(now),
+            Body::RequestVote { transfer, .. } => !transfer && self.withholds_votes(now),
             _ => false,
         }
     }
@@ -328,14 +330,14 @@
             self.leader = None;
         }
         self.role = Role::Follower;
-        self.transferring = None;
+        self.transfer_started_at = None;
         self.progress.clear();
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(crate) fn reset_election(&mut self, now: Time) {
-        let stretch = 1.0 + self.rng.random_range(0.0..ELECTION_SPREAD);
-        self.election_due = now + self.config.election_timeout.mul_f64(stretch);
+    pub(crate) fn reset_election_timer(&mut self, now: Time) {
+        let factor = 1.0 + self.rng.random_range(0.0..ELECTION_TIMEOUT_SPREAD);
+        self.election_deadline = now + self.config.election_timeout.mul_f64(factor);
     }
 
     pub(crate) fn send(&mut self, to: Member, body: Body) {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -8,29 +8,29 @@
 
 impl Raft {
     pub(crate) fn tick_leader(&mut self, now: Time) {
-        if self.lost_quorum(now) {
+        if self.has_lost_quorum(now) {
             return self.become_follower(now, self.term);
         }
         // A transfer that led to no election leaves this member leading.
-        if let Some(since) = self.transferring
+        if let Some(since) = self.transfer_started_at
             && now.since(since) > self.config.election_timeout * 2
         {
-            self.transferring = None;
+            self.transfer_started_at = None;
         }
-        if now >= self.heartbeat_due {
+        if now >= self.next_heartbeat_at {
             self.replicate_all(now);
         }
     }
 
     /// Check-quorum: a leader that a majority no longer answers steps down, so
     /// that its clients look for another.
-    fn lost_quorum(&self, now: Time) -> bool {
-        let answered = self.quorum_answered().unwrap_or(self.elected_at);
+    fn has_lost_quorum(&self, now: Time) -> bool {
+        let answered = self.quorum_acknowledged_at().unwrap_or(self.elected_at);
         now.since(answered.max(self.elected_at)) > self.config.election_timeout * 2
     }
 
     pub(crate) fn replicate_all(&mut self, now: Time) {
-        self.heartbeat_due = now + self.config.heartbeat_interval;
+        self.next_heartbeat_at = now + self.config.heartbeat_interval;
         let others: Vec<Member> = self
             .progress
             .keys()
@@ -47,16 +47,18 @@
         let Some(progress) = self.progress.get(&to).copied() else {
             return;
         };
-        let previous_index = LogIndex(progress.next.0.saturating_sub(1));
+        let previous_index = LogIndex(progress.next_index.0.saturating_sub(1));
         let Some(previous_term) = self.log.term_at(previous_index) else {
             let snapshot = self.log.snapshot.clone();
             let sent_at = now;
             return self.send(to, Body::InstallSnapshot { snapshot, sent_at });
         };
-        let entries = self.log.from(progress.next, MAX_APPEND_ENTRIES);
-        let next = LogIndex(progress.next.0 + entries.len() as u64);
+        let entries = self
+            .log
+            .entries_from(progress.next_index, MAX_APPEND_ENTRIES);
+        let next = LogIndex(progress.next_index.0 + entries.len() as u64);
         if let Some(progress) = self.progress.get_mut(&to) {
-            progress.next = next;
+            progress.next_index = next;
         }
         let body = Body::AppendEntries {
             previous_index,
@@ -80,8 +82,8 @@
         if term < self.term {
             let body = Body::AppendReply {
                 accepted: false,
-                matched: LogIndex(0),
-                echoed: sent_at,
+                match_index: LogIndex(0),
+                echoed_sent_at: sent_at,
             };
             self.send(from, body);
             return false;
@@ -90,8 +92,8 @@
             self.become_follower(now, term);
         }
         self.leader = Some(from);
-        self.leader_contact = now;
-        self.reset_election(now);
+        self.last_leader_contact = now;
+        self.reset_election_timer(now);
         true
     }
 
@@ -105,21 +107,21 @@
         sent_at: Time,
     ) {
         let accepted = self.matches(previous);
-        let matched = if accepted {
+        let match_index = if accepted {
             // Only what this message vouches for may be confirmed or
             // committed: the log may hold more, from a leader since replaced.
-            let vouched = LogIndex(previous.0.0 + entries.len() as u64);
+            let last_verified = LogIndex(previous.0.0 + entries.len() as u64);
             self.log.merge(entries);
-            self.advance_commit(commit.min(vouched));
-            vouched
+            self.advance_commit(commit.min(last_verified));
+            last_verified
         } else {
             let before = LogIndex(previous.0.0.saturating_sub(1));
             before.min(self.log.last_index())
         };
         let body = Body::AppendReply {
             accepted,
-            matched,
-            echoed: sent_at,
+            match_index,
+            echoed_sent_at: sent_at,
         };
         self.send(from, body);
     }
@@ -135,8 +137,8 @@
         }
         let body = Body::AppendReply {
             accepted: true,
-            matched: self.commit,
-            echoed: sent_at,
+            match_index: self.commit,
+            echoed_sent_at: sent_at,
         };
         self.send(from, body);
     }
@@ -146,8 +148,8 @@
         now: Time,
         from: Member,
         term: Term,
-        (accepted, matched): (bool, LogIndex),
-        echoed: Time,
+        (accepted, match_index): (bool, LogIndex),
+        echoed_sent_at: Time,
     ) {
         if self.role != Role::Leader || term != self.term {
             return;
@@ -156,13 +158,13 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.answered = progress.answered.max(Some(echoed));
+        progress.last_acknowledged = progress.last_acknowledged.max(Some(echoed_sent_at));
         let behind = if accepted {
-            progress.matched = progress.matched.max(matched.min(last));
-            progress.next = progress.next.max(progress.matched.next());
-            progress.next <= last
+            progress.match_index = progress.match_index.max(match_index.min(last));
+            progress.next_index = progress.next_index.max(progress.match_index.next());
+            progress.next_index <= last
         } else {
-            progress.next = matched.next().max(progress.matched.next());
+            progress.next_index = match_index.next().max(progress.match_index.next());
             true
         };
         self.advance_leader_commit();
@@ -175,13 +177,13 @@
     /// earlier terms are committed only with it (Raft, section 5.4.2).
     fn advance_leader_commit(&mut self) {
         let membership = self.membership();
-        let mut matched: Vec<LogIndex> = membership
+        let mut match_indexes: Vec<LogIndex> = membership
             .voters
             .iter()
-            .map(|member| self.matched_index(*member))
+            .map(|member| self.match_index_of(*member))
             .collect();
-        matched.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(index) = matched.get(membership.quorum() - 1).copied() else {
+        match_indexes.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(index) = match_indexes.get(membership.quorum() - 1).copied() else {
             return;
         };
         if self.log.term_at(index) == Some(self.term) {
@@ -192,12 +194,12 @@
         }
         let removed = self.is_membership_committed() && !self.is_voter();
         if self.role == Role::Leader && removed {
-            let (now, term) = (self.heartbeat_due, self.term);
+            let (now, term) = (self.next_heartbeat_at, self.term);
             self.become_follower(now, term);
         }
     }
 
-    fn matched_index(&self, member: Member) -> LogIndex {
+    fn match_index_of(&self, member: Member) -> LogIndex {
         if member == self.me {
             return self.log.last_index();
         }
@@ -206,7 +208,7 @@
 
     /// The latest moment such that a majority answered something sent then or
     /// later.
-    pub(crate) fn quorum_answered(&self) -> Option<Time> {
+    pub(crate) fn quorum_acknowledged_at(&self) -> Option<Time> {
         let membership = self.membership();
         let mut answered: Vec<Option<Time>> = membership
             .voters
--- a/crates/consensus/tests/log/harness.rs
+++ b/crates/consensus/tests/log/harness.rs
@@ -21,13 +21,13 @@
     pub now: Time,
     pub members: BTreeMap<Member, Raft>,
     pub applied: BTreeMap<Member, Vec<Entry>>,
-    pub cuts: BTreeSet<(Member, Member)>,
+    pub blocked_links: BTreeSet<(Member, Member)>,
     pub paused: BTreeSet<Member>,
     /// Leaders of each term.
     pub leaders: BTreeMap<Term, BTreeSet<Member>>,
     /// Members that held a lease at the same moment, if ever.
-    pub shared_lease: Option<(Member, Member)>,
-    under_way: Vec<(Time, Message)>,
+    pub concurrent_leases: Option<(Member, Member)>,
+    in_flight: Vec<(Time, Message)>,
     config: RaftConfig,
 }
 
@@ -45,11 +45,11 @@
             now: Time(1_000_000),
             members: BTreeMap::new(),
             applied: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             paused: BTreeSet::new(),
             leaders: BTreeMap::new(),
-            shared_lease: None,
-            under_way: Vec::new(),
+            concurrent_leases: None,
+            in_flight: Vec::new(),
             config,
         };
         let snapshot = Snapshot {
@@ -85,12 +85,12 @@
     fn step(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            self.under_way.drain(..).partition(|(at, _)| *at <= now);
-        self.under_way = rest;
+            self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        self.in_flight = rest;
         for (_, message) in due {
             let to = message.to;
             if self.paused.contains(&to) {
-                self.under_way.push((now + STEP, message));
+                self.in_flight.push((now + STEP, message));
             } else if let Some(raft) = self.members.get_mut(&to) {
                 raft.handle(now, message);
             }
@@ -117,8 +117,8 @@
         for output in raft.take_outputs() {
             match output {
                 Output::Send(message) => {
-                    if !self.cuts.contains(&(from, message.to)) {
-                        self.under_way.push((self.now + DELAY, message));
+                    if !self.blocked_links.contains(&(from, message.to)) {
+                        self.in_flight.push((self.now + DELAY, message));
                     }
                 }
                 Output::Apply(entry) => self.applied.entry(from).or_default().push(entry),
@@ -136,22 +136,22 @@
             }
             if raft.has_lease(now) {
                 if let Some(other) = holder {
-                    self.shared_lease = Some((other, *member));
+                    self.concurrent_leases = Some((other, *member));
                 }
                 holder = Some(*member);
             }
         }
     }
 
-    pub fn cut(&mut self, one: Member, other: Member) {
-        self.cuts.insert((one, other));
-        self.cuts.insert((other, one));
+    pub fn block_link(&mut self, one: Member, other: Member) {
+        self.blocked_links.insert((one, other));
+        self.blocked_links.insert((other, one));
     }
 
     pub fn isolate(&mut self, one: Member) {
         let all: Vec<Member> = self.members.keys().copied().collect();
         for other in all {
-            self.cut(one, other);
+            self.block_link(one, other);
         }
     }
 
--- a/crates/consensus/tests/log/main.rs
+++ b/crates/consensus/tests/log/main.rs
@@ -8,11 +8,11 @@
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::time::Duration;
 
-const SETTLE: Duration = Duration::from_secs(3);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(3);
 
-fn settled(count: u32, seed: u64) -> Group {
+fn group_with_leader(count: u32, seed: u64) -> Group {
     let mut group = Group::new(count, seed, true);
-    group.run(SETTLE);
+    group.run(CONVERGENCE_TIME);
     assert!(group.leader().is_some(), "a leader is elected");
     group
 }
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn a_command_reaches_every_member_in_order() {
-    let mut group = settled(3, 1);
+fn commands_are_applied_in_order_by_every_member() {
+    let mut group = group_with_leader(3, 1);
     for command in 0..20 {
         assert!(group.propose(command).is_some());
     }
-    group.run(SETTLE);
+    group.run(CONVERGENCE_TIME);
     let expected: Vec<u8> = (0..20).collect();
     for node in 1..=3 {
         assert_eq!(group.commands(member(node)), expected);
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn a_minority_commits_nothing_and_rejoins() {
-    let mut group = settled(3, 2);
+fn isolated_leader_commits_nothing_and_rejoins() {
+    let mut group = group_with_leader(3, 2);
     let old = group.leader().expect("a leader");
     group.isolate(old);
     group
@@ -46,23 +46,23 @@
         .expect("a member")
         .propose(group.now, vec![9])
         .expect("it leads");
-    group.run(SETTLE);
+    group.run(CONVERGENCE_TIME);
     assert!(!group.commands(old).contains(&9));
     let new = group.leader().expect("the majority elects another");
     assert_ne!(new, old);
     group.propose(1);
-    group.cuts.clear();
-    group.run(SETTLE);
+    group.blocked_links.clear();
+    group.run(CONVERGENCE_TIME);
     assert_eq!(group.commands(old), vec![1]);
     assert!(group.agrees());
 }
 
 #[test]
-fn a_paused_leader_has_no_lease_when_it_returns() {
-    let mut group = settled(3, 3);
+fn lease_of_paused_leader_expires() {
+    let mut group = group_with_leader(3, 3);
     let old = group.leader().expect("a leader");
     group.paused.insert(old);
-    group.run(SETTLE);
+    group.run(CONVERGENCE_TIME);
     assert!(!group.members[&old].has_lease(group.now));
     assert_ne!(group.leader(), Some(old));
 }
@@ -71,46 +71,49 @@
 /// Without, two leaders hold a lease at once: the leader and another voter
 /// lose each other, and the third votes for the other at once.
 #[test]
-fn withheld_votes_keep_leases_apart() {
-    let shares = |withhold: bool, seed: u64| {
+fn withholding_votes_prevents_concurrent_leases() {
+    let leases_overlap = |withhold: bool, seed: u64| {
         let mut group = Group::new(3, seed, withhold);
-        group.run(SETTLE);
+        group.run(CONVERGENCE_TIME);
         let Some(leader) = group.leader() else {
             return false;
         };
         let other = others(&group, leader)[0];
-        group.cut(leader, other);
-        group.run(SETTLE);
-        group.shared_lease.is_some()
+        group.block_link(leader, other);
+        group.run(CONVERGENCE_TIME);
+        group.concurrent_leases.is_some()
     };
     assert!(
-        (1..=20).any(|seed| shares(false, seed)),
+        (1..=20).any(|seed| leases_overlap(false, seed)),
         "the guard matters"
     );
-    assert!((1..=100).all(|seed| !shares(true, seed)), "the guard holds");
+    assert!(
+        (1..=100).all(|seed| !leases_overlap(true, seed)),
+        "the guard holds"
+    );
 }
 
 #[test]
-fn leadership_is_handed_over_without_a_gap_in_the_log() {
-    let mut group = settled(3, 4);
+fn leadership_transfer_keeps_the_log_contiguous() {
+    let mut group = group_with_leader(3, 4);
     group.propose(1);
     group.run(Duration::from_millis(200));
     let old = group.leader().expect("a leader");
-    let heir = others(&group, old)[0];
+    let successor = others(&group, old)[0];
     let now = group.now;
     let raft = group.members.get_mut(&old).expect("a member");
-    raft.transfer_leadership(now, heir).expect("it leads");
+    raft.transfer_leadership(now, successor).expect("it leads");
     assert!(!raft.has_lease(now), "the lease is given up at once");
     group.run(Duration::from_millis(400));
-    assert_eq!(group.members[&heir].role(), Role::Leader);
+    assert_eq!(group.members[&successor].role(), Role::Leader);
     group.propose(2);
-    group.run(SETTLE);
+    group.run(CONVERGENCE_TIME);
     assert_eq!(group.commands(old), vec![1, 2]);
 }
 
 #[test]
-fn a_newcomer_learns_by_snapshot_and_then_votes() {
-    let mut group = settled(3, 5);
+fn learner_catches_up_by_snapshot_and_becomes_voter() {
+    let mut group = group_with_leader(3, 5);
     for command in 0..5 {
         group.propose(command);
         group.run(Duration::from_millis(200));
@@ -119,30 +122,30 @@
     let now = group.now;
     let raft = group.members.get_mut(&leader).expect("a member");
     raft.compact(raft.commit_index(), vec![42]);
-    let newcomer = member(4);
+    let learner = member(4);
     let learners = Membership {
         voters: raft.membership().voters.clone(),
-        learners: [newcomer].into(),
+        learners: [learner].into(),
     };
     raft.propose_membership(now, learners)
         .expect("a learner joins");
-    group.start(newcomer, Snapshot::default());
-    group.run(SETTLE);
+    group.start(learner, Snapshot::default());
+    group.run(CONVERGENCE_TIME);
     let raft = group.members.get_mut(&leader).expect("a member");
-    assert_eq!(raft.match_index(newcomer), Some(raft.last_index()));
+    assert_eq!(raft.match_index(learner), Some(raft.last_index()));
     let mut voters = raft.membership().voters.clone();
-    voters.insert(newcomer);
+    voters.insert(learner);
     let now = group.now;
     raft.propose_membership(now, Membership::of_voters(voters))
         .expect("it gets a vote");
-    group.run(SETTLE);
-    assert!(group.members[&newcomer].is_voter());
+    group.run(CONVERGENCE_TIME);
+    assert!(group.members[&learner].is_voter());
     assert!(group.agrees());
 }
 
 #[test]
-fn a_change_by_two_voters_is_refused() {
-    let mut group = settled(5, 6);
+fn membership_change_of_two_voters_is_refused() {
+    let mut group = group_with_leader(5, 6);
     let leader = group.leader().expect("a leader");
     let now = group.now;
     let raft = group.members.get_mut(&leader).expect("a member");
@@ -151,8 +154,8 @@
 }
 
 #[test]
-fn a_group_of_one_commits_alone() {
-    let mut group = settled(1, 7);
+fn single_voter_commits_without_replies() {
+    let mut group = group_with_leader(1, 7);
     group.propose(1);
     group.run(Duration::from_millis(100));
     assert_eq!(group.commands(member(1)), vec![1]);
@@ -170,7 +173,7 @@
 /// One leader a term, one lease at a time, and the same entries everywhere,
 /// whatever is cut or paused when.
 #[test]
-fn safety_holds_under_cuts_and_pauses() {
+fn safety_holds_with_blocked_links_and_pauses() {
     fn holds(seed: u64, script: Vec<(u8, u8, u8)>) -> TestResult {
         if script.len() > 12 {
             return TestResult::discard();
@@ -181,16 +184,16 @@
             let one = member(u32::from(one % 3) + 1);
             let other = member(u32::from(other % 3) + 1);
             match action % 5 {
-                0 => group.cut(one, other),
+                0 => group.block_link(one, other),
                 1 => {
-                    group.cuts.insert((one, other));
+                    group.blocked_links.insert((one, other));
                 }
                 2 => {
                     group.paused.insert(one);
                 }
                 3 => {
                     group.paused.remove(&one);
-                    group.cuts.clear();
+                    group.blocked_links.clear();
                 }
                 _ => {
                     group.propose(number as u8);
@@ -199,20 +202,20 @@
             group.run(Duration::from_millis(u64::from(action) * 8));
         }
         let one_leader = group.leaders.values().all(|leaders| leaders.len() == 1);
-        TestResult::from_bool(one_leader && group.shared_lease.is_none() && group.agrees())
+        TestResult::from_bool(one_leader && group.concurrent_leases.is_none() && group.agrees())
     }
     checker().quickcheck(holds as fn(u64, Vec<(u8, u8, u8)>) -> TestResult);
 }
 
 /// Whatever happened, once it is over the group goes on.
 #[test]
-fn the_group_recovers() {
+fn group_recovers_after_isolation() {
     fn recovers(seed: u64, isolated: u8) -> bool {
         let mut group = Group::new(3, seed % 1_000, true);
         group.run(Duration::from_secs(2));
         group.isolate(member(u32::from(isolated % 3) + 1));
         group.run(Duration::from_secs(3));
-        group.cuts.clear();
+        group.blocked_links.clear();
         group.run(Duration::from_secs(3));
         let proposed = group.propose(7).is_some();
         group.run(Duration::from_secs(2));
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -13,38 +13,38 @@
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Debug)]
-struct Queued {
+struct QueuedAttempt {
     origin: Member,
     forward: Forward,
-    expires: Time,
+    expires_at: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningCall {
     origin: Member,
     attempt: AttemptId,
     server: ServerName,
-    started: Time,
+    started_at: Time,
 }
 
 /// Tries of one ingress remembered, to tell a message that comes twice.
-const REMEMBERED_TRIES: usize = 16_384;
+const MAX_SEEN_ATTEMPTS: usize = 16_384;
 
 /// The tries seen of one run of an ingress. Numbers rise, so what lies below
 /// the remembered ones counts as seen.
 #[derive(Clone, Debug, Default)]
-struct SeenTries {
+struct SeenAttempts {
     floor: u64,
     numbers: BTreeSet<u64>,
 }
 
-impl SeenTries {
+impl SeenAttempts {
     /// Whether `number` is new.
     fn insert(&mut self, number: u64) -> bool {
         if number < self.floor || !self.numbers.insert(number) {
             return false;
         }
-        if self.numbers.len() > REMEMBERED_TRIES {
+        if self.numbers.len() > MAX_SEEN_ATTEMPTS {
             self.floor = self
                 .numbers
                 .pop_first()
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default)]
 struct Upstream {
     running: u32,
-    queue: VecDeque<Queued>,
+    queue: VecDeque<QueuedAttempt>,
     mean_service_seconds: f64,
 }
 
@@ -65,9 +65,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gate {
     upstreams: BTreeMap<ServerName, Upstream>,
-    running: BTreeMap<CallId, Running>,
+    running: BTreeMap<CallId, RunningCall>,
     cancelled: BTreeSet<AttemptId>,
-    seen: BTreeMap<NodeId, (Incarnation, SeenTries)>,
+    seen: BTreeMap<NodeId, (Incarnation, SeenAttempts)>,
     drop_duplicate_attempts: bool,
     next_call: u64,
     pub(crate) load: LoadCounter,
@@ -94,7 +94,7 @@
     }
 
     /// Takes a try in: sends it, queues it or says why not.
-    pub(crate) fn accept(
+    pub(crate) fn on_forward(
         &mut self,
         now: Time,
         view: &RoutingView,
@@ -129,12 +129,12 @@
         if let Some(hash) = forward.request.hash() {
             self.load.record(view.state, &service.name, hash);
         }
-        let expires = now + Duration::from_micros(forward.remaining_micros);
+        let expires_at = now + Duration::from_micros(forward.remaining_micros);
         let name = forward.server.clone();
-        upstream.queue.push_back(Queued {
+        upstream.queue.push_back(QueuedAttempt {
             origin,
             forward,
-            expires,
+            expires_at,
         });
         self.dispatch(now, view, &name, outputs);
     }
@@ -149,7 +149,7 @@
         }
         if incarnation > *known {
             *known = incarnation;
-            *seen = SeenTries::default();
+            *seen = SeenAttempts::default();
         }
         seen.insert(attempt.number)
     }
@@ -188,8 +188,8 @@
             }
             let reason = match declared {
                 None => Some(NotRunReason::NotGate),
-                Some(_) if now >= queued.expires => Some(NotRunReason::Expired),
-                Some(_) if is_outdated(view, &queued.forward) => Some(NotRunReason::NotOwner),
+                Some(_) if now >= queued.expires_at => Some(NotRunReason::Expired),
+                Some(_) if has_stale_fence(view, &queued.forward) => Some(NotRunReason::NotOwner),
                 Some(_) => None,
             };
             if let Some(reason) = reason {
@@ -211,15 +211,15 @@
             upstream.running += 1;
             self.running.insert(
                 call,
-                Running {
+                RunningCall {
                     origin: queued.origin,
                     attempt,
                     server: server.clone(),
-                    started: now,
+                    started_at: now,
                 },
             );
             let mut forward = queued.forward;
-            let timeout = Duration::from_micros(queued.expires.since(now).as_micros() as u64);
+            let timeout = Duration::from_micros(queued.expires_at.since(now).as_micros() as u64);
             forward.remaining_micros = timeout.as_micros() as u64;
             outputs.push(RouterOutput::Call {
                 call,
@@ -231,7 +231,7 @@
     }
 
     /// Takes the result of a call in and passes it to its ingress.
-    pub(crate) fn finished(
+    pub(crate) fn on_call_result(
         &mut self,
         now: Time,
         view: &RoutingView,
@@ -244,7 +244,7 @@
         };
         if let Some(upstream) = self.upstreams.get_mut(&running.server) {
             upstream.running = upstream.running.saturating_sub(1);
-            upstream.sample(now.since(running.started));
+            upstream.record_service_time(now.since(running.started_at));
         }
         if !self.cancelled.remove(&running.attempt) {
             outputs.push(RouterOutput::Result {
@@ -281,7 +281,7 @@
             }
             waiting.push(name.clone());
             upstream.queue.retain(|queued| {
-                let expired = now >= queued.expires;
+                let expired = now >= queued.expires_at;
                 if expired {
                     outputs.push(RouterOutput::Result {
                         to: queued.origin,
@@ -303,7 +303,7 @@
 
 /// Whether the slice of a try went to another owner, or is on its way, since
 /// its ingress looked. A gate whose view is the older one sends.
-fn is_outdated(view: &RoutingView, forward: &Forward) -> bool {
+fn has_stale_fence(view: &RoutingView, forward: &Forward) -> bool {
     let (Some(hash), Some(fence)) = (forward.request.hash(), forward.fence) else {
         return false;
     };
@@ -318,7 +318,7 @@
 }
 
 impl Upstream {
-    fn sample(&mut self, service_time: Duration) {
+    fn record_service_time(&mut self, service_time: Duration) {
         let seconds = service_time.as_secs_f64();
         self.mean_service_seconds += SERVICE_TIME_WEIGHT * (seconds - self.mean_service_seconds);
     }
--- a/crates/routing/src/gates.rs
+++ b/crates/routing/src/gates.rs
@@ -17,7 +17,7 @@
     pub fn from_state(state: &ControlState) -> Self {
         let mut gates = BTreeMap::new();
         for server in state.declaration.services.iter().flat_map(|s| &s.servers) {
-            if let Some(node) = choose(&state.nodes, &server.name, &server.zone) {
+            if let Some(node) = select_gate(&state.nodes, &server.name, &server.zone) {
                 gates.insert(server.name.clone(), node);
             }
         }
@@ -35,7 +35,7 @@
     }
 }
 
-fn choose(
+fn select_gate(
     nodes: &BTreeMap<NodeId, NodeRecord>,
     server: &ServerName,
     zone: &Zone,
--- a/crates/routing/src/ingress.rs
+++ b/crates/routing/src/ingress.rs
@@ -6,7 +6,7 @@
 
 use crate::budget::RetryBudget;
 use crate::message::{Answer, AttemptId, CallerRequest, Forward, RequestId, RunState};
-use crate::pending::{Pending, Stage, Try};
+use crate::pending::{Attempt, Pending, Stage};
 use crate::pool::Pool;
 use crate::router::{RouterConfig, RouterOutput, RoutingView};
 use beamtray_settings::{Division, ServiceDeclaration};
@@ -18,13 +18,13 @@
 
 /// Pause before a try that was refused for its owner or gate is made again,
 /// unless a new view comes first.
-pub(crate) const REROUTE_PAUSE: Duration = Duration::from_millis(20);
+pub(crate) const REROUTE_DELAY: Duration = Duration::from_millis(20);
 /// How long a try may stay out after its slice went to another owner. A
 /// planned move waits for what is in flight, so its answer is on the way; an
 /// owner that was lost will not answer.
-const SUPERSEDED_GRACE: Duration = Duration::from_millis(300);
+const SUPERSEDED_OWNER_GRACE: Duration = Duration::from_millis(300);
 /// When to come back while ownership is moving or the node is out of touch.
-const RETRY_AFTER_MOVE: Duration = Duration::from_millis(1_000);
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(1_000);
 /// When to come back to a node that is stopping: at once, elsewhere.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(100);
 
@@ -32,8 +32,8 @@
 #[derive(Debug)]
 pub(crate) struct Ingress {
     pub(crate) pending: BTreeMap<RequestId, Pending>,
-    pub(crate) tries: BTreeMap<u64, RequestId>,
-    next_try: u64,
+    pub(crate) attempts: BTreeMap<u64, RequestId>,
+    next_attempt: u64,
     pub(crate) waiting: BTreeMap<ServiceName, usize>,
     pub(crate) budgets: BTreeMap<ServiceName, RetryBudget>,
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
@@ -46,8 +46,8 @@
     pub(crate) fn new(config: RouterConfig) -> Self {
         Self {
             pending: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            next_try: 0,
+            attempts: BTreeMap::new(),
+            next_attempt: 0,
             waiting: BTreeMap::new(),
             budgets: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -87,7 +87,7 @@
         }
         if !view.fresh {
             let reason = "this node is out of touch with its control group";
-            return outputs.push(refuse(503, reason, Some(RETRY_AFTER_MOVE)));
+            return outputs.push(refuse(503, reason, Some(RETRY_AFTER_UNAVAILABLE)));
         }
         let Some(service) = view.state.declaration.service(&request.service) else {
             return outputs.push(refuse(404, "no such service", None));
@@ -99,9 +99,10 @@
                 None,
             ));
         }
-        let longest = Duration::from_millis(service.deadline_millis);
-        let asked = request.deadline_micros.map(Duration::from_micros);
-        let deadline = now + asked.map_or(longest, |asked| asked.min(longest));
+        let max_deadline = Duration::from_millis(service.deadline_millis);
+        let requested = request.deadline_micros.map(Duration::from_micros);
+        let deadline =
+            now + requested.map_or(max_deadline, |requested| requested.min(max_deadline));
         self.budgets
             .entry(service.name.clone())
             .or_insert_with(|| RetryBudget::new(service.retry_share))
@@ -114,7 +115,7 @@
             repeatable,
             deadline,
             may_have_run: false,
-            rerouted: 0,
+            reroutes: 0,
             stage: Stage::Waiting {
                 until: now,
                 view: 0,
@@ -134,8 +135,8 @@
         let Some(pending) = self.remove(id) else {
             return;
         };
-        if let Stage::Out(attempt) = pending.stage {
-            self.tries.remove(&attempt.id.number);
+        if let Stage::Sent(attempt) = pending.stage {
+            self.attempts.remove(&attempt.id.number);
             outputs.push(attempt.cancellation());
         }
     }
@@ -152,20 +153,20 @@
             return;
         };
         let Some(service) = view.state.declaration.service(&pending.request.service) else {
-            return self.give_up(id, 404, "the service is no longer declared", None, outputs);
+            return self.fail(id, 404, "the service is no longer declared", None, outputs);
         };
         if !view.fresh {
             // Old state may name a server that is drained or replaced.
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         }
-        let Some((server, fence)) = self.target(now, view, service, id) else {
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+        let Some((server, fence)) = self.select_upstream(now, view, service, id) else {
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         };
         let Some(gate) = view.gates.get(&server) else {
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         };
-        let number = self.next_try;
-        self.next_try += 1;
+        let number = self.next_attempt;
+        self.next_attempt += 1;
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -181,17 +182,17 @@
             repeatable: pending.repeatable,
             request: pending.request.clone(),
         };
-        pending.stage = Stage::Out(Try {
+        pending.stage = Stage::Sent(Attempt {
             id: attempt,
             gate,
             server: server.clone(),
             fence,
-            superseded: None,
+            superseded_since: None,
         });
-        self.uncount_waiting(&service.name);
-        self.tries.insert(number, id);
+        self.decrement_waiting(&service.name);
+        self.attempts.insert(number, id);
         if let Some(pool) = self.pools.get_mut(&service.name) {
-            pool.started(&server);
+            pool.record_start(&server);
         }
         outputs.push(RouterOutput::Forward { to: gate, forward });
     }
@@ -199,7 +200,7 @@
     /// The upstream for a request, and the fence of its ownership.
     ///
     /// A hash is taken of a keyed service's keys alone.
-    fn target(
+    fn select_upstream(
         &mut self,
         now: Time,
         view: &RoutingView,
@@ -225,23 +226,23 @@
 
     /// Lets a request wait for a new view or a pause, or refuses it when too
     /// many wait.
-    pub(crate) fn wait(
+    pub(crate) fn wait_for_route(
         &mut self,
         now: Time,
         view: &RoutingView,
         service: &ServiceDeclaration,
         id: RequestId,
-        pause: Duration,
+        delay: Duration,
         outputs: &mut Vec<RouterOutput>,
     ) {
         let waiting = self.waiting.get(&service.name).copied().unwrap_or(0);
         if waiting > service.queue as usize {
             let reason = "too many requests wait for an owner";
-            return self.give_up(id, 503, reason, Some(RETRY_AFTER_MOVE), outputs);
+            return self.fail(id, 503, reason, Some(RETRY_AFTER_UNAVAILABLE), outputs);
         }
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.stage = Stage::Waiting {
-                until: now + pause,
+                until: now + delay,
                 view: view.state.applied.0,
             };
         }
@@ -258,12 +259,12 @@
             .pending
             .iter()
             .filter_map(|(id, pending)| match &pending.stage {
-                Stage::Out(attempt) if attempt.gate == node => Some((*id, attempt.id.number)),
+                Stage::Sent(attempt) if attempt.gate == node => Some((*id, attempt.id.number)),
                 _ => None,
             })
             .collect();
         for (id, number) in lost {
-            self.tries.remove(&number);
+            self.attempts.remove(&number);
             self.on_lost(
                 now,
                 view,
@@ -294,11 +295,11 @@
             return;
         };
         if now >= pending.deadline {
-            if let Stage::Out(attempt) = &pending.stage {
+            if let Stage::Sent(attempt) = &pending.stage {
                 outputs.push(attempt.cancellation());
             }
             let reason = "the deadline passed";
-            return self.give_up(id, 504, reason, Some(RETRY_AFTER_MOVE), outputs);
+            return self.fail(id, 504, reason, Some(RETRY_AFTER_UNAVAILABLE), outputs);
         }
         match &mut pending.stage {
             Stage::Waiting { until, view: seen } => {
@@ -306,7 +307,7 @@
                     self.route(now, view, id, outputs);
                 }
             }
-            Stage::Out(attempt) => {
+            Stage::Sent(attempt) => {
                 let hash = pending.request.hash();
                 let table = view.state.services.get(&pending.request.service);
                 let owned = hash.and_then(|hash| table?.find(hash));
@@ -314,13 +315,13 @@
                     slice.ownership.owner().is_some() && slice.ownership.fence() != attempt.fence
                 });
                 if attempt.fence.is_none() || !replaced {
-                    attempt.superseded = None;
+                    attempt.superseded_since = None;
                     return;
                 }
-                let since = *attempt.superseded.get_or_insert(now);
-                if now.since(since) >= SUPERSEDED_GRACE {
+                let since = *attempt.superseded_since.get_or_insert(now);
+                if now.since(since) >= SUPERSEDED_OWNER_GRACE {
                     let attempt = attempt.clone();
-                    self.tries.remove(&attempt.id.number);
+                    self.attempts.remove(&attempt.id.number);
                     outputs.push(attempt.cancellation());
                     self.on_lost(now, view, id, "the owner was replaced", outputs);
                 }
@@ -332,12 +333,12 @@
         let pending = self.pending.remove(&id)?;
         if matches!(pending.stage, Stage::Waiting { .. }) {
             let name = pending.request.service.clone();
-            self.uncount_waiting(&name);
+            self.decrement_waiting(&name);
         }
         Some(pending)
     }
 
-    fn uncount_waiting(&mut self, service: &ServiceName) {
+    fn decrement_waiting(&mut self, service: &ServiceName) {
         if let Some(waiting) = self.waiting.get_mut(service) {
             *waiting = waiting.saturating_sub(1);
         }
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,7 +1,7 @@
 //! What an ingress does when a try has ended: answer, try again or give up.
 
 use crate::budget::RetryBudget;
-use crate::ingress::{Ingress, REROUTE_PAUSE};
+use crate::ingress::{Ingress, REROUTE_DELAY};
 use crate::message::{Answer, AttemptId, NotRunReason, RequestId, RunState, UpstreamOutcome};
 use crate::pending::Stage;
 use crate::router::{RouterOutput, RoutingView};
@@ -12,7 +12,7 @@
 const MAX_REROUTE_DOUBLINGS: u32 = 3;
 
 /// Pause before an upstream that could not be reached is tried again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Ingress {
     pub(crate) fn on_result(
@@ -28,18 +28,18 @@
         }
         // A try that was given up on is not in the table: its late answer is
         // nobody's.
-        let Some(id) = self.tries.remove(&attempt.number) else {
+        let Some(id) = self.attempts.remove(&attempt.number) else {
             return;
         };
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        if let (Stage::Out(current), Some(pool)) =
+        if let (Stage::Sent(current), Some(pool)) =
             (&pending.stage, self.pools.get_mut(&pending.request.service))
         {
             let failed =
                 !matches!(outcome, UpstreamOutcome::Answered(ref answer) if answer.status < 500);
-            pool.finished(now, &current.server, failed);
+            pool.record_result(now, &current.server, failed);
         }
         match outcome {
             UpstreamOutcome::Answered(answer) => {
@@ -77,38 +77,38 @@
     ) {
         match reason {
             NotRunReason::NotOwner | NotRunReason::NotGate => {
-                let pause = self.reroute_pause(id);
-                self.retry(now, view, id, pause, outputs);
+                let delay = self.reroute_delay(id);
+                self.retry(now, view, id, delay, outputs);
             }
-            NotRunReason::NotConnected => self.retry(now, view, id, RECONNECT_PAUSE, outputs),
+            NotRunReason::NotConnected => self.retry(now, view, id, RETRY_DELAY, outputs),
             NotRunReason::Shed => {
-                let pause = after.unwrap_or(RECONNECT_PAUSE);
-                if self.withdraw(id) {
-                    return self.retry(now, view, id, pause, outputs);
+                let delay = after.unwrap_or(RETRY_DELAY);
+                if self.withdraw_retry(id) {
+                    return self.retry(now, view, id, delay, outputs);
                 }
                 let reason = "the upstream is over its limit";
-                self.give_up(id, 503, reason, Some(pause), outputs);
+                self.fail(id, 503, reason, Some(delay), outputs);
             }
             NotRunReason::QueueFull => {
-                let after = after.or(Some(RECONNECT_PAUSE));
-                self.give_up(id, 503, "the queue is full", after, outputs);
+                let after = after.or(Some(RETRY_DELAY));
+                self.fail(id, 503, "the queue is full", after, outputs);
             }
             NotRunReason::Expired => {
                 let reason = "the deadline passed before the request was sent";
-                self.give_up(id, 504, reason, Some(RECONNECT_PAUSE), outputs);
+                self.fail(id, 504, reason, Some(RETRY_DELAY), outputs);
             }
         }
     }
 
     /// Doubles with each refusal: a new view ends the pause at once, and
     /// without one another try is unlikely to fare better.
-    fn reroute_pause(&mut self, id: RequestId) -> Duration {
+    fn reroute_delay(&mut self, id: RequestId) -> Duration {
         let Some(pending) = self.pending.get_mut(&id) else {
-            return REROUTE_PAUSE;
+            return REROUTE_DELAY;
         };
-        let doublings = pending.rerouted.min(MAX_REROUTE_DOUBLINGS);
-        pending.rerouted += 1;
-        REROUTE_PAUSE * 2u32.pow(doublings)
+        let doublings = pending.reroutes.min(MAX_REROUTE_DOUBLINGS);
+        pending.reroutes += 1;
+        REROUTE_DELAY * 2u32.pow(doublings)
     }
 
     pub(crate) fn on_lost(
@@ -125,11 +125,11 @@
         };
         pending.may_have_run |= track_unknown_outcomes;
         let repeatable = pending.repeatable || !track_unknown_outcomes;
-        if repeatable && self.withdraw(id) {
+        if repeatable && self.withdraw_retry(id) {
             return self.retry(now, view, id, Duration::ZERO, outputs);
         }
         let reason = format!("no whole answer: {cause}");
-        self.give_up(id, 502, &reason, None, outputs);
+        self.fail(id, 502, &reason, None, outputs);
     }
 
     /// Puts a request back among those that wait, when time is left.
@@ -138,34 +138,34 @@
         now: Time,
         view: &RoutingView,
         id: RequestId,
-        pause: Duration,
+        delay: Duration,
         outputs: &mut Vec<RouterOutput>,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
         let name = pending.request.service.clone();
-        if now + pause >= pending.deadline {
+        if now + delay >= pending.deadline {
             let reason = "the deadline comes before the next try";
-            return self.give_up(id, 504, reason, Some(pause), outputs);
+            return self.fail(id, 504, reason, Some(delay), outputs);
         }
-        if matches!(pending.stage, Stage::Out(_)) {
+        if matches!(pending.stage, Stage::Sent(_)) {
             *self.waiting.entry(name.clone()).or_default() += 1;
         }
         pending.stage = Stage::Waiting {
-            until: now + pause,
+            until: now + delay,
             view: view.state.applied.0,
         };
         let Some(service) = view.state.declaration.service(&name) else {
-            return self.give_up(id, 404, "the service is no longer declared", None, outputs);
+            return self.fail(id, 404, "the service is no longer declared", None, outputs);
         };
-        if pause.is_zero() {
+        if delay.is_zero() {
             return self.route(now, view, id, outputs);
         }
-        self.wait(now, view, service, id, pause, outputs);
+        self.wait_for_route(now, view, service, id, delay, outputs);
     }
 
-    fn withdraw(&mut self, id: RequestId) -> bool {
+    fn withdraw_retry(&mut self, id: RequestId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
@@ -175,7 +175,7 @@
     }
 
     /// The final answer for a request that has none from an upstream.
-    pub(crate) fn give_up(
+    pub(crate) fn fail(
         &mut self,
         id: RequestId,
         status: u16,
@@ -186,8 +186,8 @@
         let Some(pending) = self.remove(id) else {
             return;
         };
-        let out = matches!(pending.stage, Stage::Out(ref attempt)
-            if self.tries.remove(&attempt.id.number).is_some());
+        let out = matches!(pending.stage, Stage::Sent(ref attempt)
+            if self.attempts.remove(&attempt.id.number).is_some());
         let may_have_run = pending.may_have_run || (out && self.track_unknown_outcomes);
         let run_state = if may_have_run {
             RunState::Unknown
--- a/crates/routing/src/pending.rs
+++ b/crates/routing/src/pending.rs
@@ -6,15 +6,15 @@
 
 /// One try that is out at a gate.
 #[derive(Clone, Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
     pub(crate) gate: NodeId,
     pub(crate) server: ServerName,
     pub(crate) fence: Option<Fence>,
-    pub(crate) superseded: Option<Time>,
+    pub(crate) superseded_since: Option<Time>,
 }
 
-impl Try {
+impl Attempt {
     pub(crate) fn cancellation(&self) -> RouterOutput {
         RouterOutput::Cancel {
             to: self.gate,
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
     Waiting { until: Time, view: u64 },
-    Out(Try),
+    Sent(Attempt),
 }
 
 /// A request without its final answer.
@@ -39,6 +39,6 @@
     /// Whether a try before the present stage may have run.
     pub(crate) may_have_run: bool,
     /// Refusals in a row for owner or gate.
-    pub(crate) rerouted: u32,
+    pub(crate) reroutes: u32,
     pub(crate) stage: Stage,
 }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Failures in a row that eject a back end.
-const EJECTION_FAILURES: u32 = 3;
+const EJECTION_CONSECUTIVE_FAILURES: u32 = 3;
 /// First ejection; doubles with each one after it.
 const EJECTION_BASE: Duration = Duration::from_secs(1);
 /// Longest ejection.
@@ -15,16 +15,16 @@
 /// Time over which a new or returned back end comes up to its full share.
 const SLOW_START: Duration = Duration::from_secs(10);
 /// Share that a back end gets at the start of its slow start.
-const SLOW_START_FLOOR: f64 = 0.1;
+const SLOW_START_MIN_SHARE: f64 = 0.1;
 
 #[derive(Clone, Debug)]
 struct Backend {
     in_flight: u32,
-    failures: u32,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Time,
     /// Start of its slow start; none for those there from the beginning.
-    warm_from: Option<Time>,
+    slow_start_from: Option<Time>,
 }
 
 /// What an ingress knows of the back ends it sends to.
@@ -43,11 +43,11 @@
         candidates: &[ServerName],
         rng: &mut impl Rng,
     ) -> Option<ServerName> {
-        let cold = !self.backends.is_empty();
+        let slow_start = !self.backends.is_empty();
         for candidate in candidates {
             self.backends
                 .entry(candidate.clone())
-                .or_insert_with(|| Backend::new(cold.then_some(now)));
+                .or_insert_with(|| Backend::new(slow_start.then_some(now)));
         }
         let mut usable: Vec<&ServerName> = candidates
             .iter()
@@ -67,50 +67,50 @@
         Some((*chosen).clone())
     }
 
-    pub(crate) fn started(&mut self, server: &ServerName) {
+    pub(crate) fn record_start(&mut self, server: &ServerName) {
         if let Some(backend) = self.backends.get_mut(server) {
             backend.in_flight += 1;
         }
     }
 
-    pub(crate) fn finished(&mut self, now: Time, server: &ServerName, failed: bool) {
+    pub(crate) fn record_result(&mut self, now: Time, server: &ServerName, failed: bool) {
         let Some(backend) = self.backends.get_mut(server) else {
             return;
         };
         backend.in_flight = backend.in_flight.saturating_sub(1);
         if !failed {
-            backend.failures = 0;
+            backend.consecutive_failures = 0;
             backend.ejections = 0;
             return;
         }
-        backend.failures += 1;
-        if backend.failures >= EJECTION_FAILURES {
+        backend.consecutive_failures += 1;
+        if backend.consecutive_failures >= EJECTION_CONSECUTIVE_FAILURES {
             let span = EJECTION_BASE * 2u32.saturating_pow(backend.ejections.min(8));
             backend.ejected_until = now + span.min(EJECTION_MAX);
-            backend.warm_from = Some(backend.ejected_until);
+            backend.slow_start_from = Some(backend.ejected_until);
             backend.ejections += 1;
-            backend.failures = 0;
+            backend.consecutive_failures = 0;
         }
     }
 }
 
 impl Backend {
-    fn new(warm_from: Option<Time>) -> Self {
+    fn new(slow_start_from: Option<Time>) -> Self {
         Self {
             in_flight: 0,
-            failures: 0,
+            consecutive_failures: 0,
             ejections: 0,
             ejected_until: Time::ZERO,
-            warm_from,
+            slow_start_from,
         }
     }
 
     /// Requests in flight per share that it should take now.
     fn cost(&self, now: Time) -> f64 {
-        let warmth = self.warm_from.map_or(1.0, |from| {
-            let part = now.since(from).as_secs_f64() / SLOW_START.as_secs_f64();
-            part.clamp(SLOW_START_FLOOR, 1.0)
+        let share = self.slow_start_from.map_or(1.0, |from| {
+            let elapsed_share = now.since(from).as_secs_f64() / SLOW_START.as_secs_f64();
+            elapsed_share.clamp(SLOW_START_MIN_SHARE, 1.0)
         });
-        (f64::from(self.in_flight) + 1.0) / warmth
+        (f64::from(self.in_flight) + 1.0) / share
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -141,7 +141,7 @@
         let mut outputs = Vec::new();
         self.ingress
             .on_request(now, view, id, request, &mut outputs);
-        self.settle(now, view, outputs)
+        self.deliver_local(now, view, outputs)
     }
 
     /// A caller is gone.
@@ -153,7 +153,7 @@
     ) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
         self.ingress.on_caller_disconnected(now, id, &mut outputs);
-        self.settle(now, view, outputs)
+        self.deliver_local(now, view, outputs)
     }
 
     /// Takes a try from an ingress in.
@@ -165,8 +165,9 @@
         forward: Forward,
     ) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
-        self.gate.accept(now, view, origin, forward, &mut outputs);
-        self.settle(now, view, outputs)
+        self.gate
+            .on_forward(now, view, origin, forward, &mut outputs);
+        self.deliver_local(now, view, outputs)
     }
 
     /// An ingress no longer wants a try.
@@ -185,7 +186,7 @@
         let mut outputs = Vec::new();
         self.ingress
             .on_result(now, view, attempt, outcome, &mut outputs);
-        self.settle(now, view, outputs)
+        self.deliver_local(now, view, outputs)
     }
 
     /// Takes the result of a call in.
@@ -197,8 +198,9 @@
         outcome: UpstreamOutcome,
     ) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
-        self.gate.finished(now, view, call, outcome, &mut outputs);
-        self.settle(now, view, outputs)
+        self.gate
+            .on_call_result(now, view, call, outcome, &mut outputs);
+        self.deliver_local(now, view, outputs)
     }
 
     /// The connection to a node is gone: tries that it had are lost.
@@ -211,7 +213,7 @@
         let mut outputs = Vec::new();
         self.ingress
             .on_node_disconnected(now, view, node, &mut outputs);
-        self.settle(now, view, outputs)
+        self.deliver_local(now, view, outputs)
     }
 
     /// Runs what is due; also to be called when the view changed.
@@ -219,24 +221,24 @@
         let mut outputs = Vec::new();
         self.gate.tick(now, view, &mut outputs);
         self.ingress.tick(now, view, &mut outputs);
-        self.settle(now, view, outputs)
+        self.deliver_local(now, view, outputs)
     }
 
     /// Carries messages between the two roles of this node without the wire.
-    fn settle(
+    fn deliver_local(
         &mut self,
         now: Time,
         view: &RoutingView,
         outputs: Vec<RouterOutput>,
     ) -> Vec<RouterOutput> {
-        let mut outside = Vec::new();
-        let mut inside = outputs;
-        while !inside.is_empty() {
+        let mut remote = Vec::new();
+        let mut local = outputs;
+        while !local.is_empty() {
             let mut next = Vec::new();
-            for output in inside {
+            for output in local {
                 match output {
                     RouterOutput::Forward { to, forward } if to == view.me.node => {
-                        self.gate.accept(now, view, view.me, forward, &mut next);
+                        self.gate.on_forward(now, view, view.me, forward, &mut next);
                     }
                     RouterOutput::Cancel { to, attempt } if to == view.me.node => {
                         self.gate.cancel(attempt);
@@ -249,11 +251,11 @@
                         self.ingress
                             .on_result(now, view, attempt, outcome, &mut next);
                     }
-                    other => outside.push(other),
+                    other => remote.push(other),
                 }
             }
-            inside = next;
+            local = next;
         }
-        outside
+        remote
     }
 }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -48,7 +48,7 @@
 }
 
 /// One node that is ingress and gate, and a state that owns everything.
-struct Bench {
+struct Harness {
     router: Router,
     state: ControlState,
     gates: GateMap,
@@ -56,14 +56,14 @@
     index: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let config = RouterConfig {
             seed: 1,
             track_unknown_outcomes: true,
             drop_duplicate_attempts: true,
         };
-        let mut bench = Self {
+        let mut harness = Self {
             router: Router::new(config),
             state: ControlState::default(),
             gates: GateMap::default(),
@@ -71,7 +71,7 @@
             index: 0,
         };
         let declaration = Declaration::parse("test", DECLARATION).expect("valid");
-        bench.apply(Command::Configure {
+        harness.apply(Command::Configure {
             operation: OperationId(1),
             revision: Revision(1),
             base: Revision(0),
@@ -81,12 +81,12 @@
             incarnation: ME.incarnation,
             zone: Zone::from("z1"),
         };
-        bench.apply(Command::SetNode {
+        harness.apply(Command::SetNode {
             node: ME.node,
             record: Some(record),
         });
-        bench.assign("a1");
-        bench
+        harness.assign("a1");
+        harness
     }
 
     fn apply(&mut self, command: Command) {
@@ -199,12 +199,12 @@
 }
 
 #[test]
-fn slots_hold_and_the_queue_is_bounded() {
-    let mut bench = Bench::new();
+fn slots_and_queue_length_are_limited() {
+    let mut harness = Harness::new();
     let mut sent = Vec::new();
     let mut refused = Vec::new();
     for id in 0..8 {
-        let outputs = bench.request(at(0), id, request("accounts", "GET"));
+        let outputs = harness.request(at(0), id, request("accounts", "GET"));
         sent.extend(calls(&outputs));
         refused.extend(answers(&outputs).into_iter().cloned());
     }
@@ -214,19 +214,19 @@
         assert_eq!(answer.run_state, RunState::NotRun);
         assert!(answer.retry_after.is_some());
     }
-    let outputs = bench.result(at(5), sent[0].0, answered());
+    let outputs = harness.result(at(5), sent[0].0, answered());
     assert_eq!(answers(&outputs).len(), 1);
     assert_eq!(calls(&outputs).len(), 1, "the next in the queue");
 }
 
 #[test]
-fn a_lost_read_is_tried_again_and_a_lost_transfer_is_unknown() {
-    let mut bench = Bench::new();
-    let (call, _) = calls(&bench.request(at(0), 1, request("accounts", "GET")))[0].clone();
-    assert_eq!(calls(&bench.result(at(5), call, lost())).len(), 1);
+fn lost_get_is_retried_and_lost_post_is_unknown() {
+    let mut harness = Harness::new();
+    let (call, _) = calls(&harness.request(at(0), 1, request("accounts", "GET")))[0].clone();
+    assert_eq!(calls(&harness.result(at(5), call, lost())).len(), 1);
 
-    let (call, _) = calls(&bench.request(at(10), 2, request("accounts", "POST")))[0].clone();
-    let outputs = bench.result(at(15), call, lost());
+    let (call, _) = calls(&harness.request(at(10), 2, request("accounts", "POST")))[0].clone();
+    let outputs = harness.result(at(15), call, lost());
     assert!(calls(&outputs).is_empty());
     let answer = answers(&outputs)[0];
     assert_eq!(answer.run_state, RunState::Unknown);
@@ -234,145 +234,145 @@
 }
 
 #[test]
-fn retries_end_with_the_budget() {
-    let mut bench = Bench::new();
-    let mut sent = calls(&bench.request(at(0), 1, request("accounts", "GET")));
-    let mut tries = 0;
+fn retries_stop_when_the_budget_is_spent() {
+    let mut harness = Harness::new();
+    let mut sent = calls(&harness.request(at(0), 1, request("accounts", "GET")));
+    let mut attempts = 0;
     while let Some((call, _)) = sent.pop() {
-        tries += 1;
-        assert!(tries < 50, "retries never end");
-        let outputs = bench.result(at(tries), call, lost());
+        attempts += 1;
+        assert!(attempts < 50, "retries never end");
+        let outputs = harness.result(at(attempts), call, lost());
         sent = calls(&outputs);
     }
-    assert!(tries > 1);
+    assert!(attempts > 1);
 }
 
 #[test]
-fn a_transfer_refused_by_its_owner_waits_for_the_next_one() {
-    let mut bench = Bench::new();
-    let (call, first) = calls(&bench.request(at(0), 1, request("accounts", "POST")))[0].clone();
-    bench.revoke();
-    let outputs = bench.result(at(5), call, not_run(NotRunReason::NotOwner));
+fn post_refused_by_former_owner_is_sent_to_the_next_owner() {
+    let mut harness = Harness::new();
+    let (call, first) = calls(&harness.request(at(0), 1, request("accounts", "POST")))[0].clone();
+    harness.revoke();
+    let outputs = harness.result(at(5), call, not_run(NotRunReason::NotOwner));
     assert!(calls(&outputs).is_empty() && answers(&outputs).is_empty());
-    bench.assign("a1");
-    let again = calls(&bench.tick(at(10)));
+    harness.assign("a1");
+    let again = calls(&harness.tick(at(10)));
     assert_eq!(again.len(), 1);
     assert!(again[0].1.fence > first.fence);
 }
 
 #[test]
-fn an_owner_that_was_replaced_is_given_up_on() {
-    let mut bench = Bench::new();
-    bench.request(at(0), 1, request("accounts", "POST"));
-    bench.revoke();
-    bench.assign("a1");
+fn attempt_at_replaced_owner_is_abandoned_after_a_grace_period() {
+    let mut harness = Harness::new();
+    harness.request(at(0), 1, request("accounts", "POST"));
+    harness.revoke();
+    harness.assign("a1");
     assert!(
-        answers(&bench.tick(at(10))).is_empty(),
+        answers(&harness.tick(at(10))).is_empty(),
         "its answer may be on the way"
     );
-    let outputs = bench.tick(at(400));
+    let outputs = harness.tick(at(400));
     assert_eq!(answers(&outputs)[0].run_state, RunState::Unknown);
 }
 
 #[test]
-fn a_late_answer_is_nobodys() {
-    let mut bench = Bench::new();
-    let (call, _) = calls(&bench.request(at(0), 1, request("accounts", "POST")))[0].clone();
-    let outputs = bench.tick(at(1_000));
+fn late_answer_is_dropped() {
+    let mut harness = Harness::new();
+    let (call, _) = calls(&harness.request(at(0), 1, request("accounts", "POST")))[0].clone();
+    let outputs = harness.tick(at(1_000));
     assert_eq!(answers(&outputs)[0].run_state, RunState::Unknown);
-    let late = bench.result(at(1_005), call, answered());
+    let late = harness.result(at(1_005), call, answered());
     assert!(answers(&late).is_empty());
-    assert!(bench.router.is_idle());
+    assert!(harness.router.is_idle());
 }
 
 #[test]
-fn a_request_that_never_left_is_not_run_at_its_deadline() {
-    let mut bench = Bench::new();
-    bench.revoke();
-    bench.request(at(0), 1, request("accounts", "POST"));
-    let outputs = bench.tick(at(1_000));
+fn request_never_sent_is_not_run_at_its_deadline() {
+    let mut harness = Harness::new();
+    harness.revoke();
+    harness.request(at(0), 1, request("accounts", "POST"));
+    let outputs = harness.tick(at(1_000));
     assert_eq!(answers(&outputs)[0].run_state, RunState::NotRun);
 }
 
 #[test]
-fn deadlines_are_passed_on_reduced() {
-    let mut bench = Bench::new();
+fn remaining_time_is_forwarded() {
+    let mut harness = Harness::new();
     let mut short = request("accounts", "GET");
     short.deadline_micros = Some(300_000);
-    let sent = calls(&bench.request(at(0), 1, short));
+    let sent = calls(&harness.request(at(0), 1, short));
     assert_eq!(sent[0].1.remaining_micros, 300_000);
 }
 
 #[test]
-fn a_caller_that_goes_leaves_the_queue() {
-    let mut bench = Bench::new();
+fn request_of_disconnected_caller_leaves_the_queue() {
+    let mut harness = Harness::new();
     for id in 0..3 {
-        bench.request(at(0), id, request("accounts", "GET"));
+        harness.request(at(0), id, request("accounts", "GET"));
     }
-    assert_eq!(bench.router.queued(), 1);
-    bench.with(|router, view| router.on_caller_disconnected(at(1), view, RequestId(2)));
-    assert_eq!(bench.router.queued(), 0);
+    assert_eq!(harness.router.queued(), 1);
+    harness.with(|router, view| router.on_caller_disconnected(at(1), view, RequestId(2)));
+    assert_eq!(harness.router.queued(), 0);
 }
 
 #[test]
-fn a_try_that_comes_twice_runs_once() {
-    let mut bench = Bench::new();
-    let (_, forward) = calls(&bench.request(at(0), 1, request("accounts", "POST")))[0].clone();
-    let again = bench.with(|router, view| router.on_forward(at(1), view, ME, forward));
+fn duplicate_forward_is_dropped() {
+    let mut harness = Harness::new();
+    let (_, forward) = calls(&harness.request(at(0), 1, request("accounts", "POST")))[0].clone();
+    let again = harness.with(|router, view| router.on_forward(at(1), view, ME, forward));
     assert!(again.is_empty());
 }
 
 #[test]
-fn a_node_out_of_touch_admits_and_sends_nothing() {
-    let mut bench = Bench::new();
-    bench.revoke();
-    bench.request(at(0), 1, request("accounts", "GET"));
-    bench.assign("a1");
-    bench.fresh = false;
-    assert!(calls(&bench.tick(at(50))).is_empty());
-    let outputs = bench.request(at(60), 2, request("accounts", "GET"));
+fn node_with_stale_state_admits_and_sends_nothing() {
+    let mut harness = Harness::new();
+    harness.revoke();
+    harness.request(at(0), 1, request("accounts", "GET"));
+    harness.assign("a1");
+    harness.fresh = false;
+    assert!(calls(&harness.tick(at(50))).is_empty());
+    let outputs = harness.request(at(60), 2, request("accounts", "GET"));
     assert_eq!(answers(&outputs)[0].status, 503);
     assert_eq!(answers(&outputs)[0].run_state, RunState::NotRun);
 }
 
 #[test]
-fn a_stopping_node_refuses_new_requests_and_ends_the_old() {
-    let mut bench = Bench::new();
-    let (call, _) = calls(&bench.request(at(0), 1, request("accounts", "GET")))[0].clone();
-    bench.router.stop();
-    let refused = bench.request(at(1), 2, request("accounts", "GET"));
+fn stopping_node_refuses_new_requests_and_completes_pending_ones() {
+    let mut harness = Harness::new();
+    let (call, _) = calls(&harness.request(at(0), 1, request("accounts", "GET")))[0].clone();
+    harness.router.stop();
+    let refused = harness.request(at(1), 2, request("accounts", "GET"));
     assert_eq!(answers(&refused)[0].run_state, RunState::NotRun);
-    let outputs = bench.result(at(5), call, answered());
+    let outputs = harness.result(at(5), call, answered());
     assert_eq!(answers(&outputs)[0].run_state, RunState::Complete);
-    assert!(bench.router.is_idle());
+    assert!(harness.router.is_idle());
 }
 
 #[test]
-fn a_draining_back_end_gets_nothing_more() {
-    let mut bench = Bench::new();
-    let mut next = bench.state.declaration.clone();
+fn draining_backend_receives_no_requests() {
+    let mut harness = Harness::new();
+    let mut next = harness.state.declaration.clone();
     next.services[1].servers[0].drain = true;
-    bench.apply(Command::Configure {
+    harness.apply(Command::Configure {
         operation: OperationId(2),
         revision: Revision(2),
         base: Revision(1),
         changes: vec![DeclarationChange::Replace(next)],
     });
     for id in 0..10 {
-        for (call, forward) in calls(&bench.request(at(id), id, request("pool", "GET"))) {
+        for (call, forward) in calls(&harness.request(at(id), id, request("pool", "GET"))) {
             assert_eq!(forward.server.as_str(), "p2");
-            bench.result(at(id), call, answered());
+            harness.result(at(id), call, answered());
         }
     }
 }
 
 #[test]
-fn a_failing_back_end_is_left_out_for_a_while() {
-    let mut bench = Bench::new();
+fn failing_backend_is_ejected() {
+    let mut harness = Harness::new();
     let mut after_failures = [0, 0];
     for id in 0..200u64 {
         let now = at(id * 4);
-        let Some((call, forward)) = calls(&bench.request(now, id, request("pool", "POST"))).pop()
+        let Some((call, forward)) = calls(&harness.request(now, id, request("pool", "POST"))).pop()
         else {
             continue;
         };
@@ -380,7 +380,7 @@
         if id >= 100 {
             after_failures[usize::from(!fails)] += 1;
         }
-        bench.result(now, call, if fails { lost() } else { answered() });
+        harness.result(now, call, if fails { lost() } else { answered() });
     }
     assert!(
         after_failures[0] * 4 < after_failures[1],
@@ -389,10 +389,10 @@
 }
 
 #[test]
-fn nodes_with_one_view_agree_on_gates() {
-    let bench = Bench::new();
-    let one = GateMap::from_state(&bench.state).get(&ServerName::from("a1"));
-    let other = GateMap::from_state(&bench.state.clone()).get(&ServerName::from("a1"));
+fn nodes_with_the_same_state_select_the_same_gates() {
+    let harness = Harness::new();
+    let one = GateMap::from_state(&harness.state).get(&ServerName::from("a1"));
+    let other = GateMap::from_state(&harness.state.clone()).get(&ServerName::from("a1"));
     assert_eq!(one, other);
     assert_eq!(one, Some(ME.node));
 }
