--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,9 +1,11 @@
-//! The retry budget: a share of the traffic, not a count per request.
+//! Retry budget: a token bucket that limits retries to a share of the traffic
+//! instead of a count per request.
 
-/// Retries saved up at most, so that a quiet hour does not pay for a storm.
+/// Capacity of the bucket; limits the retry burst after a period with few
+/// failures.
 const MAX_TOKENS: f64 = 20.0;
 
-/// Grants retries as a share of the requests seen.
+/// Allows retries in proportion to the number of requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -11,7 +13,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries per request, from 0 to 1.
+    /// Creates a budget of `ratio` retries per request, from 0 to 1.
     pub fn new(ratio: f64) -> Self {
         Self {
             ratio,
@@ -19,12 +21,12 @@
         }
     }
 
-    /// Counts a request.
+    /// Adds the tokens earned by one request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS);
     }
 
-    /// Takes one retry, when the budget allows it.
+    /// Takes the token for one retry and returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/gate.rs
@@ -1,4 +1,5 @@
-//! The gate: one place per upstream that counts slots and keeps the queue.
+//! The gate role: the one node per upstream that counts its slots and keeps its
+//! queue.
 
 use crate::load::LoadCounter;
 use crate::message::{AttemptId, CallId, Forward, NotRunReason, UpstreamOutcome};
@@ -9,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Weight of the newest sample in the mean service time.
+/// Weight of a new sample in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Debug)]
@@ -27,11 +28,11 @@
     started_at: Time,
 }
 
-/// Tries of one ingress remembered, to tell a message that comes twice.
+/// Maximum number of attempts remembered per ingress to detect duplicates.
 const MAX_SEEN_ATTEMPTS: usize = 16_384;
 
-/// The tries seen of one run of an ingress. Numbers rise, so what lies below
-/// the remembered ones counts as seen.
+/// The attempts received from one run of an ingress. Attempt numbers increase,
+/// so numbers below the remembered ones count as seen.
 #[derive(Clone, Debug, Default)]
 struct SeenAttempts {
     floor: u64,
@@ -39,7 +40,7 @@
 }
 
 impl SeenAttempts {
-    /// Whether `number` is new.
+    /// Records `number` and returns whether it is new.
     fn insert(&mut self, number: u64) -> bool {
         if number < self.floor || !self.numbers.insert(number) {
             return false;
@@ -61,7 +62,7 @@
     mean_service_seconds: f64,
 }
 
-/// The queues and slots of the upstreams that this node is the gate of.
+/// Queues and running calls of the upstreams whose gate is this node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gate {
     upstreams: BTreeMap<ServerName, Upstream>,
@@ -93,7 +94,7 @@
         self.running.len()
     }
 
-    /// Takes a try in: sends it, queues it or says why not.
+    /// Sends or queues an attempt, or refuses it with a reason.
     pub(crate) fn on_forward(
         &mut self,
         now: Time,
@@ -111,8 +112,8 @@
             },
         };
         if self.drop_duplicate_attempts && !self.is_new(forward.attempt) {
-            // The first copy is answered; a word about this one could be
-            // taken for its answer.
+            // Only the first copy is answered: the ingress could take a refusal
+            // of the duplicate for the outcome of the attempt.
             return;
         }
         let declared = view.state.declaration.server(&forward.server);
@@ -139,8 +140,9 @@
         self.dispatch(now, view, &name, outputs);
     }
 
-    /// Whether a try comes for the first time. Once a later run of its node is
-    /// known, nobody waits for those of the run before.
+    /// Records an attempt and returns whether it is new. Attempts from an
+    /// earlier run of a node count as seen once a later run is known, because
+    /// nothing waits for their outcome.
     fn is_new(&mut self, attempt: AttemptId) -> bool {
         let Member { node, incarnation } = attempt.ingress;
         let (known, seen) = self.seen.entry(node).or_default();
@@ -154,7 +156,7 @@
         seen.insert(attempt.number)
     }
 
-    /// Sends what waits for `server` while it has free slots.
+    /// Sends queued attempts to `server` while it has free slots.
     fn dispatch(
         &mut self,
         now: Time,
@@ -163,13 +165,15 @@
         outputs: &mut Vec<RouterOutput>,
     ) {
         if !view.fresh {
-            // The server may have been drained since; what waits, waits on.
+            // The server may have been drained since this state was received,
+            // so attempts stay in the queue.
             return;
         }
         let is_gate = view.gates.get(server) == Some(view.me.node);
         let declared = view.state.declaration.server(server);
-        // A back end that leaves gets nothing that waited either: its requests
-        // can go to another. A keyed server's cannot until its slices moved.
+        // A leaving pool backend receives no queued attempts either, since any
+        // other backend can serve them. Attempts for a keyed server stay until
+        // its slices have moved.
         let declared = declared.filter(|(service, declared)| {
             let keyed = service.division == Division::Keyed;
             is_gate && (keyed || !view.state.is_leaving(&declared.name))
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Takes the result of a call in and passes it to its ingress.
+    /// Frees the slot of a finished call and sends its outcome to the ingress.
     pub(crate) fn on_call_result(
         &mut self,
         now: Time,
@@ -256,8 +260,9 @@
         self.dispatch(now, view, &running.server, outputs);
     }
 
-    /// Forgets a try whose caller is gone: it leaves the queue, or its answer
-    /// is dropped. A call already sent cannot be taken back.
+    /// Removes a cancelled attempt from the queue, or marks its running call so
+    /// that the outcome is dropped. A request that was already sent cannot be
+    /// recalled.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         let mut found = false;
         for upstream in self.upstreams.values_mut() {
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Answers what expired in the queues and sends what can be sent.
+    /// Refuses expired attempts in the queues and sends those that can be sent.
     pub(crate) fn tick(&mut self, now: Time, view: &RoutingView, outputs: &mut Vec<RouterOutput>) {
         let mut waiting: Vec<ServerName> = Vec::new();
         for (name, upstream) in &mut self.upstreams {
@@ -301,8 +306,9 @@
     }
 }
 
-/// Whether the slice of a try went to another owner, or is on its way, since
-/// its ingress looked. A gate whose view is the older one sends.
+/// Returns whether the slice of an attempt has been revoked or reassigned since
+/// its ingress looked it up. If this gate has the older view, the attempt is
+/// sent.
 fn has_stale_fence(view: &RoutingView, forward: &Forward) -> bool {
     let (Some(hash), Some(fence)) = (forward.request.hash(), forward.fence) else {
         return false;
@@ -323,7 +329,7 @@
         self.mean_service_seconds += SERVICE_TIME_WEIGHT * (seconds - self.mean_service_seconds);
     }
 
-    /// When the queue will have drained.
+    /// Estimates the time until the queue is empty.
     fn expected_wait(&self, slots: u32) -> Duration {
         let rounds = self.queue.len() as f64 / f64::from(slots.max(1));
         Duration::from_secs_f64((rounds * self.mean_service_seconds).clamp(0.05, 30.0))
--- a/crates/routing/src/gates.rs
+++ b/crates/routing/src/gates.rs
@@ -1,19 +1,20 @@
-//! Which node is the gate of which upstream.
+//! Assignment of gates to upstreams.
 
 use beamtray_ownership::{ControlState, NodeRecord};
 use beamtray_types::{KeyHash, NodeId, ServerName, Zone};
 use std::collections::BTreeMap;
 
-/// The gate of every upstream: rendezvous hashing over the live nodes of the
-/// upstream's zone, or over all when the zone has none. Nodes with the same
-/// view agree without a message; a node that leaves moves only its own gates.
+/// Maps each upstream to its gate by rendezvous hashing over the live nodes of
+/// the upstream's zone, or over all live nodes if that zone has none. Nodes
+/// with the same state compute the same map without coordination, and the
+/// departure of a node reassigns only its own gates.
 #[derive(Clone, Debug, Default)]
 pub struct GateMap {
     gates: BTreeMap<ServerName, NodeId>,
 }
 
 impl GateMap {
-    /// Computes the gates for a state.
+    /// Computes the gates for a control state.
     pub fn from_state(state: &ControlState) -> Self {
         let mut gates = BTreeMap::new();
         for server in state.declaration.services.iter().flat_map(|s| &s.servers) {
@@ -24,12 +25,12 @@
         Self { gates }
     }
 
-    /// The gate of `server`.
+    /// Returns the gate of `server`.
     pub fn get(&self, server: &ServerName) -> Option<NodeId> {
         self.gates.get(server).copied()
     }
 
-    /// Number of upstreams whose gate is `node`.
+    /// Returns the number of upstreams whose gate is `node`.
     pub fn count(&self, node: NodeId) -> usize {
         self.gates.values().filter(|gate| **gate == node).count()
     }
--- a/crates/routing/src/ingress.rs
+++ b/crates/routing/src/ingress.rs
@@ -1,8 +1,8 @@
-//! The ingress: from a caller's request to its one final answer.
+//! The ingress role: takes a caller's request to its single final answer.
 //!
-//! Invariant: a request is tried again only when the try before provably did
-//! not run, or when it may be repeated. A final answer says `not run` only if
-//! that holds for every try.
+//! Invariant: a request is retried only if the previous attempt provably did
+//! not run or the request is repeatable. A final answer is `not-run` only if
+//! every attempt provably did not run.
 
 use crate::budget::RetryBudget;
 use crate::message::{Answer, AttemptId, CallerRequest, Forward, RequestId, RunState};
@@ -16,19 +16,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause before a try that was refused for its owner or gate is made again,
-/// unless a new view comes first.
+/// Delay before a retry after an attempt was refused with a wrong owner or
+/// gate. A new view ends it early.
 pub(crate) const REROUTE_DELAY: Duration = Duration::from_millis(20);
-/// How long a try may stay out after its slice went to another owner. A
-/// planned move waits for what is in flight, so its answer is on the way; an
-/// owner that was lost will not answer.
+/// How long to wait for the answer of an attempt after its slice was assigned
+/// to another owner. A planned move waits for requests in flight, so their
+/// answers are about to arrive; a failed owner will not answer.
 const SUPERSEDED_OWNER_GRACE: Duration = Duration::from_millis(300);
-/// When to come back while ownership is moving or the node is out of touch.
+/// Retry delay told to callers while ownership is moving or this node's state
+/// is stale.
 const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(1_000);
-/// When to come back to a node that is stopping: at once, elsewhere.
+/// Retry delay told to callers of a stopping node: short, because another node
+/// can serve the retry immediately.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(100);
 
-/// Requests of callers that have no final answer yet.
+/// Callers' requests that have no final answer yet.
 #[derive(Debug)]
 pub(crate) struct Ingress {
     pub(crate) pending: BTreeMap<RequestId, Pending>,
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Sends a waiting request to its upstream's gate, or lets it wait on.
+    /// Sends a waiting request to its upstream's gate, or keeps it waiting if
+    /// it cannot be routed.
     pub(crate) fn route(
         &mut self,
         now: Time,
@@ -156,7 +159,8 @@
             return self.fail(id, 404, "the service is no longer declared", None, outputs);
         };
         if !view.fresh {
-            // Old state may name a server that is drained or replaced.
+            // Stale state may name a server that has since been drained or
+            // replaced.
             return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         }
         let Some((server, fence)) = self.select_upstream(now, view, service, id) else {
@@ -197,9 +201,10 @@
         outputs.push(RouterOutput::Forward { to: gate, forward });
     }
 
-    /// The upstream for a request, and the fence of its ownership.
+    /// Selects the upstream of a request and returns the fence of its
+    /// ownership.
     ///
-    /// A hash is taken of a keyed service's keys alone.
+    /// The key is hashed only for keyed services.
     fn select_upstream(
         &mut self,
         now: Time,
@@ -224,8 +229,8 @@
         Some((chosen, None))
     }
 
-    /// Lets a request wait for a new view or a pause, or refuses it when too
-    /// many wait.
+    /// Keeps a request waiting until a new view arrives or `delay` ends, or
+    /// refuses it if too many requests of the service wait.
     pub(crate) fn wait_for_route(
         &mut self,
         now: Time,
@@ -275,8 +280,9 @@
         }
     }
 
-    /// Ends what is past its deadline, re-routes what waited long enough or
-    /// can use a new view, and gives up on owners that were replaced.
+    /// Fails requests past their deadline, routes waiting requests whose delay
+    /// ended or for which a new view arrived, and abandons attempts at replaced
+    /// owners.
     pub(crate) fn tick(&mut self, now: Time, view: &RoutingView, outputs: &mut Vec<RouterOutput>) {
         let ids: Vec<RequestId> = self.pending.keys().copied().collect();
         for id in ids {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,14 @@
-//! Where each request goes, when it waits, when it is repeated and what its
-//! caller is told.
+//! Request routing: choice of upstream, queueing, retries and final answers.
 //!
-//! [`Router`] joins two roles. As *ingress* a node takes callers' requests,
-//! finds the owner and answers. As *gate* it alone sends to an upstream: it
-//! counts the upstream's slots and keeps the queue, so that limits hold however
-//! many nodes there are.
+//! [`Router`] combines two roles. As *ingress*, a node accepts callers'
+//! requests, looks up the owner of the key and returns the answer. As *gate*,
+//! it is the only node that sends to an upstream: it counts the upstream's
+//! slots and keeps its queue, so the limits hold for any number of nodes.
 //!
-//! Pure: time is an argument, and what must be done comes back as
-//! [`RouterOutput`]. A refusal says `not run` only on proof; everything else
-//! that is not a whole answer is `unknown`.
+//! The crate does no I/O: time is an argument, and effects are returned as
+//! [`RouterOutput`]. A failure is reported as `not-run` only when the request
+//! provably did not run; any other failure without a complete answer is
+//! `unknown`.
 
 mod budget;
 mod gate;
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,20 +1,20 @@
-//! Load per slice, counted where requests leave for their owners.
+//! Request counts per slice, recorded at the gates.
 
 use beamtray_ownership::ControlState;
 use beamtray_types::{KeyHash, ServiceName};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::BTreeMap;
 
-/// Requests for one slice since the last report.
+/// Number of requests for one slice since the last report.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SliceCount {
-    /// The service.
+    /// Service of the slice.
     pub service: ServiceName,
     /// Lowest hash of the slice.
     pub first: u64,
-    /// Requests.
+    /// Number of requests.
     pub count: u64,
-    /// The hash with the majority of the requests, when one has it.
+    /// Hash that received the majority of the requests, if there is one.
     pub hot_hash: Option<u64>,
 }
 
@@ -27,16 +27,16 @@
 
 /// Counts requests per slice.
 ///
-/// A hash with the majority of a slice's requests is found with one counter
-/// by the vote of Boyer and Moore; a hash with less than the majority is no
-/// reason to split a slice off.
+/// The Boyer-Moore majority vote algorithm finds a hash with the majority of a
+/// slice's requests in constant space. Only a majority hash is a reason to
+/// split a slice, so less frequent ones need not be found.
 #[derive(Clone, Debug, Default)]
 pub struct LoadCounter {
     counters: BTreeMap<ServiceName, BTreeMap<u64, Counter>>,
 }
 
 impl LoadCounter {
-    /// Counts one request.
+    /// Counts one request for `hash`.
     pub fn record(&mut self, state: &ControlState, service: &ServiceName, hash: KeyHash) {
         let Some((range, _)) = state
             .services
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the counts since the last call.
+    /// Returns and resets the counts.
     pub fn take(&mut self) -> Vec<SliceCount> {
         let counters = std::mem::take(&mut self.counters);
         let mut counts = Vec::new();
@@ -84,8 +84,9 @@
         }
     }
 
-    /// A hash with the majority always ends as candidate; votes well above
-    /// chance tell that the candidate has one.
+    /// Returns the candidate if it is likely to have the majority. A majority
+    /// hash always ends as the candidate; a vote count well above chance
+    /// indicates that the candidate is one.
     fn majority(&self) -> Option<u64> {
         let likely = self.votes * 4 > self.count && self.count >= 8;
         likely.then_some(self.candidate)
--- a/crates/routing/src/message.rs
+++ b/crates/routing/src/message.rs
@@ -1,55 +1,57 @@
-//! Requests, attempts and answers.
+//! Types of requests, attempts and answers.
 
 use beamtray_types::{Fence, KeyHash, Member, ServerName, ServiceName};
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::time::Duration;
 
-/// A caller's request at its ingress; unique within one run of a node.
+/// Identifies a caller's request at its ingress; unique within one run of a
+/// node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A gate's call to an upstream; unique within one run of a node.
+/// Identifies a gate's call to an upstream; unique within one run of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One try of a request. Carries the ingress's run, so that an answer to an
-/// earlier run of a node is never taken for one of the present.
+/// Identifies one attempt of a request. Includes the incarnation of the
+/// ingress, so that a late answer to an earlier run of the node is not matched
+/// to an attempt of the current run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct AttemptId {
-    /// The ingress.
+    /// The ingress node and its incarnation.
     pub ingress: Member,
-    /// Counted by the ingress.
+    /// Sequence number assigned by the ingress.
     pub number: u64,
 }
 
-/// What a caller asks for.
+/// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CallerRequest {
-    /// The service.
+    /// Requested service.
     pub service: ServiceName,
-    /// The key, for a keyed service.
+    /// Sharding key, for a keyed service.
     pub key: Option<String>,
     /// HTTP method.
     pub method: String,
-    /// Path below service and key, without query.
+    /// Path after the service and key segments, without the query.
     pub path: String,
-    /// The whole target as the caller wrote it, with query.
+    /// Complete request target as received, including the query.
     pub target: String,
-    /// Headers that concern the upstream.
+    /// Headers to forward to the upstream.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Message body.
     pub body: Vec<u8>,
-    /// How long the caller still waits, in microseconds, when it said so.
+    /// Time until the caller's deadline in microseconds, if the caller set one.
     pub deadline_micros: Option<u64>,
-    /// The caller's own name for the request, passed on to the owner.
+    /// Idempotency key set by the caller, forwarded to the owner.
     pub idempotency_key: Option<String>,
 }
 
 impl CallerRequest {
-    /// The path that a service's rules look at: below the key of a keyed
-    /// service, below the service's name of a pool.
+    /// Returns the path that a service's rules match: the part after the key
+    /// for a keyed service, and after the service name for a pool.
     pub fn rule_path(&self, keyed: bool) -> String {
         match &self.key {
             Some(key) if !keyed => format!("/{key}{}", self.path),
@@ -57,89 +59,89 @@
         }
     }
 
-    /// Point of the key in the hash space.
+    /// Returns the hash of the key.
     pub fn hash(&self) -> Option<KeyHash> {
         self.key.as_deref().map(KeyHash::of)
     }
 }
 
-/// One try on its way from ingress to gate.
+/// An attempt sent from ingress to gate.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Forward {
-    /// The try.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The upstream.
+    /// Upstream that is to handle the request.
     pub server: ServerName,
     /// Fence of the owner's assignment, for a keyed service.
     pub fence: Option<Fence>,
     /// Time left before the caller's deadline, in microseconds.
     pub remaining_micros: u64,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// The request.
+    /// The caller's request.
     pub request: CallerRequest,
 }
 
-/// A whole answer of an upstream.
+/// A complete answer from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct UpstreamAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers that concern the caller.
+    /// Headers to return to the caller.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Message body.
     pub body: Vec<u8>,
 }
 
-/// Why a try provably did not run.
+/// Why an attempt provably did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum NotRunReason {
-    /// The server does not own the key under this fence.
+    /// The server does not own the key under the attempt's fence.
     NotOwner,
-    /// The upstream is over its limit.
+    /// The upstream rejected the request because of overload.
     Shed,
     /// The gate's queue is full.
     QueueFull,
-    /// The deadline passed in the gate's queue.
+    /// The deadline passed while the attempt was in the gate's queue.
     Expired,
     /// The node is not the upstream's gate.
     NotGate,
-    /// No connection could be made.
+    /// No connection to the upstream could be established.
     NotConnected,
 }
 
-/// How a try ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum UpstreamOutcome {
-    /// The whole answer.
+    /// The upstream returned a complete answer.
     Answered(UpstreamAnswer),
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: NotRunReason,
-        /// When to come back, in microseconds, when known.
+        /// Delay before a retry in microseconds, if known.
         retry_after_micros: Option<u64>,
     },
-    /// It was sent and no whole answer came.
+    /// The request was sent, but no complete answer was received.
     Lost {
-        /// What happened.
+        /// Description of the failure.
         cause: String,
     },
 }
 
-/// What is known of a request that has its final answer.
+/// Whether a request with a final answer was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It ran, and the answer is the upstream's.
+    /// The request ran; the answer is the upstream's.
     Complete,
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl RunState {
-    /// The word for it in answers to callers.
+    /// Returns the value reported to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             RunState::Complete => "complete",
@@ -149,23 +151,23 @@
     }
 }
 
-/// A caller's final answer.
+/// The final answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Headers of the upstream's answer.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Message body.
     pub body: Vec<u8>,
     /// Whether the request ran.
     pub run_state: RunState,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Answer {
-    /// An answer of beamtray itself.
+    /// Builds a failure answer generated by beamtray rather than an upstream.
     pub fn failure(
         status: u16,
         run_state: RunState,
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What an ingress does when a try has ended: answer, try again or give up.
+//! Handling of attempt outcomes at the ingress: answer, retry or fail.
 
 use crate::budget::RetryBudget;
 use crate::ingress::{Ingress, REROUTE_DELAY};
@@ -8,10 +8,11 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// The pause doubles at most this often.
+/// Maximum number of doublings of the reroute delay.
 const MAX_REROUTE_DOUBLINGS: u32 = 3;
 
-/// Pause before an upstream that could not be reached is tried again.
+/// Delay before a retry when the upstream was unreachable, or when a refusal
+/// named no delay.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Ingress {
@@ -26,8 +27,8 @@
         if attempt.ingress != view.me {
             return;
         }
-        // A try that was given up on is not in the table: its late answer is
-        // nobody's.
+        // Abandoned attempts are not in the table; their late outcomes are
+        // dropped.
         let Some(id) = self.attempts.remove(&attempt.number) else {
             return;
         };
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Doubles with each refusal: a new view ends the pause at once, and
-    /// without one another try is unlikely to fare better.
+    /// Returns a delay that doubles with each refusal. A new view ends the
+    /// delay early; without one a retry is likely to be refused again.
     fn reroute_delay(&mut self, id: RequestId) -> Duration {
         let Some(pending) = self.pending.get_mut(&id) else {
             return REROUTE_DELAY;
@@ -132,7 +133,8 @@
         self.fail(id, 502, &reason, None, outputs);
     }
 
-    /// Puts a request back among those that wait, when time is left.
+    /// Returns a request to the waiting stage, or fails it if its deadline
+    /// comes before the retry.
     fn retry(
         &mut self,
         now: Time,
@@ -174,7 +176,8 @@
             .is_some_and(RetryBudget::withdraw)
     }
 
-    /// The final answer for a request that has none from an upstream.
+    /// Sends the final answer for a request that received none from an
+    /// upstream.
     pub(crate) fn fail(
         &mut self,
         id: RequestId,
@@ -194,8 +197,8 @@
         } else {
             RunState::NotRun
         };
-        // An unknown outcome must not invite a repetition of what may not be
-        // repeated.
+        // With an unknown outcome, a retry delay must not invite the caller to
+        // repeat a request that is not repeatable.
         let after = after.filter(|_| run_state == RunState::NotRun || pending.repeatable);
         outputs.push(RouterOutput::Answer {
             request: id,
--- a/crates/routing/src/pending.rs
+++ b/crates/routing/src/pending.rs
@@ -1,10 +1,10 @@
-//! What an ingress keeps of a request until its final answer.
+//! State of a request at its ingress until the final answer.
 
 use crate::message::{AttemptId, CallerRequest};
 use crate::router::RouterOutput;
 use beamtray_types::{Fence, NodeId, ServerName, Time};
 
-/// One try that is out at a gate.
+/// An attempt sent to a gate whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
@@ -23,22 +23,22 @@
     }
 }
 
-/// Where a request is.
+/// Processing stage of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
     Waiting { until: Time, view: u64 },
     Sent(Attempt),
 }
 
-/// A request without its final answer.
+/// A request without a final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) request: CallerRequest,
     pub(crate) repeatable: bool,
     pub(crate) deadline: Time,
-    /// Whether a try before the present stage may have run.
+    /// Whether an earlier attempt may have run.
     pub(crate) may_have_run: bool,
-    /// Refusals in a row for owner or gate.
+    /// Number of refusals because of a wrong owner or gate.
     pub(crate) reroutes: u32,
     pub(crate) stage: Stage,
 }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -1,20 +1,22 @@
-//! Choice of a back end where any may serve: two random choices by requests in
-//! flight, slow start, and ejection on own evidence with a floor.
+//! Load balancing over the backends of a pool: power of two random choices by
+//! requests in flight, slow start, and outlier ejection based on locally
+//! observed failures with a limit on the ejected share.
 
 use beamtray_types::{ServerName, Time};
 use rand::{Rng, RngExt};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Failures in a row that eject a back end.
+/// Consecutive failures after which a backend is ejected.
 const EJECTION_CONSECUTIVE_FAILURES: u32 = 3;
-/// First ejection; doubles with each one after it.
+/// Duration of the first ejection; doubles with each consecutive one.
 const EJECTION_BASE: Duration = Duration::from_secs(1);
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const EJECTION_MAX: Duration = Duration::from_secs(30);
-/// Time over which a new or returned back end comes up to its full share.
+/// Time over which a new or returning backend is ramped up to its full share of
+/// requests.
 const SLOW_START: Duration = Duration::from_secs(10);
-/// Share that a back end gets at the start of its slow start.
+/// Share of requests at the beginning of slow start.
 const SLOW_START_MIN_SHARE: f64 = 0.1;
 
 #[derive(Clone, Debug)]
@@ -23,20 +25,20 @@
     consecutive_failures: u32,
     ejections: u32,
     ejected_until: Time,
-    /// Start of its slow start; none for those there from the beginning.
+    /// Start of slow start; `None` for backends present from the beginning.
     slow_start_from: Option<Time>,
 }
 
-/// What an ingress knows of the back ends it sends to.
+/// Statistics of one ingress about the backends of a service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
     backends: BTreeMap<ServerName, Backend>,
 }
 
 impl Pool {
-    /// Chooses among `candidates`. Ejected ones are left out as long as at
-    /// least half of the candidates remain: health evidence can be wrong for
-    /// all at once, and an empty pool serves nobody.
+    /// Selects one of `candidates`. Ejected backends are excluded only while at
+    /// least half of the candidates remain: a fault that affects all health
+    /// observations at once must not empty the pool.
     pub(crate) fn choose(
         &mut self,
         now: Time,
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Requests in flight per share that it should take now.
+    /// Returns the requests in flight, counting the next one, divided by the
+    /// current slow-start share.
     fn cost(&self, now: Time) -> f64 {
         let share = self.slow_start_from.map_or(1.0, |from| {
             let elapsed_share = now.since(from).as_secs_f64() / SLOW_START.as_secs_f64();
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The two roles joined, and what they ask their owner to do.
+//! Combines the ingress and gate roles and defines their inputs and outputs.
 
 use crate::gate::Gate;
 use crate::gates::GateMap;
@@ -12,70 +12,71 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a node knows when it routes.
+/// The control state that a routing decision uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingView<'a> {
-    /// This run of this node.
+    /// This node and its incarnation.
     pub me: Member,
-    /// The group's state as far as this node has it.
+    /// The control group's state as replicated to this node.
     pub state: &'a ControlState,
-    /// The gates for that state.
+    /// The gate of each upstream, computed from `state`.
     pub gates: &'a GateMap,
-    /// Whether the state is fresh enough to act on.
+    /// Whether the state is recent enough to route by.
     pub fresh: bool,
 }
 
 /// Settings of a [`Router`].
 #[derive(Clone, Copy, Debug)]
 pub struct RouterConfig {
-    /// Seed of the generator that chooses among back ends.
+    /// Seed of the random generator for backend selection.
     pub seed: u64,
-    /// Whether a try that may have run is treated as such. Only a test that
-    /// shows why turns it off.
+    /// Whether an attempt without a complete answer counts as possibly run.
+    /// Always on in production; tests turn it off to show the failure it
+    /// prevents.
     pub track_unknown_outcomes: bool,
-    /// Whether a gate drops a try that comes twice. Only a test that shows why
-    /// turns it off.
+    /// Whether a gate drops duplicates of an attempt. Always on in production;
+    /// tests turn it off to show the failure it prevents.
     pub drop_duplicate_attempts: bool,
 }
 
-/// What the owner of a [`Router`] must do.
+/// An action for the code that drives a [`Router`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterOutput {
-    /// Pass a try to its gate.
+    /// Send an attempt to its gate.
     Forward {
-        /// The gate.
+        /// Node that is the gate.
         to: NodeId,
-        /// The try.
+        /// The attempt.
         forward: Forward,
     },
-    /// Tell a gate that a try's caller is gone.
+    /// Tell a gate that an attempt's result is no longer needed.
     Cancel {
-        /// The gate.
+        /// Node that is the gate.
         to: NodeId,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Pass a try's result to its ingress.
+    /// Send the outcome of an attempt to its ingress.
     Result {
-        /// The ingress.
+        /// Ingress that sent the attempt.
         to: Member,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: UpstreamOutcome,
     },
-    /// Call an upstream.
+    /// Send a request to an upstream.
     Call {
-        /// Names the call in [`Router::on_call_result`].
+        /// Identifies the call in [`Router::on_call_result`].
         call: CallId,
-        /// Where.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// What.
+        /// The attempt to send.
         forward: Forward,
-        /// For how long.
+        /// Timeout of the call.
         timeout: Duration,
     },
-    /// Give a caller its final answer.
+    /// Return the final answer to a caller.
     Answer {
         /// The request.
         request: RequestId,
@@ -84,7 +85,7 @@
     },
 }
 
-/// Ingress and gate of one node.
+/// The ingress and gate roles of one node.
 #[derive(Debug)]
 pub struct Router {
     ingress: Ingress,
@@ -92,7 +93,7 @@
 }
 
 impl Router {
-    /// A router with nothing in flight.
+    /// Creates a router without pending requests.
     pub fn new(config: RouterConfig) -> Self {
         Self {
             ingress: Ingress::new(config),
@@ -100,37 +101,38 @@
         }
     }
 
-    /// Whether nothing is in flight in either role.
+    /// Returns whether neither role has pending requests, queued attempts or
+    /// running calls.
     pub fn is_idle(&self) -> bool {
         self.ingress.is_idle() && self.gate.is_idle()
     }
 
-    /// Callers' requests without a final answer.
+    /// Returns the number of callers' requests without a final answer.
     pub fn pending(&self) -> usize {
         self.ingress.pending()
     }
 
-    /// Tries that wait in this node's gates.
+    /// Returns the number of attempts in this node's gate queues.
     pub fn queued(&self) -> usize {
         self.gate.queued()
     }
 
-    /// Calls that this node's gates have under way.
+    /// Returns the number of upstream calls in progress at this node's gates.
     pub fn running(&self) -> usize {
         self.gate.running()
     }
 
-    /// Takes the requests counted per slice since the last call.
+    /// Returns and resets the request counts per slice.
     pub fn take_load(&mut self) -> Vec<SliceCount> {
         self.gate.load.take()
     }
 
-    /// Refuses new requests from now on; what is in flight goes on.
+    /// Refuses new requests from now on; pending requests continue.
     pub fn stop(&mut self) {
         self.ingress.stop();
     }
 
-    /// Takes a caller's request in.
+    /// Handles a request from a caller.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -144,7 +146,7 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// A caller is gone.
+    /// Handles the disconnection of a caller.
     pub fn on_caller_disconnected(
         &mut self,
         now: Time,
@@ -156,7 +158,7 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// Takes a try from an ingress in.
+    /// Handles an attempt sent by an ingress.
     pub fn on_forward(
         &mut self,
         now: Time,
@@ -170,12 +172,12 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// An ingress no longer wants a try.
+    /// Handles the cancellation of an attempt by its ingress.
     pub fn on_cancel(&mut self, attempt: AttemptId) {
         self.gate.cancel(attempt);
     }
 
-    /// Takes a try's result from its gate in.
+    /// Handles the outcome of an attempt from its gate.
     pub fn on_result(
         &mut self,
         now: Time,
@@ -189,7 +191,7 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// Takes the result of a call in.
+    /// Handles the outcome of an upstream call.
     pub fn on_call_result(
         &mut self,
         now: Time,
@@ -203,7 +205,8 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// The connection to a node is gone: tries that it had are lost.
+    /// Handles the loss of the connection to a node: attempts sent to it are
+    /// treated as lost.
     pub fn on_node_disconnected(
         &mut self,
         now: Time,
@@ -216,7 +219,8 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// Runs what is due; also to be called when the view changed.
+    /// Processes deadlines and delays that are due. Must also be called when
+    /// the view has changed.
     pub fn tick(&mut self, now: Time, view: &RoutingView) -> Vec<RouterOutput> {
         let mut outputs = Vec::new();
         self.gate.tick(now, view, &mut outputs);
@@ -224,7 +228,8 @@
         self.deliver_local(now, view, outputs)
     }
 
-    /// Carries messages between the two roles of this node without the wire.
+    /// Delivers messages between the two roles of this node directly and
+    /// returns the outputs that remain.
     fn deliver_local(
         &mut self,
         now: Time,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: slots, queues, retries, deadlines and what callers are told.
+//! Tests of slots, queues, retries, deadlines and final answers.
 
 use beamtray_ownership::{Command, CommandBatch, ControlState, NodeRecord};
 use beamtray_routing::{
@@ -47,7 +47,8 @@
     Time(millis * 1_000)
 }
 
-/// One node that is ingress and gate, and a state that owns everything.
+/// A single node that is both ingress and gate, with a control state in which
+/// every slice has an owner.
 struct Harness {
     router: Router,
     state: ControlState,
@@ -208,15 +209,23 @@
         sent.extend(calls(&outputs));
         refused.extend(answers(&outputs).into_iter().cloned());
     }
-    assert_eq!(sent.len(), 2, "two slots");
-    assert_eq!(refused.len(), 3, "three wait");
+    assert_eq!(sent.len(), 2, "one request per slot is sent");
+    assert_eq!(
+        refused.len(),
+        3,
+        "requests beyond slots and queue are refused"
+    );
     for answer in &refused {
         assert_eq!(answer.run_state, RunState::NotRun);
         assert!(answer.retry_after.is_some());
     }
     let outputs = harness.result(at(5), sent[0].0, answered());
     assert_eq!(answers(&outputs).len(), 1);
-    assert_eq!(calls(&outputs).len(), 1, "the next in the queue");
+    assert_eq!(
+        calls(&outputs).len(),
+        1,
+        "the freed slot takes the next queued request"
+    );
 }
 
 #[test]
@@ -230,7 +239,10 @@
     assert!(calls(&outputs).is_empty());
     let answer = answers(&outputs)[0];
     assert_eq!(answer.run_state, RunState::Unknown);
-    assert_eq!(answer.retry_after, None, "nothing invites a repetition");
+    assert_eq!(
+        answer.retry_after, None,
+        "a non-repeatable request must not get a retry delay"
+    );
 }
 
 #[test]
@@ -268,7 +280,7 @@
     harness.assign("a1");
     assert!(
         answers(&harness.tick(at(10))).is_empty(),
-        "its answer may be on the way"
+        "the answer may still arrive during the grace period"
     );
     let outputs = harness.tick(at(400));
     assert_eq!(answers(&outputs)[0].run_state, RunState::Unknown);
