--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the withholding that protects a lease.
+//! Elections: pre-vote, vote, and vote withholding to protect leader leases.
 
 use crate::log::Payload;
 use crate::message::Body;
@@ -7,7 +7,8 @@
 use beamtray_types::{LogIndex, Member, Term, Time};
 
 impl Raft {
-    /// Whether a leader may hold a lease that this member's answers gave it.
+    /// Returns whether a leader may hold a lease based on this member's
+    /// acknowledgements.
     pub(crate) fn withholds_votes(&self, now: Time) -> bool {
         self.config.withhold_votes
             && (now < self.last_leader_contact + self.config.election_timeout
@@ -138,9 +139,9 @@
         }
     }
 
-    /// Starts following every member of the membership in force. Whoever it
-    /// leaves out is followed until the change is committed, so that it learns
-    /// that it has no vote any more.
+    /// Tracks the progress of every member of the effective membership. Removed
+    /// members stay tracked until their removal is committed, so that they
+    /// receive the change and learn that they are no longer voters.
     pub(crate) fn refresh_progress(&mut self) {
         let members: Vec<Member> = self.membership().all().collect();
         if self.is_membership_committed() {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,18 +1,18 @@
-//! A replicated log in the memory of a few voters.
+//! An in-memory replicated log.
 //!
 //! The algorithm is Raft ("In Search of an Understandable Consensus
 //! Algorithm", Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, a
 //! leader lease, leadership transfer, learners and single-voter membership
 //! changes (Ongaro's dissertation, chapters 3, 4 and 6).
 //!
-//! The core is pure: [`Raft::handle`] and [`Raft::tick`] take the time, and
-//! what must be sent or applied is taken with [`Raft::take_outputs`]. It owns
-//! no clock, socket or thread.
+//! The crate does no I/O: [`Raft::handle`] and [`Raft::tick`] take the time as
+//! an argument, and [`Raft::take_outputs`] returns the messages to send and the
+//! entries to apply. It uses no clock, socket or thread.
 //!
-//! Nothing is written to disk. A voter is therefore one *run* of a process
-//! ([`beamtray_types::Member`]): a restarted process is another member, which
-//! has no vote until a committed change gives it one. So no member can vote
-//! twice in a term.
+//! Nothing is written to disk. A member is therefore one *run* of a process
+//! ([`beamtray_types::Member`]): a restarted process is a new member, without a
+//! vote until a committed membership change makes it a voter. This prevents a
+//! member that lost its state from voting twice in a term.
 
 mod config;
 mod election;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,45 +1,45 @@
-//! The log's entries and the snapshot that precedes them.
+//! Log entries and the snapshot that precedes them.
 
 use crate::membership::Membership;
 use beamtray_types::{LogIndex, Term};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What an entry does when it is applied.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
+    /// No operation; the first entry of each leader's term.
     Noop,
-    /// A command of the application.
+    /// An application command.
     Command(Vec<u8>),
-    /// A change of members, in force as soon as it is in the log.
+    /// A membership change, effective as soon as it is appended to the log.
     Membership(Membership),
 }
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Entry {
-    /// Term of the leader that wrote it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Its position.
+    /// Index of the entry in the log.
     pub index: LogIndex,
-    /// What it does.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// The application's state up to an index.
+/// A snapshot of the application's state up to an index.
 #[derive(Clone, Debug, Default, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Snapshot {
-    /// Last index that the state includes.
+    /// Last index included in the snapshot.
     pub index: LogIndex,
-    /// Term of that index.
+    /// Term of the entry at that index.
     pub term: Term,
-    /// Members as of that index.
+    /// Membership as of that index.
     pub membership: Membership,
-    /// The application's encoding of its state.
+    /// Application state in the application's own encoding.
     pub data: Vec<u8>,
 }
 
-/// A snapshot and the entries that follow it without a gap.
+/// A snapshot and the contiguous entries that follow it.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
     pub(crate) snapshot: Snapshot,
@@ -64,7 +64,8 @@
             .map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term of the entry at `index`, when the log still knows it.
+    /// Returns the term of the entry at `index`, unless it is compacted or
+    /// beyond the end of the log.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -77,7 +78,7 @@
         self.entries.get(position as usize)
     }
 
-    /// Entries from `first` on, at most `limit`.
+    /// Returns up to `limit` entries, beginning at index `first`.
     pub(crate) fn entries_from(&self, first: LogIndex, limit: usize) -> Vec<Entry> {
         let skipped = first.0.saturating_sub(self.snapshot.index.0 + 1) as usize;
         self.entries
@@ -98,10 +99,11 @@
         index
     }
 
-    /// Adds a leader's entries, dropping what conflicts with them.
+    /// Appends a leader's entries and truncates conflicting ones.
     ///
-    /// Entries that are already there are kept even when the message holds
-    /// fewer than the log: a late, shorter message must not undo a longer one.
+    /// Existing entries without a conflict are kept even if they extend beyond
+    /// the message: a delayed, shorter message must not truncate the entries of
+    /// a longer one.
     pub(crate) fn merge(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if entry.index <= self.snapshot.index {
@@ -119,7 +121,8 @@
         }
     }
 
-    /// The members in force: the last change in the log, committed or not.
+    /// Returns the effective membership: the last change in the log, committed
+    /// or not.
     pub(crate) fn membership(&self) -> (LogIndex, &Membership) {
         self.entries
             .iter()
@@ -131,7 +134,7 @@
             .unwrap_or((self.snapshot.index, &self.snapshot.membership))
     }
 
-    /// The last change of members at or below `index`.
+    /// Returns the membership as of `index`.
     pub(crate) fn membership_at(&self, index: LogIndex) -> Membership {
         self.entries
             .iter()
@@ -144,7 +147,7 @@
             .unwrap_or_else(|| self.snapshot.membership.clone())
     }
 
-    /// Replaces everything up to `snapshot.index` by the snapshot.
+    /// Replaces all entries up to `snapshot.index` with the snapshot.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) {
         let dropped = (snapshot.index.0 - self.snapshot.index.0) as usize;
         self.entries.drain(..dropped.min(self.entries.len()));
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -4,79 +4,81 @@
 use beamtray_types::{LogIndex, Member, Term, Time};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// One message from one member to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Message {
     /// The sender.
     pub from: Member,
-    /// The run for which it is meant; any other run drops it.
+    /// The recipient; other runs of the same node drop the message.
     pub to: Member,
-    /// The sender's term; in a pre-vote the term that it would start.
+    /// The sender's term, or the proposed term in a pre-vote request.
     pub term: Term,
-    /// What it says.
+    /// Content of the message.
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Body {
-    /// Asks whether an election could be won, without disturbing anyone.
+    /// Asks whether the candidate could win an election, without raising terms.
     PreVote {
         /// Last index of the candidate's log.
         last_index: LogIndex,
         /// Term of that entry.
         last_term: Term,
     },
-    /// Answers a pre-vote; the message's term is the one proposed if granted.
+    /// Reply to a pre-vote request. If granted, the message's term is the
+    /// proposed term.
     PreVoteReply {
-        /// Whether a vote would be granted.
+        /// Whether the voter would grant its vote.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     RequestVote {
         /// Last index of the candidate's log.
         last_index: LogIndex,
         /// Term of that entry.
         last_term: Term,
-        /// The old leader itself asked for this election and gave up its
-        /// lease, so votes are not withheld.
+        /// Set if the leader started this election by a leadership transfer. It
+        /// has given up its lease, so voters do not withhold their votes.
         transfer: bool,
     },
-    /// Answers a request for a vote.
+    /// Reply to a vote request.
     VoteReply {
         /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries, or a heartbeat when there are none.
+    /// Replicates entries; a heartbeat if there are none.
     AppendEntries {
-        /// Index before the first entry.
+        /// Index that precedes the first entry.
         previous_index: LogIndex,
-        /// Term of that index.
+        /// Term of the entry at `previous_index`.
         previous_term: Term,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// The leader's clock at sending; returned in the reply.
+        /// Leader's clock when the message was sent; returned in the reply.
         sent_at: Time,
     },
-    /// Answers an append or a snapshot.
+    /// Reply to appended entries or a snapshot.
     AppendReply {
-        /// Whether the follower's log now matches up to `match_index`.
+        /// Whether the follower's log matches the leader's up to `match_index`.
         accepted: bool,
-        /// Highest index known to match, or on refusal the highest at which
-        /// the follower's log could match.
+        /// Highest index known to match. After a rejection, the highest index
+        /// at which the logs could match.
         match_index: LogIndex,
-        /// `sent_at` of what is answered.
+        /// `sent_at` of the acknowledged message.
         echoed_sent_at: Time,
     },
-    /// A whole state for a follower that is behind the leader's log.
+    /// Sends a snapshot to a follower that needs entries already compacted by
+    /// the leader.
     InstallSnapshot {
-        /// The state.
+        /// The snapshot.
         snapshot: Snapshot,
-        /// The leader's clock at sending.
+        /// Leader's clock when the message was sent.
         sent_at: Time,
     },
-    /// Tells a voter to start an election now.
+    /// Tells a voter to start an election immediately.
     TimeoutNow,
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower.
+//! Replication progress of a follower, tracked by the leader.
 
 use beamtray_types::{LogIndex, Time};
 
@@ -8,7 +8,7 @@
     pub(crate) match_index: LogIndex,
     /// Next index to send.
     pub(crate) next_index: LogIndex,
-    /// Latest `sent_at` that the follower answered, on the leader's clock.
+    /// Latest `sent_at` acknowledged by the follower, on the leader's clock.
     pub(crate) last_acknowledged: Option<Time>,
 }
 
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,4 +1,4 @@
-//! A member's state, its public operations and its timers.
+//! State, public operations and timers of a member.
 
 use crate::config::{ELECTION_TIMEOUT_SPREAD, RaftConfig};
 use crate::log::{Entry, Log, Payload, Snapshot};
@@ -10,31 +10,31 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a member currently does.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it could win an election.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Writes the log.
+    /// Appends entries to the log and replicates them.
     Leader,
 }
 
-/// What the owner of a [`Raft`] must do.
+/// An action for the code that drives a [`Raft`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message; delivery is not required.
     Send(Message),
-    /// Apply a committed entry; entries come in order, each once.
+    /// Apply a committed entry. Entries are emitted in log order, each once.
     Apply(Entry),
-    /// Replace the state by a snapshot.
+    /// Replace the application state with a snapshot.
     Restore(Snapshot),
 }
 
-/// The operation needs the leader, and this member is not it.
+/// The member is not the leader, or cannot perform the operation now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader;
 
@@ -50,15 +50,15 @@
     pub(crate) log: Log,
     pub(crate) commit: LogIndex,
     applied: LogIndex,
-    /// Last word from a leader. Starts at creation: a member that does not yet
-    /// know whether a leader holds a lease must assume so.
+    /// Time of the last message from a leader. Initialized to the creation
+    /// time, because a new member must assume that a leader holds a lease.
     pub(crate) last_leader_contact: Time,
     pub(crate) election_deadline: Time,
     pub(crate) next_heartbeat_at: Time,
     pub(crate) votes: BTreeSet<Member>,
     pub(crate) progress: BTreeMap<Member, Progress>,
-    /// Index of this leader's first entry; until it is committed the leader
-    /// may not know of everything that is.
+    /// Index of this leader's first entry. Until that entry is committed, the
+    /// leader may not know of all committed entries.
     pub(crate) first_index_of_term: LogIndex,
     /// When this leader was elected.
     pub(crate) elected_at: Time,
@@ -68,7 +68,7 @@
 }
 
 impl Raft {
-    /// Starts a member from a snapshot, which names the founding members.
+    /// Creates a member from a snapshot that contains the initial membership.
     pub fn new(config: RaftConfig, me: Member, snapshot: Snapshot, now: Time) -> Self {
         let mut raft = Self {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
@@ -95,90 +95,93 @@
         raft
     }
 
-    /// Takes what must be sent and applied, in order.
+    /// Returns and clears the pending outputs, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// This member's identity.
+    /// Returns this member's identity.
     pub fn me(&self) -> Member {
         self.me
     }
 
-    /// What the member currently does.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The member's term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The leader of the term, when known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<Member> {
         self.leader
     }
 
-    /// Highest index known to be committed.
+    /// Returns the highest index known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// Last index of the log.
+    /// Returns the last index of the log.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// Number of entries kept behind the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// The members in force.
+    /// Returns the effective membership.
     pub fn membership(&self) -> &Membership {
         self.log.membership().1
     }
 
-    /// Whether the last change of members is committed.
+    /// Returns whether the last membership change is committed.
     pub fn is_membership_committed(&self) -> bool {
         self.log.membership().0 <= self.commit
     }
 
-    /// Whether this member has a vote.
+    /// Returns whether this member is a voter.
     pub fn is_voter(&self) -> bool {
         self.membership().voters.contains(&self.me)
     }
 
-    /// When this leader was elected, on its own clock.
+    /// Returns when this leader was elected, on its own clock.
     pub fn elected_at(&self) -> Time {
         self.elected_at
     }
 
-    /// Highest index that `member` is known to hold. Leader only.
+    /// Returns the highest index known to be replicated to `member`; `None`
+    /// if this member is not the leader or does not track `member`.
     pub fn match_index(&self, member: Member) -> Option<LogIndex> {
         self.progress
             .get(&member)
             .map(|progress| progress.match_index)
     }
 
-    /// When `member` last answered, by the sending time of what it answered.
+    /// Returns the send time of the latest message that `member` acknowledged.
     pub fn last_acknowledged(&self, member: Member) -> Option<Time> {
         self.progress.get(&member)?.last_acknowledged
     }
 
-    /// Whether this member leads, knows all that is committed, and no other
-    /// member can have been elected by `now`.
+    /// Returns whether this member is the leader, knows all committed entries,
+    /// and no other member can have been elected by `now`.
     ///
-    /// Invariant: a voter that answered an append sent at `t` withholds its
-    /// vote until `t + election`, and `election` exceeds the lease stretched
-    /// by the drift. Without withholding, a cut-off leader and its successor
-    /// would both pass this check.
+    /// Invariant: a voter that acknowledged entries sent at `t` withholds its
+    /// vote until `t + election_timeout`, and `election_timeout` exceeds the
+    /// lease duration extended by the clock drift. If voters did not withhold
+    /// votes, a partitioned leader and its successor could both pass this
+    /// check.
     pub fn has_lease(&self, now: Time) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// End of the lease, when this member leads and has had one.
+    /// Returns the end of the lease, if this member is the leader and a
+    /// majority has acknowledged it.
     pub fn lease_until(&self) -> Option<Time> {
         if self.role != Role::Leader
             || self.transfer_started_at.is_some()
@@ -189,10 +192,11 @@
         Some(self.quorum_acknowledged_at()? + self.config.lease_duration)
     }
 
-    /// Adds a command to the log.
+    /// Appends a command to the log.
     ///
     /// # Errors
-    /// [`NotLeader`] when this member does not lead or hands leadership over.
+    /// [`NotLeader`] if this member is not the leader or a leadership transfer
+    /// is in progress.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Result<LogIndex, NotLeader> {
         if self.role != Role::Leader || self.transfer_started_at.is_some() {
             return Err(NotLeader);
@@ -202,11 +206,13 @@
         Ok(index)
     }
 
-    /// Changes the members by one voter, or any learners.
+    /// Changes the membership by at most one voter and any number of learners.
     ///
     /// # Errors
-    /// [`NotLeader`] when this member does not lead, the change before is not
-    /// committed, this term has committed nothing yet, or the step is too long.
+    /// [`NotLeader`] if this member is not the leader, a leadership transfer is
+    /// in progress, the previous change is not committed, no entry of this term
+    /// is committed yet, `next` has no voters, or the change affects more than
+    /// one voter.
     pub fn propose_membership(&mut self, now: Time, next: Membership) -> Result<(), NotLeader> {
         let ready = self.role == Role::Leader
             && self.transfer_started_at.is_none()
@@ -223,10 +229,11 @@
         Ok(())
     }
 
-    /// Hands leadership to `to` and gives up the lease at once.
+    /// Transfers leadership to `to` and gives up the lease immediately.
     ///
     /// # Errors
-    /// [`NotLeader`] when this member does not lead or `to` has no vote.
+    /// [`NotLeader`] if this member is not the leader, or `to` is this member
+    /// or not a voter.
     pub fn transfer_leadership(&mut self, now: Time, to: Member) -> Result<(), NotLeader> {
         if self.role != Role::Leader || !self.membership().voters.contains(&to) || to == self.me {
             return Err(NotLeader);
@@ -236,7 +243,8 @@
         Ok(())
     }
 
-    /// Drops the log up to `index`, which `data` replaces.
+    /// Replaces the log up to `index` with a snapshot that contains `data`.
+    /// Does nothing if `index` is not applied yet or already compacted.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
         if index <= self.log.snapshot.index || index > self.applied {
             return;
@@ -253,7 +261,7 @@
         });
     }
 
-    /// Runs whatever is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Time) {
         match self.role {
             Role::Leader => self.tick_leader(now),
@@ -262,7 +270,7 @@
         }
     }
 
-    /// Takes one message in.
+    /// Handles a message from another member.
     pub fn handle(&mut self, now: Time, message: Message) {
         if message.to != self.me {
             return;
@@ -309,8 +317,9 @@
         }
     }
 
-    /// Messages that must not raise this member's term: a pre-vote never does,
-    /// nor does a vote asked for while a leader may hold its lease.
+    /// Returns whether a message must not raise this member's term. Pre-vote
+    /// requests and granted pre-votes never do, nor does a vote request while a
+    /// leader may hold a lease.
     fn ignores_term(&self, now: Time, body: &Body) -> bool {
         match body {
             Body::PreVote { .. } => true,
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,5 @@
-//! Replication: appends, snapshots, commitment and the leader's lease.
+//! Log replication, snapshots, commitment and the quorum checks for the leader
+//! lease.
 
 use crate::config::MAX_APPEND_ENTRIES;
 use crate::log::{Entry, Snapshot};
@@ -11,7 +12,7 @@
         if self.has_lost_quorum(now) {
             return self.become_follower(now, self.term);
         }
-        // A transfer that led to no election leaves this member leading.
+        // If a transfer led to no election, this member remains the leader.
         if let Some(since) = self.transfer_started_at
             && now.since(since) > self.config.election_timeout * 2
         {
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Check-quorum: a leader that a majority no longer answers steps down, so
-    /// that its clients look for another.
+    /// Check-quorum: a leader without acknowledgements from a majority steps
+    /// down, so that its clients look for another leader.
     fn has_lost_quorum(&self, now: Time) -> bool {
         let answered = self.quorum_acknowledged_at().unwrap_or(self.elected_at);
         now.since(answered.max(self.elected_at)) > self.config.election_timeout * 2
@@ -70,8 +71,8 @@
         self.send(to, body);
     }
 
-    /// Whether a message from a claimed leader is to be followed; an old
-    /// leader is told the present term.
+    /// Returns whether the sender is the leader of the current term. A former
+    /// leader receives a rejection with the current term.
     pub(crate) fn accept_leader(
         &mut self,
         now: Time,
@@ -97,7 +98,8 @@
         true
     }
 
-    /// Merges a leader's entries and answers with what the log now matches.
+    /// Merges a leader's entries and replies with the index up to which the
+    /// logs match.
     pub(crate) fn on_append(
         &mut self,
         from: Member,
@@ -108,8 +110,8 @@
     ) {
         let accepted = self.matches(previous);
         let match_index = if accepted {
-            // Only what this message vouches for may be confirmed or
-            // committed: the log may hold more, from a leader since replaced.
+            // Acknowledge and commit only up to the last entry covered by this
+            // message: later entries in the log may come from a former leader.
             let last_verified = LogIndex(previous.0.0 + entries.len() as u64);
             self.log.merge(entries);
             self.advance_commit(commit.min(last_verified));
@@ -126,7 +128,8 @@
         self.send(from, body);
     }
 
-    /// Log matching: whether the log holds what precedes a message's entries.
+    /// Log matching check: returns whether the log contains the entry that
+    /// precedes a message's entries.
     fn matches(&self, (index, term): (LogIndex, Term)) -> bool {
         index < self.log.snapshot.index || self.log.term_at(index) == Some(term)
     }
@@ -173,8 +176,9 @@
         }
     }
 
-    /// Commits the highest index of this term that a majority holds. Entries of
-    /// earlier terms are committed only with it (Raft, section 5.4.2).
+    /// Commits up to the highest index that is replicated to a majority, if its
+    /// entry is of the current term. Entries of earlier terms are committed
+    /// only together with one of the current term (Raft, section 5.4.2).
     fn advance_leader_commit(&mut self) {
         let membership = self.membership();
         let mut match_indexes: Vec<LogIndex> = membership
@@ -206,8 +210,8 @@
         self.match_index(member).unwrap_or_default()
     }
 
-    /// The latest moment such that a majority answered something sent then or
-    /// later.
+    /// Returns the latest time such that a majority has acknowledged a message
+    /// sent at or after it.
     pub(crate) fn quorum_acknowledged_at(&self) -> Option<Time> {
         let membership = self.membership();
         let mut answered: Vec<Option<Time>> = membership
--- a/crates/consensus/tests/log/harness.rs
+++ b/crates/consensus/tests/log/harness.rs
@@ -1,4 +1,5 @@
-//! Members on a virtual clock, joined by a network that tests can cut.
+//! Test harness: a group on a virtual clock and a simulated network whose links
+//! tests can block.
 
 use beamtray_consensus::{
     Entry, Membership, Message, Output, Payload, Raft, RaftConfig, Role, Snapshot,
@@ -23,9 +24,9 @@
     pub applied: BTreeMap<Member, Vec<Entry>>,
     pub blocked_links: BTreeSet<(Member, Member)>,
     pub paused: BTreeSet<Member>,
-    /// Leaders of each term.
+    /// Leaders observed in each term.
     pub leaders: BTreeMap<Term, BTreeSet<Member>>,
-    /// Members that held a lease at the same moment, if ever.
+    /// Two members that held a lease at the same time, if observed.
     pub concurrent_leases: Option<(Member, Member)>,
     in_flight: Vec<(Time, Message)>,
     config: RaftConfig,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// The leader with a lease.
+    /// Returns a leader that holds a lease.
     pub fn leader(&self) -> Option<Member> {
         let mut all = self.members.iter();
         let found = all.find(|(_, raft)| raft.has_lease(self.now));
@@ -173,7 +174,7 @@
         index
     }
 
-    /// Commands that a member applied, in order.
+    /// Returns the commands that a member applied, in order.
     pub fn commands(&self, member: Member) -> Vec<u8> {
         let entries = self.applied[&member].iter();
         entries
@@ -184,7 +185,8 @@
             .collect()
     }
 
-    /// Whether every pair of members applied the same, as far as both got.
+    /// Returns whether no two members applied different entries at the same
+    /// index.
     pub fn agrees(&self) -> bool {
         let mut by_index: BTreeMap<LogIndex, &Entry> = BTreeMap::new();
         self.applied.values().flatten().all(|entry| {
--- a/crates/consensus/tests/log/main.rs
+++ b/crates/consensus/tests/log/main.rs
@@ -1,4 +1,5 @@
-//! The replicated log under cuts, pauses and changes of members.
+//! Tests of the replicated log with blocked links, paused members and
+//! membership changes.
 
 mod harness;
 
@@ -67,9 +68,10 @@
     assert_ne!(group.leader(), Some(old));
 }
 
-/// With votes withheld, whoever is elected was elected after the lease before.
-/// Without, two leaders hold a lease at once: the leader and another voter
-/// lose each other, and the third votes for the other at once.
+/// Guards against two leaders with a lease at the same time. If the link
+/// between the leader and another voter fails, that voter starts an election;
+/// without vote withholding, the third voter grants its vote while the old
+/// lease is still valid.
 #[test]
 fn withholding_votes_prevents_concurrent_leases() {
     let leases_overlap = |withhold: bool, seed: u64| {
@@ -85,11 +87,11 @@
     };
     assert!(
         (1..=20).any(|seed| leases_overlap(false, seed)),
-        "the guard matters"
+        "concurrent leases must occur without vote withholding"
     );
     assert!(
         (1..=100).all(|seed| !leases_overlap(true, seed)),
-        "the guard holds"
+        "concurrent leases must not occur with vote withholding"
     );
 }
 
@@ -103,7 +105,10 @@
     let now = group.now;
     let raft = group.members.get_mut(&old).expect("a member");
     raft.transfer_leadership(now, successor).expect("it leads");
-    assert!(!raft.has_lease(now), "the lease is given up at once");
+    assert!(
+        !raft.has_lease(now),
+        "a transfer ends the lease immediately"
+    );
     group.run(Duration::from_millis(400));
     assert_eq!(group.members[&successor].role(), Role::Leader);
     group.propose(2);
@@ -162,7 +167,7 @@
     assert!(group.members[&member(1)].commit_index() > LogIndex(1));
 }
 
-/// Fixed, so that every run draws the same cases.
+/// Fixed seed, so that every run generates the same cases.
 const SEED: u64 = 20_261_202;
 const SIZE: usize = 60;
 
@@ -170,8 +175,8 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(SIZE, SEED))
 }
 
-/// One leader a term, one lease at a time, and the same entries everywhere,
-/// whatever is cut or paused when.
+/// There is one leader per term, one lease at a time and the same entries on
+/// all members, for any sequence of blocked links and pauses.
 #[test]
 fn safety_holds_with_blocked_links_and_pauses() {
     fn holds(seed: u64, script: Vec<(u8, u8, u8)>) -> TestResult {
@@ -207,7 +212,8 @@
     checker().quickcheck(holds as fn(u64, Vec<(u8, u8, u8)>) -> TestResult);
 }
 
-/// Whatever happened, once it is over the group goes on.
+/// After an isolated member is reconnected, the group commits a command on all
+/// members.
 #[test]
 fn group_recovers_after_isolation() {
     fn recovers(seed: u64, isolated: u8) -> bool {
