--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -6,7 +6,7 @@
 
 use beamtray_control::{OperatorAnswer, OperatorRequest};
 use beamtray_http::{ClientConfig, HttpCall, HttpClient};
-use beamtray_node::client::ask;
+use beamtray_node::client::send_operator_request;
 use beamtray_settings::{Declaration, Division};
 use beamtray_types::{KeyHash, ServiceName};
 use eyre::{Result, bail, eyre};
@@ -118,7 +118,7 @@
         service: service.clone(),
         key: None,
     };
-    let OperatorAnswer::Assignments(rows) = ask(operators, &request)? else {
+    let OperatorAnswer::Assignments(rows) = send_operator_request(operators, &request)? else {
         bail!("{service}: no assignments");
     };
     let mut owners = BTreeMap::new();
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -23,7 +23,10 @@
 ///
 /// # Errors
 /// [`StepError`] when no answer came; a confirmation may have taken effect.
-pub fn ask(address: SocketAddr, request: &OperatorRequest) -> Result<OperatorAnswer, StepError> {
+pub fn send_operator_request(
+    address: SocketAddr,
+    request: &OperatorRequest,
+) -> Result<OperatorAnswer, StepError> {
     let failed = |cause: String| StepError::new("ask the operator address", address, cause);
     let body = serde_json::to_vec(request).map_err(|error| failed(error.to_string()))?;
     let url = format!("http://{address}/v1/operator");
--- a/crates/node/src/command/check.rs
+++ b/crates/node/src/command/check.rs
@@ -6,9 +6,9 @@
 use eyre::{Result, WrapErr};
 
 /// A file with this table is a declaration, any other is a settings file.
-const DECLARATION_MARK: &str = "[[service";
+const DECLARATION_TABLE: &str = "[[service";
 /// A file with this table is the settings of `route`.
-const ROUTER_MARK: &str = "[store]";
+const STORE_TABLE: &str = "[store]";
 
 pub(super) fn check(arguments: &CheckArguments) -> Outcome {
     match check_file(&arguments.file) {
@@ -23,19 +23,19 @@
     }
 }
 
-fn has_line(text: &str, mark: &str) -> bool {
-    text.lines().any(|line| line.trim().starts_with(mark))
+fn has_line_with_prefix(text: &str, prefix: &str) -> bool {
+    text.lines().any(|line| line.trim().starts_with(prefix))
 }
 
 /// Settings of `route` name a store in a table of its own.
-fn is_router(text: &str) -> bool {
-    has_line(text, ROUTER_MARK)
+fn is_router_settings(text: &str) -> bool {
+    has_line_with_prefix(text, STORE_TABLE)
 }
 
 fn check_file(file: &str) -> Result<String> {
     // A file that can't be read is told of by whoever loads it.
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    if has_line(&text, DECLARATION_MARK) {
+    if has_line_with_prefix(&text, DECLARATION_TABLE) {
         let declaration = Declaration::load(file)?;
         let servers: usize = declaration.services.iter().map(|s| s.servers.len()).sum();
         let services = declaration.services.len();
@@ -43,7 +43,7 @@
             "valid declaration, {services} services, {servers} servers"
         ));
     }
-    if is_router(&text) {
+    if is_router_settings(&text) {
         let settings = RouterSettings::parse(file, &text).wrap_err("router settings")?;
         let store = settings.store.address;
         return Ok(format!(
--- a/crates/node/src/command/explain.rs
+++ b/crates/node/src/command/explain.rs
@@ -13,20 +13,20 @@
         return Ok(Outcome::Invalid);
     }
     let lines = read(&arguments.files)?;
-    let story = match (request, key) {
+    let timeline = match (request, key) {
         (Some(request), _) => request_story(&lines, request),
         (None, Some(key)) => key_story(&lines, arguments.service.as_deref(), key),
         (None, None) => Vec::new(),
     };
-    Ok(print(&story, lines.len()))
+    Ok(print(&timeline, lines.len()))
 }
 
-fn print(story: &[Entry], lines: usize) -> Outcome {
-    if story.is_empty() {
+fn print(timeline: &[Entry], lines: usize) -> Outcome {
+    if timeline.is_empty() {
         eprintln!("none of {lines} lines tells of it");
         return Outcome::Failed;
     }
-    for entry in story {
+    for entry in timeline {
         print!("{entry}");
     }
     Outcome::Done
--- a/crates/node/src/command/node.rs
+++ b/crates/node/src/command/node.rs
@@ -15,7 +15,7 @@
 const PK_CENTRAL: &str = include_str!("../../../../deploy/pk-central.toml");
 
 pub(super) fn run(arguments: NodeArguments) -> Result<Outcome> {
-    let log = logging::logger(level(arguments.log_level.as_deref(), Level::Info)?);
+    let log = logging::logger(parse_level(arguments.log_level.as_deref(), Level::Info)?);
     let settings = match settings(arguments) {
         Ok(settings) => settings,
         Err(error) => {
@@ -29,7 +29,7 @@
         "callers {} peers {} operators {}",
         node.addresses.callers, node.addresses.peers, node.addresses.operators
     );
-    let stop = node.stopper();
+    let stop = node.stop_function();
     thread::spawn(move || {
         for _ in signals.forever() {
             stop();
@@ -58,7 +58,7 @@
 }
 
 pub(super) fn demo(arguments: DemoArguments) -> Result<Outcome> {
-    let log = logging::logger(level(arguments.log_level.as_deref(), Level::Warning)?);
+    let log = logging::logger(parse_level(arguments.log_level.as_deref(), Level::Warning)?);
     let declaration = match &arguments.deployment {
         Some(file) => Declaration::load(file),
         None => Declaration::parse("pk-central.toml", PK_CENTRAL),
@@ -72,7 +72,7 @@
     };
     let mut signals = Signals::new([SIGTERM, SIGINT]).wrap_err("register signals")?;
     let demo = Demo::start(declaration, &log)?;
-    let passed = demo.walk_through()?;
+    let passed = demo.run_scenario()?;
     if !arguments.once {
         demo.print_addresses();
         signals.forever().next();
@@ -85,7 +85,7 @@
     })
 }
 
-pub(super) fn level(name: Option<&str>, default: Level) -> Result<Level> {
+pub(super) fn parse_level(name: Option<&str>, default: Level) -> Result<Level> {
     Ok(match name {
         None => default,
         Some("debug") => Level::Debug,
--- a/crates/node/src/command/operate.rs
+++ b/crates/node/src/command/operate.rs
@@ -1,7 +1,7 @@
 //! `plan`, `confirm`, `status` and `assignments`.
 
 use super::{AssignmentsArguments, ConfirmArguments, Outcome, PlanArguments, StatusArguments};
-use crate::client::ask;
+use crate::client::send_operator_request;
 use beamtray_control::{OperatorAnswer, OperatorRequest, PlanReport, StatusReport};
 use beamtray_settings::Declaration;
 use beamtray_types::{OperationId, Revision, ServiceName};
@@ -15,9 +15,10 @@
             return Ok(Outcome::Invalid);
         }
     };
-    let answer = ask(arguments.operators, &OperatorRequest::Plan { declaration })?;
+    let answer =
+        send_operator_request(arguments.operators, &OperatorRequest::Plan { declaration })?;
     let OperatorAnswer::Plan(report) = &answer else {
-        return Ok(print_other(&answer, arguments.json));
+        return Ok(print_answer(&answer, arguments.json));
     };
     let text = serde_json::to_string_pretty(report)?;
     std::fs::write(&arguments.out, &text).wrap_err_with(|| format!("write {}", arguments.out))?;
@@ -73,7 +74,7 @@
         base: Revision(report.base),
         declaration: report.declaration,
     };
-    let answer = match ask(arguments.operators, &request) {
+    let answer = match send_operator_request(arguments.operators, &request) {
         Ok(answer) => answer,
         Err(error) => {
             eprintln!("{error}");
@@ -82,7 +83,7 @@
             }
         }
     };
-    Ok(print_other(&answer, arguments.json))
+    Ok(print_answer(&answer, arguments.json))
 }
 
 pub(super) fn status(arguments: &StatusArguments) -> Result<Outcome> {
@@ -92,13 +93,13 @@
         },
         None => OperatorRequest::Status,
     };
-    let answer = ask(arguments.operators, &request)?;
+    let answer = send_operator_request(arguments.operators, &request)?;
     match &answer {
         OperatorAnswer::Status(report) if !arguments.json => {
             print_status(report);
             Ok(Outcome::Done)
         }
-        _ => Ok(print_other(&answer, arguments.json)),
+        _ => Ok(print_answer(&answer, arguments.json)),
     }
 }
 
@@ -137,7 +138,7 @@
         service: ServiceName(arguments.service),
         key: arguments.key,
     };
-    let answer = ask(arguments.operators, &request)?;
+    let answer = send_operator_request(arguments.operators, &request)?;
     match &answer {
         OperatorAnswer::Assignments(rows) if !arguments.json => {
             for row in rows {
@@ -147,12 +148,12 @@
             }
             Ok(Outcome::Done)
         }
-        _ => Ok(print_other(&answer, arguments.json)),
+        _ => Ok(print_answer(&answer, arguments.json)),
     }
 }
 
 /// Prints an answer and tells the exit code that goes with it.
-fn print_other(answer: &OperatorAnswer, json: bool) -> Outcome {
+fn print_answer(answer: &OperatorAnswer, json: bool) -> Outcome {
     if json {
         println!("{}", serde_json::to_string(answer).unwrap_or_default());
     }
--- a/crates/node/src/command/route.rs
+++ b/crates/node/src/command/route.rs
@@ -1,6 +1,6 @@
 //! `route`: a node whose control state is in the platform's store.
 
-use super::node::level;
+use super::node::parse_level;
 use super::{Outcome, RouteArguments};
 use beamtray_adapter::Platform;
 use beamtray_router::settings::NodeSettings;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 pub(super) fn run(arguments: &RouteArguments) -> Result<Outcome> {
-    let level = level(arguments.log_level.as_deref(), Level::Info)?;
+    let level = parse_level(arguments.log_level.as_deref(), Level::Info)?;
     let settings = match NodeSettings::load(&arguments.settings) {
         Ok(settings) => settings,
         Err(error) => {
--- a/crates/node/src/demo.rs
+++ b/crates/node/src/demo.rs
@@ -1,6 +1,6 @@
 //! Three nodes and the stand-ins in one process, all on loopback.
 
-use crate::client::{ask, get, http_client};
+use crate::client::{get, http_client, send_operator_request};
 use crate::process::{BoundNode, RunningNode};
 use beamtray_control::{OperatorAnswer, OperatorRequest, StatusReport};
 use beamtray_http::{HttpCall, HttpReply, WorkerServer};
@@ -18,11 +18,11 @@
 
 const NODES: u32 = 3;
 const KEY_VALUE_RATE: u32 = 100;
-const MACHINE_LAG: Duration = Duration::from_secs(2);
+const MACHINE_LIST_LAG: Duration = Duration::from_secs(2);
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 /// How long the demo waits for the group to form and keys to be owned.
-const PATIENCE: Duration = Duration::from_secs(20);
-const POLL_PAUSE: Duration = Duration::from_millis(50);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running demo.
@@ -41,7 +41,7 @@
     pub fn start(mut declaration: Declaration, log: &Logger) -> Result<Self> {
         let mut standins = Vec::new();
         let key_value = service::serve_key_value(loopback(), KEY_VALUE_RATE)?;
-        let machines = service::serve_machines(loopback(), MACHINE_LAG)?;
+        let machines = service::serve_machines(loopback(), MACHINE_LIST_LAG)?;
         for declared in &mut declaration.services {
             for server in &mut declared.servers {
                 let standin = match declared.division {
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// When a step got no answer at all.
-    pub fn walk_through(&self) -> Result<bool> {
+    pub fn run_scenario(&self) -> Result<bool> {
         self.wait_for_group()?;
         let mut passed = true;
         let mut step = |name: &str, ok: bool, detail: String| {
@@ -167,7 +167,7 @@
     }
 
     fn status(&self) -> Option<StatusReport> {
-        match ask(self.operators(), &OperatorRequest::Status) {
+        match send_operator_request(self.operators(), &OperatorRequest::Status) {
             Ok(OperatorAnswer::Status(report)) => Some(report),
             _ => None,
         }
@@ -194,7 +194,8 @@
 
     fn plan_and_confirm(&self, declaration: &Declaration) -> Result<(bool, String)> {
         let declaration = declaration.clone();
-        let answer = ask(self.operators(), &OperatorRequest::Plan { declaration })?;
+        let answer =
+            send_operator_request(self.operators(), &OperatorRequest::Plan { declaration })?;
         let OperatorAnswer::Plan(plan) = answer else {
             return Ok((false, format!("{answer:?}")));
         };
@@ -204,7 +205,7 @@
             base: Revision(plan.base),
             declaration: plan.declaration,
         };
-        let answer = ask(self.operators(), &request)?;
+        let answer = send_operator_request(self.operators(), &request)?;
         let changes = plan.changes.len();
         Ok(match answer {
             OperatorAnswer::InForce { revision } => {
@@ -244,12 +245,12 @@
 }
 
 fn wait_until(what: &str, done: impl Fn() -> bool) -> Result<()> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !done() {
         if Instant::now() > deadline {
-            bail!("{what}: not within {} s", PATIENCE.as_secs());
+            bail!("{what}: not within {} s", STARTUP_TIMEOUT.as_secs());
         }
-        thread::sleep(POLL_PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/node/src/edge/callers.rs
+++ b/crates/node/src/edge/callers.rs
@@ -1,6 +1,6 @@
 //! The edge for callers.
 
-use crate::event::{EdgeEvent, UnseenCaller};
+use crate::event::{EdgeEvent, ResponderGuard};
 use beamtray_http::{CallerServer, CallerServerConfig, HttpRequest, HttpResponse, Target};
 use beamtray_routing::CallerRequest;
 use beamtray_types::{ServiceName, StepError};
@@ -12,7 +12,7 @@
 pub(crate) const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 /// Headers that concern one connection only (RFC 9110, 7.6.1) or that
 /// beamtray writes itself.
-const OWN_HEADERS: [&str; 12] = [
+const UNFORWARDED_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
     "host",
@@ -35,7 +35,7 @@
     CallerServer::start(config, move |request, responder| {
         match caller_request(request) {
             Some(request) => {
-                let caller = UnseenCaller::new(responder);
+                let caller = ResponderGuard::new(responder);
                 events.send(EdgeEvent::Caller(request, caller));
             }
             None => {
@@ -53,7 +53,7 @@
         .and_then(|millis| millis.trim().parse::<u64>().ok())
         .map(|millis| millis.saturating_mul(1_000));
     let idempotency_key = request.header(IDEMPOTENCY_HEADER).map(str::to_owned);
-    let whole = if request.query.is_empty() {
+    let path_and_query = if request.query.is_empty() {
         request.path
     } else {
         format!("{}?{}", request.path, request.query)
@@ -63,8 +63,8 @@
         key: target.key,
         method: request.method,
         path: target.rest,
-        target: whole,
-        headers: end_to_end(request.headers),
+        target: path_and_query,
+        headers: end_to_end_headers(request.headers),
         body: request.body,
         deadline_micros,
         idempotency_key,
@@ -72,10 +72,10 @@
 }
 
 /// The headers that are passed on.
-pub(crate) fn end_to_end(headers: Vec<(String, String)>) -> Vec<(String, String)> {
+pub(crate) fn end_to_end_headers(headers: Vec<(String, String)>) -> Vec<(String, String)> {
     headers
         .into_iter()
-        .filter(|(name, _)| !OWN_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !UNFORWARDED_HEADERS.contains(&name.as_str()))
         .filter(|(name, _)| !name.starts_with("beamtray-"))
         .collect()
 }
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -8,6 +8,6 @@
 
 pub(crate) use callers::serve_callers;
 pub(crate) use operators::{operator_response, serve_operators};
-pub(crate) use platform::PlatformEdge;
+pub(crate) use platform::PlatformClient;
 pub(crate) use responders::ResponderPool;
-pub(crate) use upstreams::UpstreamEdge;
+pub(crate) use upstreams::UpstreamClient;
--- a/crates/node/src/edge/platform.rs
+++ b/crates/node/src/edge/platform.rs
@@ -14,7 +14,7 @@
 const KEY_VALUE_TIMEOUT: Duration = Duration::from_millis(2_000);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(700);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const DEFAULT_RATE_PAUSE: Duration = Duration::from_millis(500);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 const IDLE_CONNECTIONS: usize = 4;
 /// Threads for the key-value service and the machine list.
@@ -29,7 +29,7 @@
 }
 
 /// Calls the platform and sends grants, each from threads of its own.
-pub(crate) struct PlatformEdge {
+pub(crate) struct PlatformClient {
     platform: Sender<Job>,
     grants: Sender<Job>,
 }
@@ -42,7 +42,7 @@
     events: Channel<EdgeEvent>,
 }
 
-impl PlatformEdge {
+impl PlatformClient {
     /// Starts the threads, which report to `events`.
     pub(crate) fn start(
         key_value: SocketAddr,
@@ -101,10 +101,10 @@
                 result: self.key_value(&request),
             },
             Job::Machines => Input::Machines {
-                list: self.machines(),
+                list: self.fetch_machines(),
             },
             Job::Grant(grant) => {
-                let reply = self.grant(&grant);
+                let reply = self.send_grant(&grant);
                 let server = grant.server;
                 Input::Grant { server, reply }
             }
@@ -134,13 +134,13 @@
         }
     }
 
-    fn machines(&self) -> Option<Vec<Machine>> {
+    fn fetch_machines(&self) -> Option<Vec<Machine>> {
         let url = format!("http://{}/v1/machines", self.machines?);
         let reply = self.call("GET", &url, &[], KEY_VALUE_TIMEOUT).ok()?;
         serde_json::from_slice(&reply.body).ok()
     }
 
-    fn grant(&self, grant: &PendingGrant) -> Option<GrantReply> {
+    fn send_grant(&self, grant: &PendingGrant) -> Option<GrantReply> {
         let url = format!("http://{}/grants", grant.address);
         let body = serde_json::to_vec(&grant.request).ok()?;
         let reply = self.call("POST", &url, &body, GRANT_TIMEOUT).ok()?;
@@ -166,11 +166,11 @@
     }
 }
 
-fn read_key_value(reads: bool, reply: HttpReply) -> KeyValueResult {
+fn read_key_value(is_read: bool, reply: HttpReply) -> KeyValueResult {
     let version = reply.header(VERSION_HEADER);
     let version = version.and_then(|version| version.parse::<u64>().ok());
     match (reply.status, version) {
-        (200, Some(version)) if reads => KeyValueResult::Value {
+        (200, Some(version)) if is_read => KeyValueResult::Value {
             version,
             value: reply.body,
         },
@@ -181,7 +181,7 @@
             let millis = reply.header("retry-after-millis");
             let millis = millis.and_then(|millis| millis.parse().ok());
             KeyValueResult::RateLimited {
-                retry_after: millis.map_or(DEFAULT_RATE_PAUSE, Duration::from_millis),
+                retry_after: millis.map_or(DEFAULT_RETRY_AFTER, Duration::from_millis),
             }
         }
         (status, _) => KeyValueResult::Unavailable {
--- a/crates/node/src/edge/upstreams.rs
+++ b/crates/node/src/edge/upstreams.rs
@@ -1,6 +1,6 @@
 //! The edge towards servers and back ends.
 
-use crate::edge::callers::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, end_to_end};
+use crate::edge::callers::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, end_to_end_headers};
 use crate::event::EdgeEvent;
 use beamtray_control::Input;
 use beamtray_http::{CallError, ClientConfig, HttpCall, HttpClient, HttpReply};
@@ -19,7 +19,7 @@
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 /// An exchange is given this much less than the caller's deadline, so that its
 /// result is known before the caller is answered.
-const MARGIN: Duration = Duration::from_millis(2);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(2);
 
 struct Job {
     call: CallId,
@@ -29,11 +29,11 @@
 }
 
 /// Calls upstreams from a bounded number of threads.
-pub(crate) struct UpstreamEdge {
+pub(crate) struct UpstreamClient {
     jobs: Sender<Job>,
 }
 
-impl UpstreamEdge {
+impl UpstreamClient {
     /// Starts `workers` threads that report to `events`.
     pub(crate) fn start(workers: usize, events: &Channel<EdgeEvent>) -> Self {
         let client = HttpClient::new(ClientConfig {
@@ -47,7 +47,7 @@
             thread::spawn(move || {
                 for job in queue {
                     let call = job.call;
-                    let outcome = run(&client, &job);
+                    let outcome = execute(&client, &job);
                     events.send(EdgeEvent::Input(Input::CallResult { call, outcome }));
                 }
             });
@@ -73,9 +73,12 @@
     }
 }
 
-fn run(client: &HttpClient, job: &Job) -> UpstreamOutcome {
+fn execute(client: &HttpClient, job: &Job) -> UpstreamOutcome {
     let request = &job.forward.request;
-    let timeout = job.timeout.saturating_sub(MARGIN).max(MARGIN);
+    let timeout = job
+        .timeout
+        .saturating_sub(DEADLINE_MARGIN)
+        .max(DEADLINE_MARGIN);
     let mut headers: Vec<(&str, String)> = request
         .headers
         .iter()
@@ -99,7 +102,7 @@
     };
     match client.call(&call) {
         Ok(reply) => read_reply(reply),
-        Err(CallError::NotConnected(_)) => not_run(NotRunReason::NotConnected, None),
+        Err(CallError::NotConnected(_)) => not_run_outcome(NotRunReason::NotConnected, None),
         Err(CallError::Lost(cause)) => UpstreamOutcome::Lost { cause },
     }
 }
@@ -107,24 +110,24 @@
 /// 421 and 503 are the upstream's own word that the request did not run.
 fn read_reply(reply: HttpReply) -> UpstreamOutcome {
     match reply.status {
-        421 => not_run(NotRunReason::NotOwner, None),
+        421 => not_run_outcome(NotRunReason::NotOwner, None),
         503 => {
             let seconds = reply.header("retry-after");
             let seconds = seconds.and_then(|seconds| seconds.parse::<u64>().ok());
-            not_run(
+            not_run_outcome(
                 NotRunReason::Shed,
                 seconds.map(|seconds| seconds * 1_000_000),
             )
         }
         status => UpstreamOutcome::Answered(UpstreamAnswer {
             status,
-            headers: end_to_end(reply.headers),
+            headers: end_to_end_headers(reply.headers),
             body: reply.body,
         }),
     }
 }
 
-fn not_run(reason: NotRunReason, retry_after_micros: Option<u64>) -> UpstreamOutcome {
+fn not_run_outcome(reason: NotRunReason, retry_after_micros: Option<u64>) -> UpstreamOutcome {
     UpstreamOutcome::NotRun {
         reason,
         retry_after_micros,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -9,7 +9,7 @@
     /// An input for the core.
     Input(Input),
     /// A caller's request.
-    Caller(CallerRequest, UnseenCaller),
+    Caller(CallerRequest, ResponderGuard),
     /// An operator's request.
     Operator(OperatorRequest, Responder),
     /// A probe or a scrape.
@@ -18,29 +18,29 @@
 
 /// A caller whose request the loop has not seen. If it never does, the request
 /// did not run, and the caller is told so.
-pub(crate) struct UnseenCaller(Option<Responder>);
+pub(crate) struct ResponderGuard(Option<Responder>);
 
-impl UnseenCaller {
+impl ResponderGuard {
     pub(crate) fn new(responder: Responder) -> Self {
         Self(Some(responder))
     }
 
     /// The loop has seen the request: from now on it answers.
-    pub(crate) fn seen(mut self) -> Option<Responder> {
+    pub(crate) fn into_responder(mut self) -> Option<Responder> {
         self.0.take()
     }
 }
 
-impl Drop for UnseenCaller {
+impl Drop for ResponderGuard {
     fn drop(&mut self) {
         if let Some(responder) = self.0.take() {
-            responder.respond(not_run());
+            responder.respond(not_run_response());
         }
     }
 }
 
 /// The answer to a request that the loop did not take before it ended.
-pub(crate) fn not_run() -> HttpResponse {
+pub(crate) fn not_run_response() -> HttpResponse {
     let refusal = HttpResponse::text(503, "not-run: this node has stopped\n");
     refusal.with_header("beamtray-outcome", "not-run")
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Metrics {
     registry: Registry,
     answers: Family<AnswerLabels, Counter>,
-    seconds: Histogram,
+    answer_seconds: Histogram,
     pub(crate) peer_messages_sent: Counter,
     pub(crate) peer_bytes_sent: Counter,
     pub(crate) peer_messages_received: Counter,
@@ -48,9 +48,9 @@
         let answers = Family::<AnswerLabels, Counter>::default();
         registry.register("answers", "Final answers to callers", answers.clone());
         let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKETS);
-        let seconds = Histogram::new(buckets);
+        let answer_seconds = Histogram::new(buckets);
         let help = "Seconds from a caller's request to its final answer";
-        registry.register("answer_seconds", help, seconds.clone());
+        registry.register("answer_seconds", help, answer_seconds.clone());
         let mut counter = |name: &str, help: &str| {
             let counter = Counter::default();
             registry.register(name, help, counter.clone());
@@ -68,7 +68,7 @@
         };
         Self {
             answers,
-            seconds,
+            answer_seconds,
             peer_messages_sent,
             peer_bytes_sent,
             peer_messages_received,
@@ -91,13 +91,13 @@
         }
     }
 
-    pub(crate) fn answered(&self, status: u16, run_state: RunState, elapsed: Duration) {
+    pub(crate) fn record_answer(&self, status: u16, run_state: RunState, elapsed: Duration) {
         let labels = AnswerLabels {
             status,
             run_state: run_state.as_str().to_owned(),
         };
         self.answers.get_or_create(&labels).inc();
-        self.seconds.observe(elapsed.as_secs_f64());
+        self.answer_seconds.observe(elapsed.as_secs_f64());
     }
 
     /// The text of a scrape.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -35,8 +35,8 @@
     node: NodeId,
     stream: TcpStreamBuf,
     connected: bool,
-    waiting: Vec<PeerMessage>,
-    ended: bool,
+    unsent: Vec<PeerMessage>,
+    closed: bool,
     events: Fwd<(NodeId, LinkEvent)>,
 }
 
@@ -52,8 +52,8 @@
             node,
             stream: TcpStreamBuf::new(),
             connected: false,
-            waiting: Vec::new(),
-            ended: false,
+            unsent: Vec::new(),
+            closed: false,
             events,
         };
         let ready = fwd_to!([cx], ready() as (Ready));
@@ -68,60 +68,60 @@
                 link.stream.init(source);
                 link.stream.set_nodelay(true);
             }
-            Err(_) => link.end(cx),
+            Err(_) => link.close(cx),
         }
         Some(link)
     }
 
     /// Sends a message, at once or when the connection is made.
     pub(crate) fn send(&mut self, cx: CX![], frame: Vec<u8>, message: PeerMessage) {
-        if self.ended {
+        if self.closed {
             let unsent = LinkEvent::NotConnected(vec![message]);
             return self.events.fwd((self.node, unsent));
         }
         self.stream.out.extend_from_slice(&frame);
         if !self.connected {
-            self.waiting.push(message);
+            self.unsent.push(message);
         }
         if self.stream.out.len() > MAX_UNSENT_BYTES || self.stream.flush().is_err() {
-            self.end(cx);
+            self.close(cx);
         }
     }
 
     fn ready(&mut self, cx: CX![], ready: Ready) {
-        if self.ended {
+        if self.closed {
             return;
         }
         if ready.is_error() || ready.is_read_closed() {
-            return self.end(cx);
+            return self.close(cx);
         }
         if ready.is_writable() {
             self.stream.pause_writes(false);
             if self.stream.flush().is_err() {
-                return self.end(cx);
+                return self.close(cx);
             }
             self.connected = true;
-            self.waiting.clear();
+            self.unsent.clear();
         }
         // The peer never writes here: readable means that it closed.
         if ready.is_readable() && self.connected {
             match self.stream.read(READ_CHUNK_BYTES) {
                 ReadStatus::NewData | ReadStatus::WouldBlock => {}
-                ReadStatus::EndOfStream | ReadStatus::Error(_) => self.end(cx),
+                ReadStatus::EndOfStream | ReadStatus::Error(_) => self.close(cx),
             }
         }
     }
 
-    fn end(&mut self, cx: CX![]) {
-        if self.ended {
+    fn close(&mut self, cx: CX![]) {
+        if self.closed {
             return;
         }
-        self.ended = true;
+        self.closed = true;
         self.stream.deinit();
         let event = if self.connected {
             LinkEvent::Broken
         } else {
-            LinkEvent::NotConnected(std::mem::take(&mut self.waiting))
+            LinkEvent::NotConnected(std::mem::take(&mut self.unsent))
         };
         self.events.fwd((self.node, event));
         stop!(cx);
@@ -185,7 +185,7 @@
             let received = new.len();
             self.frames.extend(new);
             self.stream.rd = self.stream.wr;
-            if !self.take_frames(received) {
+            if !self.deliver_frames(received) {
                 stop!(cx);
                 return;
             }
@@ -193,7 +193,7 @@
     }
 
     /// Passes whole frames on; false when the stream cannot be read further.
-    fn take_frames(&mut self, received: usize) -> bool {
+    fn deliver_frames(&mut self, received: usize) -> bool {
         let mut received = received;
         loop {
             match self.frames.next_message::<Envelope>() {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,6 +1,6 @@
 //! A node from settings to exit.
 
-use crate::edge::{PlatformEdge, ResponderPool, UpstreamEdge, serve_callers, serve_operators};
+use crate::edge::{PlatformClient, ResponderPool, UpstreamClient, serve_callers, serve_operators};
 use crate::event::EdgeEvent;
 use crate::peer::PeerListener;
 use crate::shell::{Shell, ShellParts};
@@ -21,7 +21,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_POLL_WAIT: Duration = Duration::from_secs(1);
 const POLL_EVENTS: usize = 1_024;
 const WAKER_PRIORITY: u32 = 10;
 /// Longest time for a caller's head, idle time on a kept connection included.
@@ -118,7 +118,7 @@
     }
 
     /// A function that asks for a planned stop, for a signal handler's thread.
-    pub fn stopper(&self) -> impl Fn() + Send + 'static {
+    pub fn stop_function(&self) -> impl Fn() + Send + 'static {
         let events = self.events.clone();
         move || {
             events.send(EdgeEvent::Input(Input::Stop));
@@ -189,8 +189,10 @@
     let control = control_config(&settings);
     let log = log.new(slog::o!("node" => settings.node.0, "zone" => settings.zone.to_string()));
     let shell = actor_new!(stakker, Shell, ret_shutdown!(stakker));
-    let (events, guard): (Channel<EdgeEvent>, ChannelGuard) =
-        Channel::new(stakker, fwd_to!([shell], edge() as (EdgeEvent)));
+    let (events, guard): (Channel<EdgeEvent>, ChannelGuard) = Channel::new(
+        stakker,
+        fwd_to!([shell], handle_edge_event() as (EdgeEvent)),
+    );
     let parts = ShellParts {
         control,
         peers: settings
@@ -198,8 +200,8 @@
             .iter()
             .map(|peer| (peer.node, peer.address))
             .collect(),
-        upstreams: UpstreamEdge::start(settings.upstream_workers, &events),
-        platform: PlatformEdge::start(settings.key_value, settings.machines, &events),
+        upstreams: UpstreamClient::start(settings.upstream_workers, &events),
+        platform: PlatformClient::start(settings.key_value, settings.machines, &events),
         responders: ResponderPool::start(RESPONDER_WORKERS),
         log: log.clone(),
     };
@@ -222,11 +224,11 @@
         "operators" => addresses.operators.to_string());
     // Nobody waits for the addresses of a node that is given up on.
     let _ = ready.send((addresses, events));
-    let ended = run_loop(stakker, &poll);
+    let result = run_loop(stakker, &poll);
     // What the loop has not seen is answered as not run.
     drop(guard);
     callers.stop();
-    ended
+    result
 }
 
 fn start_edges(
@@ -255,7 +257,7 @@
     let mut idle = stakker.run(Instant::now(), false);
     let mut io_pending = false;
     while stakker.not_shutdown() {
-        let wait = stakker.next_wait_max(Instant::now(), LONGEST_WAIT, idle || io_pending);
+        let wait = stakker.next_wait_max(Instant::now(), MAX_POLL_WAIT, idle || io_pending);
         let (activity, pending) = poll.poll(wait).wrap_err("poll for events")?;
         io_pending = pending;
         idle = stakker.run(Instant::now(), !activity);
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,8 +1,8 @@
 //! The actor around the core's: it carries out what the core asks for and
 //! brings it what happened.
 
-use crate::edge::{PlatformEdge, ResponderPool, UpstreamEdge, operator_response};
-use crate::event::{EdgeEvent, Probe, not_run};
+use crate::edge::{PlatformClient, ResponderPool, UpstreamClient, operator_response};
+use crate::event::{EdgeEvent, Probe, not_run_response};
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::peer::{LinkEvent, PeerLink, frame};
@@ -21,21 +21,21 @@
 use std::time::{Duration, Instant};
 
 /// After a failed connection a peer is not dialled again for this long.
-const REDIAL_PAUSE: Duration = Duration::from_millis(150);
+const REDIAL_DELAY: Duration = Duration::from_millis(150);
 
 /// Everything that a shell needs from outside.
 pub(crate) struct ShellParts {
     pub(crate) control: ControlConfig,
     pub(crate) peers: BTreeMap<NodeId, SocketAddr>,
-    pub(crate) upstreams: UpstreamEdge,
-    pub(crate) platform: PlatformEdge,
+    pub(crate) upstreams: UpstreamClient,
+    pub(crate) platform: PlatformClient,
     pub(crate) responders: ResponderPool,
     pub(crate) log: Logger,
 }
 
 struct Caller {
     responder: Responder,
-    since: Instant,
+    received_at: Instant,
 }
 
 /// Carries a node's core.
@@ -45,8 +45,8 @@
     peers: BTreeMap<NodeId, SocketAddr>,
     links: BTreeMap<NodeId, ActorOwn<PeerLink>>,
     redial_at: BTreeMap<NodeId, Instant>,
-    upstreams: UpstreamEdge,
-    platform: PlatformEdge,
+    upstreams: UpstreamClient,
+    platform: PlatformClient,
     responders: Option<ResponderPool>,
     callers: BTreeMap<RequestId, Caller>,
     operators: BTreeMap<OperatorCall, Responder>,
@@ -86,19 +86,19 @@
 
     fn tick(&mut self, cx: CX![]) {
         after!(TICK, [cx], tick());
-        self.notice_gone_callers();
+        self.cancel_disconnected_callers();
         self.input(Input::Tick);
     }
 
     /// Callers whose connection closed need no answer any more.
-    fn notice_gone_callers(&mut self) {
-        let gone: Vec<RequestId> = self
+    fn cancel_disconnected_callers(&mut self) {
+        let disconnected: Vec<RequestId> = self
             .callers
             .iter()
             .filter(|(_, caller)| caller.responder.is_gone())
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in disconnected {
             self.callers.remove(&id);
             self.input(Input::CallerGone { id });
         }
@@ -109,17 +109,23 @@
     }
 
     /// Takes a message of an edge thread.
-    pub(crate) fn edge(&mut self, cx: CX![], event: EdgeEvent) {
+    pub(crate) fn handle_edge_event(&mut self, cx: CX![], event: EdgeEvent) {
         match event {
             EdgeEvent::Input(input) => self.input(input),
             EdgeEvent::Caller(request, caller) => {
-                let Some(responder) = caller.seen() else {
+                let Some(responder) = caller.into_responder() else {
                     return;
                 };
                 let id = RequestId(self.next_request);
                 self.next_request += 1;
-                let since = cx.now();
-                self.callers.insert(id, Caller { responder, since });
+                let received_at = cx.now();
+                self.callers.insert(
+                    id,
+                    Caller {
+                        responder,
+                        received_at,
+                    },
+                );
                 self.input(Input::Caller { id, request });
             }
             EdgeEvent::Operator(request, responder) => {
@@ -134,7 +140,7 @@
 
     fn probe(&mut self, probe: Probe, responder: Responder) {
         let metrics = Rc::clone(&self.metrics);
-        let look = Box::new(move |core: &NodeCore| {
+        let inspection = Box::new(move |core: &NodeCore| {
             let response = match probe {
                 Probe::Health => HttpResponse::text(200, "ok\n"),
                 Probe::Ready if core.admits() => HttpResponse::text(200, "ready\n"),
@@ -144,7 +150,7 @@
             // Small and for private addresses: written in place.
             responder.respond(response);
         });
-        call!([self.node], inspect(look));
+        call!([self.node], inspect(inspection));
     }
 
     /// Takes a message of another node.
@@ -199,9 +205,9 @@
         let Some(caller) = self.callers.remove(&id) else {
             return;
         };
-        let elapsed = cx.now().saturating_duration_since(caller.since);
+        let elapsed = cx.now().saturating_duration_since(caller.received_at);
         self.metrics
-            .answered(answer.status, answer.run_state, elapsed);
+            .record_answer(answer.status, answer.run_state, elapsed);
         self.respond(caller.responder, answer_response(answer));
     }
 
@@ -250,7 +256,7 @@
 
     fn link_event(&mut self, cx: CX![], node: NodeId, event: LinkEvent) {
         self.links.remove(&node);
-        self.redial_at.insert(node, cx.now() + REDIAL_PAUSE);
+        self.redial_at.insert(node, cx.now() + REDIAL_DELAY);
         match event {
             LinkEvent::NotConnected(messages) => {
                 for message in messages {
@@ -266,7 +272,7 @@
         // Where the core has concluded all that it took, it has not seen the requests that
         // are still here, and its word about them would come too late.
         if cut_off == 0 {
-            self.refuse_unseen();
+            self.reject_undelivered_requests();
         }
         if let Some(responders) = self.responders.take() {
             responders.finish();
@@ -277,9 +283,9 @@
 
 impl Shell {
     /// Tells the callers whose requests the core has not taken that they did not run.
-    fn refuse_unseen(&mut self) {
+    fn reject_undelivered_requests(&mut self) {
         for (_, caller) in std::mem::take(&mut self.callers) {
-            self.respond(caller.responder, not_run());
+            self.respond(caller.responder, not_run_response());
         }
     }
 }
--- a/crates/node/tests/commands.rs
+++ b/crates/node/tests/commands.rs
@@ -10,34 +10,34 @@
         .expect("the program starts")
 }
 
-fn deploy(name: &str) -> String {
+fn deploy_file(name: &str) -> String {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/");
     format!("{folder}{name}")
 }
 
-fn temporary(name: &str, text: &str) -> PathBuf {
+fn temporary_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("{name}-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("the temporary folder can be written");
     path
 }
 
 #[test]
-fn check_accepts_what_is_in_the_tree() {
+fn check_accepts_the_files_in_deploy() {
     for name in [
         "pk-central.toml",
         "rigas-novads.toml",
         "pk-central.node-1.toml",
     ] {
-        let output = beamtray(&["check", &deploy(name)]);
+        let output = beamtray(&["check", &deploy_file(name)]);
         assert_eq!(output.status.code(), Some(0), "{name}");
     }
 }
 
 #[test]
-fn check_refuses_with_file_line_and_range() {
+fn check_reports_file_line_and_allowed_range() {
     let text = "[[service]]\nname = \"a\"\nqueue = 0\n[[service.server]]\nname = \"s\"\n\
         address = \"10.0.0.1:80\"\nzone = \"z\"\n";
-    let file = temporary("declaration", text);
+    let file = temporary_file("declaration", text);
     let output = beamtray(&["check", &file.display().to_string()]);
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_unreachable_node_is_named() {
+fn the_error_names_an_unreachable_node() {
     let output = beamtray(&["status", "--operators", "127.0.0.1:1"]);
     assert_eq!(output.status.code(), Some(1));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_confirmation_without_an_answer_is_unknown() {
-    let plan = temporary(
+    let plan = temporary_file(
         "plan",
         r#"{"base":0,"declaration":{},"changes":[],"services":[]}"#,
     );
@@ -75,7 +75,7 @@
         "demo",
         "--once",
         "--deployment",
-        &deploy("rigas-novads.toml"),
+        &deploy_file("rigas-novads.toml"),
     ]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(0), "{text}");
--- a/crates/node/tests/processes/bad_input.rs
+++ b/crates/node/tests/processes/bad_input.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn hostile_callers_get_clear_answers_and_the_node_stays_small() {
+fn malformed_and_idle_callers_are_handled_within_the_memory_limit() {
     let cluster = Cluster::start("bad-input", 2);
     let callers = cluster.nodes[0].callers;
     let status = |bytes: &[u8]| {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn garbled_frames_of_a_peer_are_refused_and_the_group_goes_on() {
+fn invalid_peer_frames_are_rejected_and_the_group_stays_available() {
     let cluster = Cluster::start("bad-peer", 2);
     let peers = cluster.nodes[0].peers;
     let too_long = u32::MAX.to_le_bytes();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn wrong_operator_requests_change_nothing() {
+fn invalid_operator_requests_change_nothing() {
     let cluster = Cluster::start("bad-operator", 2);
     let operators = cluster.nodes[0].operators;
     let request = b"POST /v1/operator HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
--- a/crates/node/tests/processes/bad_upstream.rs
+++ b/crates/node/tests/processes/bad_upstream.rs
@@ -10,21 +10,21 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// More than a node takes of an answer.
-const TOO_LONG: usize = 17 * 1024 * 1024;
+const OVERSIZED_BODY_BYTES: usize = 17 * 1024 * 1024;
 
 /// A back end that gives every caller the same bytes and closes.
-fn back_end(answer: Vec<u8>) -> SocketAddr {
+fn start_backend(answer: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            give(stream, &answer);
+            respond(stream, &answer);
         }
     });
     address
 }
 
-fn give(mut stream: TcpStream, answer: &[u8]) {
+fn respond(mut stream: TcpStream, answer: &[u8]) {
     let mut request = [0; 4_096];
     // What is asked does not matter, and the node may stop reading.
     let _ = stream.read(&mut request);
@@ -32,10 +32,11 @@
 }
 
 #[test]
-fn answers_that_are_not_whole_are_unknown() {
+fn incomplete_upstream_responses_have_an_unknown_outcome() {
     let cluster = Cluster::start("bad-upstream", 2);
-    let mut long = format!("HTTP/1.1 200 OK\r\ncontent-length: {TOO_LONG}\r\n\r\n").into_bytes();
-    long.resize(long.len() + TOO_LONG, b'a');
+    let mut long =
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {OVERSIZED_BODY_BYTES}\r\n\r\n").into_bytes();
+    long.resize(long.len() + OVERSIZED_BODY_BYTES, b'a');
     let answers = [
         (
             "short",
@@ -52,7 +53,7 @@
         service.division = Division::Pool;
         service.servers.truncate(1);
         service.servers[0].name = format!("{name}-1").as_str().into();
-        service.servers[0].address = back_end(answer);
+        service.servers[0].address = start_backend(answer);
         declaration.services.push(service);
     }
     assert_eq!(cluster.confirm(1, 2, &declaration), Some(2));
--- a/crates/node/tests/processes/failures.rs
+++ b/crates/node/tests/processes/failures.rs
@@ -1,13 +1,13 @@
 //! Losses and freezes of real processes under load.
 
-use crate::load::{Load, Transfer, check};
+use crate::load::{Load, Transfer, check_transfers};
 use crate::support::{Cluster, eventually};
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
 use std::time::Instant;
 
 /// Waits until a transfer of `key` is answered whole that ended after `since`.
-fn served_again(load: &Load, key: &str, since: Instant) -> Transfer {
+fn wait_until_served(load: &Load, key: &str, since: Instant) -> Transfer {
     eventually("the key to be served again", || {
         let transfers = load.transfers();
         let found = transfers.iter().find(|transfer| {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn nothing_runs_twice_and_keys_return_when_owner_and_leader_are_lost() {
+fn no_transfer_runs_twice_and_keys_recover_after_owner_and_leader_loss() {
     let mut cluster = Cluster::start("failures", 4);
     let key = "key-0";
     let report = |what: &str, since: Instant, transfer: &Transfer| {
@@ -35,19 +35,19 @@
         .map(|node| cluster.nodes[node].callers)
         .collect();
     let load = Load::start("first", &callers);
-    served_again(&load, key, Instant::now());
+    wait_until_served(&load, key, Instant::now());
 
     cluster.set_key_value("down=1");
     let owner = cluster.owner(key);
     let since = Instant::now();
     cluster.servers[owner].process.signal(Signal::SIGKILL);
-    let transfer = served_again(&load, key, since);
+    let transfer = wait_until_served(&load, key, since);
     report("owner killed, key-value service down", since, &transfer);
 
     let frozen = cluster.owner(key);
     let since = Instant::now();
     cluster.servers[frozen].process.signal(Signal::SIGSTOP);
-    let transfer = served_again(&load, key, since);
+    let transfer = wait_until_served(&load, key, since);
     report("owner frozen, key-value service down", since, &transfer);
     cluster.servers[frozen].process.signal(Signal::SIGCONT);
 
@@ -55,7 +55,7 @@
     let since = Instant::now();
     cluster.nodes[leader].process.signal(Signal::SIGKILL);
     cluster.servers[owner].process.signal(Signal::SIGKILL);
-    let transfer = served_again(&load, key, since);
+    let transfer = wait_until_served(&load, key, since);
     report(
         "leader and owner killed, key-value service down",
         since,
@@ -77,12 +77,12 @@
         .map(|node| cluster.nodes[node].callers)
         .collect();
     let more = Load::start("second", &survivors);
-    let transfer = served_again(&more, key, since);
+    let transfer = wait_until_served(&more, key, since);
     report("second leader killed", since, &transfer);
 
     let mut transfers = load.finish();
     transfers.extend(more.finish());
-    check(&transfers, &cluster.effects());
+    check_transfers(&transfers, &cluster.effects());
     let complete = transfers.iter().filter(|t| t.outcome == "complete").count();
     println!("{} transfers, {complete} complete", transfers.len());
     assert!(complete > 0);
--- a/crates/node/tests/processes/load.rs
+++ b/crates/node/tests/processes/load.rs
@@ -9,8 +9,8 @@
 
 const KEYS: u64 = 40;
 const TIMEOUT: Duration = Duration::from_secs(12);
-const PAUSE: Duration = Duration::from_millis(10);
-const DOWN_PAUSE: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// One transfer as its caller saw it.
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
                 (outcome.to_owned(), body)
             }
             Err(beamtray_http::CallError::NotConnected(cause)) => {
-                thread::sleep(DOWN_PAUSE);
+                thread::sleep(RECONNECT_DELAY);
                 ("not-run".to_owned(), cause)
             }
             Err(error) => ("unknown".to_owned(), error.to_string()),
@@ -101,12 +101,12 @@
             body,
             ended,
         });
-        thread::sleep(PAUSE);
+        thread::sleep(REQUEST_INTERVAL);
     }
 }
 
 /// Checks every transfer against the effects that servers told of.
-pub fn check(transfers: &[Transfer], effects: &[String]) {
+pub fn check_transfers(transfers: &[Transfer], effects: &[String]) {
     for transfer in transfers {
         let wanted = format!("{} {}", transfer.key, transfer.name);
         let ran = effects.iter().filter(|effect| **effect == wanted).count();
--- a/crates/node/tests/processes/planned_stop.rs
+++ b/crates/node/tests/processes/planned_stop.rs
@@ -1,15 +1,15 @@
 //! Planned stops and conflicting confirmations with real processes.
 
-use crate::load::{Load, check};
+use crate::load::{Load, check_transfers};
 use crate::support::{Cluster, SERVICE, call};
 use beamtray_control::{OperatorAnswer, OperatorRequest};
-use beamtray_node::client::ask;
+use beamtray_node::client::send_operator_request;
 use beamtray_types::{OperationId, Revision};
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
 #[test]
-fn sigterm_cuts_nothing_off_and_exits_0() {
+fn sigterm_interrupts_no_request_and_exits_0() {
     let mut cluster = Cluster::start("planned-stop", 3);
     let leader = cluster.leader();
     let load = Load::start("stop", &[cluster.nodes[leader].callers]);
@@ -17,7 +17,7 @@
     cluster.nodes[leader].process.signal(Signal::SIGTERM);
     assert_eq!(cluster.nodes[leader].process.wait(), Some(0));
     let transfers = load.finish();
-    check(&transfers, &cluster.effects());
+    check_transfers(&transfers, &cluster.effects());
     let unknown: Vec<_> = transfers
         .iter()
         .filter(|t| t.outcome == "unknown")
@@ -41,7 +41,7 @@
 /// and that of the process were told that nobody knows what became of them, and some
 /// connections were reset.
 #[test]
-fn callers_at_the_end_of_a_stop_are_told_that_nothing_ran() {
+fn requests_arriving_during_shutdown_get_a_definite_outcome() {
     const CALLERS: usize = 24;
     let mut cluster = Cluster::start("last-callers", 3);
     let leader = cluster.leader();
@@ -50,14 +50,14 @@
     cluster.nodes[leader].process.signal(Signal::SIGTERM);
     assert_eq!(cluster.nodes[leader].process.wait(), Some(0));
     let transfers = load.finish();
-    check(&transfers, &cluster.effects());
+    check_transfers(&transfers, &cluster.effects());
     let unknown = transfers.iter().filter(|t| t.outcome == "unknown");
     let unknown: Vec<_> = unknown.collect();
     assert!(unknown.is_empty(), "cut off: {unknown:?}");
 }
 
 #[test]
-fn of_two_conflicting_confirmations_one_wins() {
+fn one_of_two_conflicting_confirmations_is_accepted() {
     let cluster = Cluster::start("conflict", 2);
     let mut one = cluster.declaration.clone();
     one.services[0].queue = 100;
@@ -74,7 +74,7 @@
             .into_iter()
             .map(|(node, request)| {
                 let operators = cluster.nodes[node].operators;
-                scope.spawn(move || ask(operators, &request).expect("an answer"))
+                scope.spawn(move || send_operator_request(operators, &request).expect("an answer"))
             })
             .collect();
         running
@@ -82,15 +82,15 @@
             .map(|job| job.join().expect("it ends"))
             .collect()
     });
-    let won = answers.iter().filter(|answer| {
+    let accepted = answers.iter().filter(|answer| {
         **answer
             == OperatorAnswer::InForce {
                 revision: Revision(2),
             }
     });
-    assert_eq!(won.count(), 1, "{answers:?}");
-    let told = answers.iter().any(
+    assert_eq!(accepted.count(), 1, "{answers:?}");
+    let conflict_reported = answers.iter().any(
         |answer| matches!(answer, OperatorAnswer::Conflict { changed, .. } if !changed.is_empty()),
     );
-    assert!(told, "{answers:?}");
+    assert!(conflict_reported, "{answers:?}");
 }
--- a/crates/node/tests/processes/support.rs
+++ b/crates/node/tests/processes/support.rs
@@ -2,7 +2,7 @@
 
 use beamtray_control::{OperatorAnswer, OperatorRequest, StatusReport};
 use beamtray_http::{CallError, ClientConfig, HttpCall, HttpClient, HttpReply};
-use beamtray_node::client::{ask, get};
+use beamtray_node::client::{get, send_operator_request};
 use beamtray_settings::{Declaration, Division, ServerDeclaration, ServiceDeclaration};
 use beamtray_types::{OperationId, Revision};
 use nix::sys::signal::{Signal, kill};
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
-const PAUSE: Duration = Duration::from_millis(25);
+const EVENTUAL_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A process that ends with the test.
 pub struct Process {
@@ -103,13 +103,13 @@
 
 /// Waits until `check` gives a value.
 pub fn eventually<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + EVENTUAL_TIMEOUT;
     loop {
         if let Some(value) = check() {
             return value;
         }
         assert!(Instant::now() < deadline, "{what}: not in time");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -166,16 +166,16 @@
     _key_value: Process,
     _machines: Process,
     pub declaration: Declaration,
-    _settings: tempdir::Directory,
+    _settings: tempdir::TempDir,
 }
 
 mod tempdir {
     use std::path::{Path, PathBuf};
 
     /// A directory that ends with the test.
-    pub struct Directory(PathBuf);
+    pub struct TempDir(PathBuf);
 
-    impl Directory {
+    impl TempDir {
         pub fn new(name: &str) -> Self {
             let path = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
             std::fs::create_dir_all(&path).expect("the temporary folder can be written");
@@ -187,7 +187,7 @@
         }
     }
 
-    impl Drop for Directory {
+    impl Drop for TempDir {
         fn drop(&mut self) {
             let _ = std::fs::remove_dir_all(&self.0);
         }
@@ -213,7 +213,7 @@
                 }
             })
             .collect();
-        let settings = tempdir::Directory::new(name);
+        let settings = tempdir::TempDir::new(name);
         let nodes = start_nodes(&settings, key_value, machines);
         let cluster = Self {
             declaration: declaration(&servers),
@@ -251,12 +251,12 @@
 
     /// The status as any node that answers gives it.
     pub fn status(&self) -> Option<StatusReport> {
-        self.nodes
-            .iter()
-            .find_map(|node| match ask(node.operators, &OperatorRequest::Status) {
+        self.nodes.iter().find_map(|node| {
+            match send_operator_request(node.operators, &OperatorRequest::Status) {
                 Ok(OperatorAnswer::Status(report)) => Some(report),
                 _ => None,
-            })
+            }
+        })
     }
 
     /// Position of the leading node.
@@ -271,7 +271,7 @@
             base: Revision(base),
             declaration: declaration.clone(),
         };
-        match ask(self.nodes[0].operators, &request) {
+        match send_operator_request(self.nodes[0].operators, &request) {
             Ok(OperatorAnswer::InForce { revision }) => Some(revision.0),
             _ => None,
         }
@@ -287,7 +287,7 @@
             let answer = self
                 .nodes
                 .iter()
-                .find_map(|node| ask(node.operators, &request).ok())?;
+                .find_map(|node| send_operator_request(node.operators, &request).ok())?;
             let OperatorAnswer::Assignments(rows) = answer else {
                 return None;
             };
@@ -328,18 +328,18 @@
 /// another process may take one, so that is tried again; any other early end
 /// fails the test.
 fn start_nodes(
-    settings: &tempdir::Directory,
+    settings: &tempdir::TempDir,
     key_value: SocketAddr,
     machines: SocketAddr,
 ) -> Vec<Node> {
-    const TRIES: usize = 5;
-    (0..TRIES)
-        .find_map(|_| try_nodes(settings, key_value, machines).ok())
+    const ATTEMPTS: usize = 5;
+    (0..ATTEMPTS)
+        .find_map(|_| try_start_nodes(settings, key_value, machines).ok())
         .expect("free ports stay free")
 }
 
-fn try_nodes(
-    settings: &tempdir::Directory,
+fn try_start_nodes(
+    settings: &tempdir::TempDir,
     key_value: SocketAddr,
     machines: SocketAddr,
 ) -> Result<Vec<Node>, PortTaken> {
--- a/crates/node/tests/route.rs
+++ b/crates/node/tests/route.rs
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 /// A node that waits for its log answers nobody.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(10);
-const DROPPED: &str = "beamtray_log_lines_dropped ";
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+const DROPPED_LINES_METRIC: &str = "beamtray_log_lines_dropped ";
 
 /// Ends with the test.
-struct Router(Child);
+struct RouterProcess(Child);
 
-impl Drop for Router {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -31,7 +31,7 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => return stream,
@@ -42,7 +42,7 @@
 }
 
 /// Sends one request on a kept connection; the status of its answer.
-fn ask(stream: &mut BufReader<TcpStream>) -> String {
+fn send_request(stream: &mut BufReader<TcpStream>) -> String {
     let request = b"GET /x/ HTTP/1.1\r\nHost: h\r\n\r\n";
     stream.get_mut().write_all(request).expect("it is read");
     let mut status = String::new();
@@ -61,7 +61,9 @@
     stream.write_all(request).expect("it is read");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("figures");
-    let line = text.lines().find_map(|line| line.strip_prefix(DROPPED));
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(DROPPED_LINES_METRIC));
     let dropped = line.and_then(|number| number.trim().parse().ok());
     dropped.expect("the figure is there")
 }
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn requests_go_on_while_nobody_reads_the_log_and_lost_lines_are_counted() {
+fn requests_are_served_and_dropped_log_lines_counted_when_the_log_is_not_read() {
     let [clients, readiness, peers, metrics, store] = free_addresses();
     let file = std::env::temp_dir().join(format!("beamtray-route-{}.toml", std::process::id()));
     let settings = settings_text([clients, readiness, peers, metrics, store], 56);
@@ -92,22 +94,22 @@
         .spawn()
         .expect("the program starts");
     // The pipe is held and never read.
-    let _router = Router(child);
+    let _router = RouterProcess(child);
     let stream = connect(clients);
     stream
-        .set_read_timeout(Some(ANSWER_PATIENCE))
+        .set_read_timeout(Some(RESPONSE_TIMEOUT))
         .expect("a timeout can be set");
     let mut client = BufReader::new(stream);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while dropped_lines(metrics) == 0 {
         assert!(Instant::now() < deadline, "no line was lost");
         for _ in 0..500 {
-            let status = ask(&mut client);
+            let status = send_request(&mut client);
             assert!(status.starts_with("HTTP/1.1 503"), "{status}");
         }
     }
     for _ in 0..500 {
-        let status = ask(&mut client);
+        let status = send_request(&mut client);
         assert!(status.starts_with("HTTP/1.1 503"), "{status}");
     }
     // A leftover file in the folder for such files does no harm.
@@ -130,7 +132,7 @@
 /// Waits for a line that holds `wanted`.
 fn wait_for_line(lines: &Receiver<String>, wanted: &str) {
     loop {
-        let line = lines.recv_timeout(PATIENCE);
+        let line = lines.recv_timeout(TIMEOUT);
         if line.expect("another line").contains(wanted) {
             return;
         }
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn settings_are_read_again_when_the_file_changes_and_when_told() {
+fn settings_are_reloaded_on_file_change_and_on_sighup() {
     let addresses = free_addresses();
     let file = std::env::temp_dir().join(format!("beamtray-reload-{}.toml", std::process::id()));
     let write = |allowance| {
@@ -155,7 +157,7 @@
         .spawn()
         .expect("the program starts");
     let output = child.stdout.take().expect("it is piped");
-    let router = Router(child);
+    let router = RouterProcess(child);
     let lines = lines_of(output);
     wait_for_line(&lines, "msg=start");
     write(57);
