--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -77,8 +77,8 @@
     /// Sends a message, buffering it until the connection is established.
     pub(crate) fn send(&mut self, cx: CX![], frame: Vec<u8>, message: PeerMessage) {
         if self.closed {
-            let unsent = LinkEvent::NotConnected(vec![message]);
-            return self.events.fwd((self.node, unsent));
+            let event = LinkEvent::NotConnected(vec![message]);
+            return self.events.fwd((self.node, event));
         }
         self.stream.out.extend_from_slice(&frame);
         if !self.connected {
