--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -167,7 +167,7 @@
         });
     }
 
-    /// Logs that a peer's connection was closed because of an invalid frame.
+    /// Logs an invalid frame, after which the peer's connection is closed, or a failed accept.
     pub(crate) fn peer_refused(&mut self, _: CX![], address: SocketAddr, cause: String) {
         let event = Event::new(Level::Warning, "peer_refused")
             .with("step", "read frame")
