--- a/crates/router/tests/foreign_records.rs
+++ b/crates/router/tests/foreign_records.rs
@@ -6,7 +6,7 @@
 use beamtray_emulator::{StoreEmulator, StoreReply};
 use beamtray_metastore::{Epoch, GranterRecord, Item, Revision, StoreEvent, StoreOutcome};
 use beamtray_router::core::{Input, NodeCore, NodeRecord, Output, RouterKeys, ViewName, Views};
-use beamtray_routersim::{SimDialect, World, usual_settings};
+use beamtray_routersim::{SimDialect, World, default_settings};
 use beamtray_sharding::{
     AssignmentRecord, FencingToken, GrantOrder, OrderKind, Part, SliceRecord, SliceState,
 };
@@ -52,7 +52,7 @@
 fn store(dialect: &SimDialect) -> StoreEmulator {
     let mut store = StoreEmulator::new(Duration::from_secs(20));
     let keys = dialect.keys();
-    let configuration = dialect.encode_configuration(World::usual_configuration());
+    let configuration = dialect.encode_configuration(World::default_configuration());
     store.put(at(0), keys.configuration, configuration);
     for record in [upstream("one", 9_001), upstream("two", 9_002)] {
         let key = format!("{}{}", keys.upstream_prefix, record.id);
@@ -90,7 +90,7 @@
 
 /// Runs a node that becomes the granter and returns its orders, none of which is answered.
 fn orders(store: &mut StoreEmulator, dialect: SimDialect, until: u64) -> Vec<GrantOrder> {
-    let mut core = NodeCore::new(usual_settings(0).core_config(3), Rc::new(dialect));
+    let mut core = NodeCore::new(default_settings(0).core_config(3), Rc::new(dialect));
     let mut orders = Vec::new();
     let mut inputs = vec![Input::Tick];
     for millis in 0..until {
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -6,7 +6,7 @@
 use beamtray_router::core::{
     Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, Snapshot, ViewName,
 };
-use beamtray_routersim::{SimDialect, usual_settings};
+use beamtray_routersim::{SimDialect, default_settings};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 }
 
 fn core_with(dialect: Rc<SimDialect>) -> NodeCore {
-    let config = usual_settings(0).core_config(3);
+    let config = default_settings(0).core_config(3);
     NodeCore::new(config, dialect)
 }
 
@@ -112,7 +112,7 @@
 /// A copy of the members view with `count` other nodes of this zone, in order of rising
 /// capacity.
 fn members(count: u16) -> Snapshot {
-    let own = usual_settings(0).core_config(3).control.record;
+    let own = default_settings(0).core_config(3).control.record;
     let others = (1..=count).map(|index| NodeRecord {
         name: format!("other-{index:02}"),
         run: 1,
@@ -163,7 +163,7 @@
     let mut core = core();
     core.handle(at(0), Input::Tick);
     assert_eq!(snapshot_sources(core.handle(at(490), Input::Tick)), []);
-    let seeds = &usual_settings(0).seeds;
+    let seeds = &default_settings(0).seeds;
     let first = snapshot_sources(core.handle(at(510), Input::Tick));
     assert!(!first.is_empty() && first.iter().all(|one| seeds.contains(one)));
 }
--- a/crates/router/tests/restarts.rs
+++ b/crates/router/tests/restarts.rs
@@ -8,7 +8,7 @@
 };
 use beamtray_metastore::{Item, Revision};
 use beamtray_router::core::{Input, Liveness, NodeCore, Output, Snapshot, ViewName};
-use beamtray_routersim::{SimDialect, World, usual_settings};
+use beamtray_routersim::{SimDialect, World, default_settings};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,13 +38,13 @@
     /// A node with a configuration and the first incarnation of the upstream.
     fn new() -> Self {
         let dialect = Rc::new(SimDialect::default());
-        let config = usual_settings(0).core_config(3);
+        let config = default_settings(0).core_config(3);
         let mut node = Self {
             core: NodeCore::new(config, dialect.clone()),
             dialect,
             revision: 1,
         };
-        let configuration = World::usual_configuration();
+        let configuration = World::default_configuration();
         let value = node.dialect.encode_configuration(configuration);
         let key = node.dialect.keys().configuration;
         node.adopt(0, ViewName::Operator, key.to_owned(), value);
@@ -86,7 +86,7 @@
 
     /// Sends a request that must not be repeated and returns the chosen upstream.
     fn send(&mut self, millis: u64) -> Option<UpstreamId> {
-        let route = &World::usual_configuration().routes[1];
+        let route = &World::default_configuration().routes[1];
         let head = RequestHead {
             id: "id".to_owned(),
             host: route.host.clone(),
--- a/crates/router/tests/takeover.rs
+++ b/crates/router/tests/takeover.rs
@@ -7,7 +7,7 @@
 use beamtray_router::core::{
     Input, NodeCore, Output, RouterKeys, StoreTask, ViewName, ViewRequest, WantedView,
 };
-use beamtray_routersim::{SimDialect, World, usual_settings};
+use beamtray_routersim::{SimDialect, World, default_settings};
 use beamtray_sharding::{AssignmentRecord, FencingToken, Part, SliceRecord, SliceState};
 use beamtray_types::{ServiceName, Time};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 /// A store with a configuration and an assignment whose first part was written last.
 fn store(dialect: &SimDialect, state: &SliceState) -> StoreEmulator {
     let mut store = StoreEmulator::new(Duration::from_secs(20));
-    let configuration = dialect.encode_configuration(World::usual_configuration());
+    let configuration = dialect.encode_configuration(World::default_configuration());
     store.put(at(0), dialect.keys().configuration, configuration);
     write_parts(&mut store, &"keyed".into(), state);
     store
@@ -84,7 +84,7 @@
 fn a_granter_that_had_read_no_assignment_sends_all_parts_that_it_took_over() {
     let dialect = Rc::new(SimDialect::default());
     let store = store(&dialect, &SliceState::Free);
-    let mut core = NodeCore::new(usual_settings(0).core_config(3), dialect);
+    let mut core = NodeCore::new(default_settings(0).core_config(3), dialect);
     let record = StoreTask::Record("keyed".into());
     run(
         &mut core,
@@ -115,7 +115,7 @@
         token: FencingToken(5),
     };
     let store = store(&dialect, &held);
-    let mut core = NodeCore::new(usual_settings(0).core_config(3), dialect);
+    let mut core = NodeCore::new(default_settings(0).core_config(3), dialect);
     let upstreams = StoreTask::View(ViewName::Upstreams, 0);
     let orders = run(&mut core, store, &[upstreams]);
     assert_eq!(orders, 0);
--- a/crates/routersim/benches/core_cost.rs
+++ b/crates/routersim/benches/core_cost.rs
@@ -15,7 +15,7 @@
     Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, StoreContact,
     StoreTask, ViewName,
 };
-use beamtray_routersim::{SimDialect, World, usual_settings};
+use beamtray_routersim::{SimDialect, World, default_settings};
 use beamtray_sharding::{GrantReply, OrderKind};
 use beamtray_types::Time;
 use std::collections::BinaryHeap;
@@ -94,7 +94,7 @@
     fn new(size: usize, role: Role) -> Self {
         let dialect = Rc::new(SimDialect::default());
         let mut store = StoreEmulator::new(Duration::from_secs(20));
-        let configuration = dialect.encode_configuration(World::usual_configuration());
+        let configuration = dialect.encode_configuration(World::default_configuration());
         store.put(Time::ZERO, dialect.keys().configuration, configuration);
         let upstreams = (size as f64 * UPSTREAMS_PER_NODE) as usize;
         for index in 0..upstreams {
@@ -118,7 +118,7 @@
             let value = borsh::to_vec(node).expect("a record in memory");
             store.put(Time::ZERO, &RouterKeys::node(&node.name), value);
         }
-        let mut config = usual_settings(0).core_config(own.run);
+        let mut config = default_settings(0).core_config(own.run);
         config.control.record = own.clone();
         config.dispatch.zone = own.zone.as_str().into();
         if role != Role::Granter {
--- a/crates/routersim/src/check.rs
+++ b/crates/routersim/src/check.rs
@@ -9,19 +9,19 @@
 use beamtray_catalog::{UpstreamId, UpstreamName};
 use beamtray_sharding::ShardKey;
 use beamtray_types::{Time, Zone};
-use leaving::LeavingWords;
+use leaving::LeavingReports;
 use rate_limit::RateLimits;
 pub use rate_limit::Sender;
-use rest::Rests;
+use rest::RetryAfterPeriods;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::time::Duration;
 use tokens::Tokens;
-pub use tokens::{Holder, Taking};
+pub use tokens::{AcceptedGrant, Holder};
 
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// Two upstreams never both begin requests on a key while both hold it, nor hold it
     /// together for long, nor is it given away while its last holder works on it.
     SoleOwner,
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// When.
     pub at: Time,
     /// What happened.
@@ -76,7 +76,7 @@
         write!(
             formatter,
             "{:?} at {millis} ms: {}",
-            self.promise, self.text
+            self.invariant, self.text
         )
     }
 }
@@ -119,7 +119,7 @@
 
 /// Within which time nodes have the store keep what they know of such requests, while they
 /// and the store are sound.
-pub const KEPT_WITHIN: Duration = Duration::from_secs(1);
+pub const POISON_PERSIST_TIME: Duration = Duration::from_secs(1);
 
 /// What a request did to the upstreams that ran it, over all its sendings.
 #[derive(Clone, Debug, Default)]
@@ -147,21 +147,25 @@
     /// Requests that reached cold upstreams within the last second.
     cold: BTreeMap<UpstreamId, VecDeque<Time>>,
     rate_limits: RateLimits,
-    leaving: LeavingWords,
-    rests: Rests,
+    leaving: LeavingReports,
+    rests: RetryAfterPeriods,
     poison: BTreeMap<String, Poison>,
-    late_served: usize,
-    late_asked: usize,
+    recovery_served: usize,
+    recovery_requests: usize,
 }
 
 impl Checkers {
-    fn object(&mut self, promise: Promise, at: Time, text: String) {
-        self.violations.push(Violation { promise, at, text });
+    fn record_violation(&mut self, invariant: Invariant, at: Time, text: String) {
+        self.violations.push(Violation {
+            invariant,
+            at,
+            text,
+        });
     }
 
     /// A request with a key begins to run at an upstream that has held the key
     /// since `since`, while others hold it too.
-    pub fn keyed_begins(
+    pub fn keyed_request_started(
         &mut self,
         at: Time,
         upstream: &UpstreamId,
@@ -174,37 +178,37 @@
             let begun = self.begun.get(&(other.upstream.clone(), key));
             if begun.is_some_and(|begun| *begun >= both_since) {
                 let text = format!("{upstream} and {} on key {key}", other.upstream);
-                self.object(Promise::SoleOwner, at, text);
+                self.record_violation(Invariant::SoleOwner, at, text);
             }
         }
         self.begun.insert((upstream.clone(), key), at);
     }
 
     /// An upstream takes keys that another one still holds.
-    pub fn taken_twice(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
+    pub fn granted_while_held(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
         let text = format!("{upstream} takes keys that {other} holds");
-        self.object(Promise::SoleOwner, at, text);
+        self.record_violation(Invariant::SoleOwner, at, text);
     }
 
     /// An upstream takes keys on which another one works, under a lease that still ran
     /// when it gave them back, if it did.
-    pub fn taken_from_work(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
+    pub fn granted_during_work(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
         let text = format!("{upstream} takes keys on which {other} works");
-        self.object(Promise::SoleOwner, at, text);
+        self.record_violation(Invariant::SoleOwner, at, text);
     }
 
     /// An upstream takes a grant.
-    pub fn takes(&mut self, at: Time, holder: &Holder, taking: Taking) {
+    pub fn grant_accepted(&mut self, at: Time, holder: &Holder, accepted_grant: AcceptedGrant) {
         let named = self.by_name(holder);
-        let of_others = self.tokens_by_name.take(&named, taking);
-        let of_any = self.tokens.take(holder, taking);
-        let (promise, too_low) = match (of_others, of_any) {
-            (Some(too_low), _) => (Promise::RisingTokens, too_low),
-            (None, Some(too_low)) => (Promise::RisingTokensOfRestarts, too_low),
+        let of_others = self.tokens_by_name.take(&named, accepted_grant);
+        let of_any = self.tokens.take(holder, accepted_grant);
+        let (invariant, too_low) = match (of_others, of_any) {
+            (Some(too_low), _) => (Invariant::RisingTokens, too_low),
+            (None, Some(too_low)) => (Invariant::RisingTokensOfRestarts, too_low),
             (None, None) => return,
         };
-        let text = format!("{} takes {} {too_low}", holder.id, taking.range);
-        self.object(promise, at, text);
+        let text = format!("{} takes {} {too_low}", holder.id, accepted_grant.range);
+        self.record_violation(invariant, at, text);
     }
 
     /// The holder with a number that it shares with all incarnations of its name.
@@ -218,13 +222,13 @@
     }
 
     /// A request that may not be repeated begins to run.
-    pub fn unrepeatable_begins(&mut self, at: Time, id: &str) {
+    pub fn unrepeatable_started(&mut self, at: Time, id: &str) {
         if !self.once.insert(id.to_owned()) {
-            self.object(Promise::AtMostOnce, at, format!("{id} runs again"));
+            self.record_violation(Invariant::AtMostOnce, at, format!("{id} runs again"));
         }
         if self.refused.contains(id) {
-            self.object(
-                Promise::RefusedNotRun,
+            self.record_violation(
+                Invariant::RefusedNotRun,
                 at,
                 format!("{id} runs after a refusal"),
             );
@@ -236,13 +240,13 @@
     pub fn refused(&mut self, at: Time, id: &str) {
         self.refused.insert(id.to_owned());
         if self.once.contains(id) {
-            self.object(Promise::RefusedNotRun, at, format!("{id} has run"));
+            self.record_violation(Invariant::RefusedNotRun, at, format!("{id} has run"));
         }
     }
 
     /// A run of a request with that content ended with its upstream. Runs that ended with
     /// the same upstream count each.
-    pub fn poison_ends(&mut self, at: Time, content: &str) {
+    pub fn poison_crashed(&mut self, at: Time, content: &str) {
         let poison = self.poison.entry(content.to_owned()).or_default();
         poison.ended += 1;
         if poison.ended == POISON_AFTER {
@@ -253,17 +257,17 @@
     /// All processes end at once, and the store keeps what it was told until `kept_until`. Of
     /// requests whose last end lies too close before that nobody knows any more: they count
     /// anew.
-    pub fn poison_forgotten(&mut self, kept_until: Time) {
+    pub fn forget_poison(&mut self, kept_until: Time) {
         let is_kept = |poison: &Poison| {
             let known = poison.known_at;
-            known.is_none_or(|known| known + KEPT_WITHIN <= kept_until)
+            known.is_none_or(|known| known + POISON_PERSIST_TIME <= kept_until)
         };
         self.poison.retain(|_, poison| is_kept(poison));
     }
 
     /// A request with that content, sent at `sent` by a node that reaches the store, if not
     /// the other nodes, comes to an upstream.
-    pub fn poison_arrives(&mut self, sent: Time, contact: Duration, content: &str) {
+    pub fn poison_arrived(&mut self, sent: Time, contact: Duration, content: &str) {
         let Some(poison) = self.poison.get_mut(content) else {
             return;
         };
@@ -277,17 +281,17 @@
                 "{content} ended with its upstream {} times so far",
                 poison.ended
             );
-            self.object(Promise::PoisonKeptOff, sent, text);
+            self.record_violation(Invariant::PoisonKeptOff, sent, text);
         }
     }
 
     /// The sound store acknowledged that an upstream leaves or is gone.
-    pub fn leaves(&mut self, at: Time, upstream: &UpstreamId) {
+    pub fn upstream_left(&mut self, at: Time, upstream: &UpstreamId) {
         self.left.entry(upstream.clone()).or_insert(at);
     }
 
     /// An upstream that was thought to leave is back.
-    pub fn is_back(&mut self, upstream: &UpstreamId) {
+    pub fn upstream_returned(&mut self, upstream: &UpstreamId) {
         self.left.remove(upstream);
     }
 
@@ -302,7 +306,7 @@
     }
 
     /// A request of a connected node reaches an upstream of a zone.
-    pub fn arrives_in(&mut self, at: Time, zone: &Zone, upstream: &UpstreamId) {
+    pub fn arrived_in_zone(&mut self, at: Time, zone: &Zone, upstream: &UpstreamId) {
         let Some(evacuated) = self.evacuated.get(zone) else {
             return;
         };
@@ -310,12 +314,12 @@
         if late > EVACUATION_TIME {
             let late = late.as_millis();
             let text = format!("{upstream} gets a request {late} ms after {zone} was evacuated");
-            self.object(Promise::Evacuation, at, text);
+            self.record_violation(Invariant::Evacuation, at, text);
         }
     }
 
     /// A request of any node reaches an upstream that is cold.
-    pub fn arrives_cold(&mut self, at: Time, upstream: &UpstreamId) {
+    pub fn arrived_during_cold_start(&mut self, at: Time, upstream: &UpstreamId) {
         let arrivals = self.cold.entry(upstream.clone()).or_default();
         arrivals.push_back(at);
         while at.since(arrivals[0]) >= COLD_WINDOW {
@@ -324,46 +328,53 @@
         let count = arrivals.len();
         if count as f64 > COLD_RATE * COLD_OVERAGE + COLD_SLACK {
             let text = format!("{upstream} is cold and got {count} requests in a second");
-            self.object(Promise::ColdStart, at, text);
+            self.record_violation(Invariant::ColdStart, at, text);
         }
     }
 
     /// A request of a connected node reaches an upstream.
-    pub fn arrives(&mut self, at: Time, upstream: &UpstreamId) {
+    pub fn request_arrived(&mut self, at: Time, upstream: &UpstreamId) {
         let Some(left) = self.left.get(upstream).copied() else {
             return;
         };
         if at.since(left) > DRAIN_TIME {
             let late = at.since(left).as_millis();
             let text = format!("{upstream} gets a request {late} ms after it left");
-            self.object(Promise::Drain, at, text);
+            self.record_violation(Invariant::Drain, at, text);
         }
     }
 
     /// A connected node acted by an older configuration than the one that was
     /// acknowledged that long ago.
-    pub fn acted_by(&mut self, at: Time, node: usize, version: u64, newest: u64, age: Duration) {
+    pub fn configuration_used(
+        &mut self,
+        at: Time,
+        node: usize,
+        version: u64,
+        newest: u64,
+        age: Duration,
+    ) {
         if version < newest && age > CONFIGURE_TIME {
             let text = format!(
                 "node {node} acts by {version}, {newest} is {} ms old",
                 age.as_millis()
             );
-            self.object(Promise::Configuration, at, text);
+            self.record_violation(Invariant::Configuration, at, text);
         }
     }
 
     /// A request that was sent after the troubles got its final answer.
-    pub fn late_answer(&mut self, served: bool) {
-        self.late_asked += 1;
-        self.late_served += usize::from(served);
+    pub fn recovery_answer(&mut self, served: bool) {
+        self.recovery_requests += 1;
+        self.recovery_served += usize::from(served);
     }
 
     /// Ends the history.
     pub fn finish(mut self, at: Time) -> Vec<Violation> {
-        let (served, asked) = (self.late_served, self.late_asked);
+        let (served, asked) = (self.recovery_served, self.recovery_requests);
         if served * 100 < asked * LEAST_SERVED_PERCENT {
             let text = format!("{served} of {asked} served at the end");
-            self.object(Promise::Recovery, at, text);
+            self.record_violation(Invariant::Recovery, at, text);
         }
         self.violations
     }
--- a/crates/routersim/src/check/rate_limit.rs
+++ b/crates/routersim/src/check/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Requests to upstreams that name the rate that they take.
 
-use super::{Checkers, Promise};
+use super::{Checkers, Invariant};
 use beamtray_catalog::{RequestRate, UpstreamId};
 use beamtray_types::Time;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,9 +9,9 @@
 /// Over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// How long nodes may take to keep to a rate that is new.
-const KEPT_AFTER: Duration = Duration::from_secs(3);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(3);
 /// How long a node has had such an answer when its requests count.
-const TOLD_FOR: Duration = Duration::from_millis(500);
+const MIN_KNOWN_FOR: Duration = Duration::from_millis(500);
 /// Requests that an upstream may get, as a multiple of what it takes.
 const OVERAGE: f64 = 1.5;
 /// Requests beyond that.
@@ -44,7 +44,7 @@
 
 impl Checkers {
     /// An upstream names a rate. One that names a higher one than before takes that.
-    pub fn names_rate(&mut self, at: Time, upstream: &UpstreamId, rate: RequestRate) {
+    pub fn rate_advertised(&mut self, at: Time, upstream: &UpstreamId, rate: RequestRate) {
         let limited = Limited {
             rate,
             named: at,
@@ -58,12 +58,12 @@
     }
 
     /// It names none any more.
-    pub fn names_no_rate(&mut self, upstream: &UpstreamId) {
+    pub fn rate_withdrawn(&mut self, upstream: &UpstreamId) {
         self.rate_limits.limited.remove(upstream);
     }
 
     /// An answer that names the rate comes to a node.
-    pub fn told_rate(&mut self, at: Time, upstream: &UpstreamId, sender: Sender) {
+    pub fn rate_reported(&mut self, at: Time, upstream: &UpstreamId, sender: Sender) {
         if let Some(limited) = self.rate_limits.limited.get_mut(upstream) {
             limited.told.entry(sender).or_insert(at);
         }
@@ -71,7 +71,7 @@
 
     /// A request of some node reaches an upstream. Nodes that were disturbed of late are
     /// excused.
-    pub fn arrives_limited(
+    pub fn arrived_rate_limited(
         &mut self,
         at: Time,
         upstream: &UpstreamId,
@@ -87,12 +87,12 @@
         let Some(limited) = self.rate_limits.limited.get(upstream) else {
             return;
         };
-        if at.since(limited.named) < KEPT_AFTER {
+        if at.since(limited.named) < CONVERGENCE_TIME {
             return;
         }
         let counts = |sender: &Sender| {
             let told = limited.told.get(sender);
-            told.is_some_and(|told| at.since(*told) >= TOLD_FOR) && !is_excused(*sender)
+            told.is_some_and(|told| at.since(*told) >= MIN_KNOWN_FOR) && !is_excused(*sender)
         };
         let counted = arrivals.iter().filter(|(_, sender)| counts(sender));
         let count = counted.count();
@@ -100,7 +100,7 @@
         if count as f64 > allowed {
             let rate = limited.rate;
             let text = format!("{upstream} takes {rate} a second and got {count} in 4 s");
-            self.object(Promise::RateLimit, at, text);
+            self.record_violation(Invariant::RateLimit, at, text);
         }
     }
 }
--- a/crates/routersim/src/check/tokens.rs
+++ b/crates/routersim/src/check/tokens.rs
@@ -18,7 +18,7 @@
 
 /// A grant as an upstream takes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Taking {
+pub struct AcceptedGrant {
     /// The keys.
     pub range: KeyRange,
     /// The token.
@@ -29,13 +29,13 @@
 
 /// A token under which an upstream had a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Had {
+struct TokenUse {
     token: u64,
     index: usize,
     incarnation: u64,
 }
 
-impl Had {
+impl TokenUse {
     fn is_by(&self, holder: &Holder) -> bool {
         (self.index, self.incarnation) == (holder.index, holder.incarnation)
     }
@@ -44,7 +44,7 @@
 /// The highest token of a key, and the highest of all other holders.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyTokens {
-    highest: Had,
+    highest: TokenUse,
     of_others: u64,
 }
 
@@ -62,7 +62,7 @@
             self.highest.token = self.highest.token.max(token);
         } else if token > self.highest.token {
             self.of_others = self.highest.token;
-            self.highest = Had {
+            self.highest = TokenUse {
                 token,
                 index: holder.index,
                 incarnation: holder.incarnation,
@@ -77,12 +77,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TokenTooLow {
     token: u64,
-    others_had: u64,
+    highest_other_token: u64,
 }
 
 impl fmt::Display for TokenTooLow {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (token, had) = (self.token, self.others_had);
+        let (token, had) = (self.token, self.highest_other_token);
         write!(formatter, "under {token}, another had them under {had}")
     }
 }
@@ -103,15 +103,18 @@
 
 impl Tokens {
     /// An upstream has keys from now on.
-    pub fn take(&mut self, holder: &Holder, taking: Taking) -> Option<TokenTooLow> {
-        let range = taking.range;
+    pub fn take(&mut self, holder: &Holder, accepted_grant: AcceptedGrant) -> Option<TokenTooLow> {
+        let range = accepted_grant.range;
         let keys = &mut self.keys[usize::from(range.first.0)..=usize::from(range.last.0)];
-        let mut others_had = 0;
+        let mut highest_other_token = 0;
         for key in keys {
-            others_had = others_had.max(key.highest_of_others(holder));
-            key.note(holder, taking.token);
+            highest_other_token = highest_other_token.max(key.highest_of_others(holder));
+            key.note(holder, accepted_grant.token);
         }
-        let token = taking.token;
-        (others_had >= token && taking.is_counted).then_some(TokenTooLow { token, others_had })
+        let token = accepted_grant.token;
+        (highest_other_token >= token && accepted_grant.is_counted).then_some(TokenTooLow {
+            token,
+            highest_other_token,
+        })
     }
 }
--- a/crates/routersim/src/fault.rs
+++ b/crates/routersim/src/fault.rs
@@ -9,7 +9,7 @@
 
 /// What goes wrong, or is planned.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// A node is killed and started again after the time.
     NodeKill {
         /// The node; the granter for none.
@@ -195,18 +195,18 @@
     /// When it begins.
     pub at: Time,
     /// How long it lasts, where that fits.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What it is.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 impl Fault {
     /// A fault at so many milliseconds that lasts so many.
-    pub fn new(at_ms: u64, lasts_ms: u64, trouble: Trouble) -> Self {
+    pub fn new(at_ms: u64, duration_ms: u64, kind: FaultKind) -> Self {
         Self {
             at: Time(at_ms * 1_000),
-            lasts: Duration::from_millis(lasts_ms),
-            trouble,
+            duration: Duration::from_millis(duration_ms),
+            kind,
         }
     }
 }
@@ -223,13 +223,13 @@
     pub fn draw(seed: u64, config: &WorldConfig) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xFA17);
         let count = random.random_range(2..9);
-        let begin = config.lead.as_millis() as u64;
-        let end = begin + config.troubled.as_millis() as u64;
+        let begin = config.warm_up_time.as_millis() as u64;
+        let end = begin + config.fault_window.as_millis() as u64;
         let mut faults: Vec<Fault> = (0..count)
             .map(|_| Fault {
                 at: Time(random.random_range(begin..end) * 1_000),
-                lasts: Duration::from_millis(random.random_range(500..6_000)),
-                trouble: draw_trouble(&mut random, config),
+                duration: Duration::from_millis(random.random_range(500..6_000)),
+                kind: draw_kind(&mut random, config),
             })
             .collect();
         faults.extend(draw_poison(seed, config));
@@ -242,7 +242,7 @@
 
     /// The same, with upstreams that say that they leave or ask for rest, and with a store that
     /// goes back. Histories of seeds that tests name were found without these.
-    pub fn draw_further(seed: u64, config: &WorldConfig) -> Self {
+    pub fn draw_extended(seed: u64, config: &WorldConfig) -> Self {
         let mut plan = Self::draw(seed, config);
         plan.faults.extend(draw_leaving(seed, config));
         plan.faults.extend(draw_rests(seed, config));
@@ -261,11 +261,11 @@
         return None;
     }
     Some(Fault {
-        at: Time::ZERO + config.lead + Duration::from_millis(random.random_range(0..4_000)),
+        at: Time::ZERO + config.warm_up_time + Duration::from_millis(random.random_range(0..4_000)),
         // It ends with the other troubles: each upstream that it ends takes its keys with it
         // for seconds.
-        lasts: config.troubled,
-        trouble: Trouble::PoisonRequest {
+        duration: config.fault_window,
+        kind: FaultKind::PoisonRequest {
             is_read: random.random(),
             pause_ms: random.random_range(400..4_000),
             callers: random.random_range(1..=6),
@@ -280,17 +280,17 @@
     if !random.random_ratio(1, ONE_IN) {
         return Vec::new();
     }
-    let troubled = config.troubled.as_millis() as u64;
+    let fault_window = config.fault_window.as_millis() as u64;
     let count = random.random_range(1..4);
     (0..count)
         .map(|_| {
             let node = random.random_range(0..config.nodes);
             Fault {
                 at: Time::ZERO
-                    + config.lead
-                    + Duration::from_millis(random.random_range(0..troubled)),
-                lasts: Duration::from_millis(random.random_range(500..8_000)),
-                trouble: Trouble::NodeSuspend {
+                    + config.warm_up_time
+                    + Duration::from_millis(random.random_range(0..fault_window)),
+                duration: Duration::from_millis(random.random_range(500..8_000)),
+                kind: FaultKind::NodeSuspend {
                     node: random.random_bool(0.5).then_some(node),
                 },
             }
@@ -309,8 +309,10 @@
     if !random.random_ratio(1, ONE_IN) {
         return Vec::new();
     }
-    let troubled = config.troubled.as_millis() as u64;
-    let at = Time::ZERO + config.lead + Duration::from_millis(random.random_range(0..troubled));
+    let fault_window = config.fault_window.as_millis() as u64;
+    let at = Time::ZERO
+        + config.warm_up_time
+        + Duration::from_millis(random.random_range(0..fault_window));
     let from = if random.random_bool(0.5) {
         CutFrom::Everything
     } else {
@@ -319,19 +321,19 @@
     };
     let unreachable = Fault {
         at,
-        lasts: Duration::from_millis(random.random_range(3_000..10_000)),
-        trouble: Trouble::UpstreamUnreachable {
+        duration: Duration::from_millis(random.random_range(3_000..10_000)),
+        kind: FaultKind::UpstreamUnreachable {
             upstream: random.random_range(0..config.upstreams()),
             from,
         },
     };
     let granter = Fault {
         at: at + Duration::from_millis(random.random_range(0..AFTER_MS)),
-        lasts: Duration::from_millis(random.random_range(500..6_000)),
-        trouble: if random.random() {
-            Trouble::NodePowerLoss { node: None }
+        duration: Duration::from_millis(random.random_range(500..6_000)),
+        kind: if random.random() {
+            FaultKind::NodePowerLoss { node: None }
         } else {
-            Trouble::NodeKill { node: None }
+            FaultKind::NodeKill { node: None }
         },
     };
     let with_granter = random.random_bool(0.5);
@@ -348,7 +350,7 @@
         return Vec::new();
     }
     draw_some(&mut random, config, 1..3, 4_000..9_000, |random| {
-        Trouble::UpstreamInNeed {
+        FaultKind::UpstreamInNeed {
             upstream: random.random_range(0..config.upstreams()),
             rate_milli: random.random_range(2_000..8_000),
         }
@@ -364,7 +366,7 @@
         return Vec::new();
     }
     draw_some(&mut random, config, 1..3, 0..6_000, |random| {
-        Trouble::UpstreamLeaves {
+        FaultKind::UpstreamLeaves {
             upstream: random.random_range(0..config.upstreams()),
         }
     })
@@ -379,7 +381,7 @@
         return Vec::new();
     }
     draw_some(&mut random, config, 1..4, 1_000..9_000, |random| {
-        Trouble::UpstreamRests {
+        FaultKind::UpstreamRests {
             upstream: random.random_range(0..config.upstreams()),
             rest_ms: random.random_range(500..5_000),
         }
@@ -394,22 +396,24 @@
     if !random.random_ratio(1, ONE_IN) {
         return Vec::new();
     }
-    let troubled = config.troubled.as_millis() as u64;
-    let at = Time::ZERO + config.lead + Duration::from_millis(random.random_range(0..troubled));
-    let lasts = Duration::from_millis(random.random_range(1_000..4_000));
+    let fault_window = config.fault_window.as_millis() as u64;
+    let at = Time::ZERO
+        + config.warm_up_time
+        + Duration::from_millis(random.random_range(0..fault_window));
+    let duration = Duration::from_millis(random.random_range(1_000..4_000));
     let back_ms = random.random_range(500..8_000);
     let going_back = Fault {
         at,
-        lasts,
-        trouble: Trouble::StoreGoesBack { back_ms },
+        duration,
+        kind: FaultKind::StoreGoesBack { back_ms },
     };
     let kill = Fault {
         at: at + Duration::from_millis(random.random_range(0..6_000)),
-        lasts: Duration::from_millis(random.random_range(500..4_000)),
-        trouble: if random.random() {
-            Trouble::NodeKill { node: None }
+        duration: Duration::from_millis(random.random_range(500..4_000)),
+        kind: if random.random() {
+            FaultKind::NodeKill { node: None }
         } else {
-            Trouble::KillAll
+            FaultKind::KillAll
         },
     };
     let with_kill = random.random_bool(0.5);
@@ -425,66 +429,68 @@
     random: &mut ChaCha8Rng,
     config: &WorldConfig,
     count: Range<usize>,
-    lasts_ms: Range<u64>,
-    trouble: impl Fn(&mut ChaCha8Rng) -> Trouble,
+    duration_ms: Range<u64>,
+    kind: impl Fn(&mut ChaCha8Rng) -> FaultKind,
 ) -> Vec<Fault> {
-    let troubled = config.troubled.as_millis() as u64;
+    let fault_window = config.fault_window.as_millis() as u64;
     let count = random.random_range(count);
     (0..count)
         .map(|_| Fault {
-            at: Time::ZERO + config.lead + Duration::from_millis(random.random_range(0..troubled)),
-            lasts: Duration::from_millis(random.random_range(lasts_ms.clone())),
-            trouble: trouble(random),
+            at: Time::ZERO
+                + config.warm_up_time
+                + Duration::from_millis(random.random_range(0..fault_window)),
+            duration: Duration::from_millis(random.random_range(duration_ms.clone())),
+            kind: kind(random),
         })
         .collect()
 }
 
-fn draw_trouble(random: &mut ChaCha8Rng, config: &WorldConfig) -> Trouble {
+fn draw_kind(random: &mut ChaCha8Rng, config: &WorldConfig) -> FaultKind {
     let node = random.random_range(0..config.nodes);
     let chosen = random.random_bool(0.5).then_some(node);
     let upstream = random.random_range(0..config.upstreams());
     match random.random_range(0..20) {
-        0 | 1 => Trouble::NodeKill { node: chosen },
-        2 => Trouble::KillAll,
-        3 | 4 => Trouble::NodeFreeze { node: chosen },
-        5 | 6 => Trouble::StoreCut { node: chosen },
-        7 => Trouble::PeerCut { node },
-        8 => Trouble::Stop { node },
-        9 => Trouble::StoreDown {
+        0 | 1 => FaultKind::NodeKill { node: chosen },
+        2 => FaultKind::KillAll,
+        3 | 4 => FaultKind::NodeFreeze { node: chosen },
+        5 | 6 => FaultKind::StoreCut { node: chosen },
+        7 => FaultKind::PeerCut { node },
+        8 => FaultKind::Stop { node },
+        9 => FaultKind::StoreDown {
             lapse: random.random(),
         },
-        10 => Trouble::StoreLost {
+        10 => FaultKind::StoreLost {
             percent: random.random_range(10..60),
             late: random.random(),
         },
-        11 => Trouble::Compact,
-        12 => Trouble::UpstreamCrash {
+        11 => FaultKind::Compact,
+        12 => FaultKind::UpstreamCrash {
             upstream,
             dark: random.random(),
         },
-        13 => Trouble::UpstreamDrain {
+        13 => FaultKind::UpstreamDrain {
             upstream,
             abrupt: random.random(),
         },
-        14 => Trouble::UpstreamCut { upstream },
-        15 => Trouble::OrdersLate {
+        14 => FaultKind::UpstreamCut { upstream },
+        15 => FaultKind::OrdersLate {
             percent: random.random_range(10..60),
         },
-        17 => Trouble::StandbyIsland {
+        17 => FaultKind::StandbyIsland {
             upstream: random.random_range(0..config.keyed),
         },
-        18 => Trouble::NodeSlow {
+        18 => FaultKind::NodeSlow {
             node: chosen,
             order_ms: random.random_range(5..80),
         },
-        16 => Trouble::AnswersLost {
+        16 => FaultKind::AnswersLost {
             percent: random.random_range(2..40),
         },
         _ => {
             if random.random() {
-                Trouble::HotKey
+                FaultKind::HotKey
             } else {
-                Trouble::Configure
+                FaultKind::Configure
             }
         }
     }
--- a/crates/routersim/src/guard.rs
+++ b/crates/routersim/src/guard.rs
@@ -1,6 +1,6 @@
 //! Protections that can be switched off, to see what each is for.
 
-use crate::check::Promise;
+use crate::check::Invariant;
 
 /// One protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     ];
 
     /// The promise that is broken without it.
-    pub fn promise(self) -> Promise {
+    pub fn invariant(self) -> Invariant {
         match self {
             Guard::RecordFirst
             | Guard::LapseWait
@@ -72,16 +72,16 @@
             | Guard::UnansweredCounts
             | Guard::StandbyWait
             | Guard::RecordDoubt
-            | Guard::BootClock => Promise::SoleOwner,
+            | Guard::BootClock => Invariant::SoleOwner,
             Guard::LostHolderFence | Guard::TokenRenewal | Guard::DoubtWait => {
-                Promise::RisingTokens
+                Invariant::RisingTokens
             }
-            Guard::ProofBeforeRepeat => Promise::AtMostOnce,
-            Guard::ShortDoubt => Promise::Drain,
-            Guard::SuspicionsTold | Guard::SuspicionsKept => Promise::PoisonKeptOff,
-            Guard::NamedRates => Promise::RateLimit,
-            Guard::LeavingWords => Promise::LeavingWord,
-            Guard::Rests => Promise::Rest,
+            Guard::ProofBeforeRepeat => Invariant::AtMostOnce,
+            Guard::ShortDoubt => Invariant::Drain,
+            Guard::SuspicionsTold | Guard::SuspicionsKept => Invariant::PoisonKeptOff,
+            Guard::NamedRates => Invariant::RateLimit,
+            Guard::LeavingWords => Invariant::LeavingWord,
+            Guard::Rests => Invariant::Rest,
         }
     }
 }
--- a/crates/routersim/src/lib.rs
+++ b/crates/routersim/src/lib.rs
@@ -9,28 +9,34 @@
 mod guard;
 mod world;
 
-pub use check::{Checkers, Holder, OtherHolder, Promise, Taking, Violation};
+pub use check::{AcceptedGrant, Checkers, Holder, Invariant, OtherHolder, Violation};
 pub use dialect::SimDialect;
-pub use fault::{CutFrom, Fault, FaultPlan, Trouble};
+pub use fault::{CutFrom, Fault, FaultKind, FaultPlan};
 pub use guard::Guard;
-pub use world::{GiveUp, Outcome, SuspicionCosts, World, WorldConfig, WorldSize, usual_settings};
+pub use world::{
+    CloseMode, Outcome, SuspicionCosts, World, WorldConfig, WorldSize, default_settings,
+};
 
 /// Runs the history of a seed in a world of that size.
-pub fn explore(size: WorldSize, seed: u64) -> Outcome {
+pub fn run_seed(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
     let plan = FaultPlan::draw(seed, &config);
     World::new(config, plan).run()
 }
 
-/// The same with further kinds of trouble: see [`FaultPlan::draw_further`].
-pub fn explore_further(size: WorldSize, seed: u64) -> Outcome {
+/// The same with further kinds of trouble: see [`FaultPlan::draw_extended`].
+pub fn run_seed_extended(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
-    let plan = FaultPlan::draw_further(seed, &config);
+    let plan = FaultPlan::draw_extended(seed, &config);
     World::new(config, plan).run()
 }
 
 /// Runs a history of given faults, with a protection switched off or none.
-pub fn play(mut config: WorldConfig, plan: FaultPlan, off: Option<Guard>) -> Outcome {
-    config.off = off;
+pub fn run_plan(
+    mut config: WorldConfig,
+    plan: FaultPlan,
+    disabled_guard: Option<Guard>,
+) -> Outcome {
+    config.disabled_guard = disabled_guard;
     World::new(config, plan).run()
 }
--- a/crates/routersim/src/world.rs
+++ b/crates/routersim/src/world.rs
@@ -28,7 +28,7 @@
 use beamtray_router::settings::NodeSettings;
 use beamtray_sharding::ShardKey;
 use beamtray_types::{ServiceName, Time};
-pub use links::GiveUp;
+pub use links::CloseMode;
 use links::Links;
 use network::{Event, Scheduled};
 use nodes::NodeSlot;
@@ -45,7 +45,7 @@
 /// Between looks at waiting watches and registrations.
 pub(crate) const HOUSEKEEPING: Duration = Duration::from_millis(20);
 /// How long a node must have been undisturbed to count as connected.
-pub(crate) const CONTACT: Duration = Duration::from_millis(3_000);
+pub(crate) const CONNECTED_AFTER: Duration = Duration::from_millis(3_000);
 /// Between an upstream's writes of its registration.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_300);
 
@@ -97,17 +97,17 @@
     /// Upstreams of the other service.
     pub pool: usize,
     /// Time before the first request.
-    pub lead: Duration,
+    pub warm_up_time: Duration,
     /// Time in which faults begin.
-    pub troubled: Duration,
+    pub fault_window: Duration,
     /// Time after that.
-    pub calm: Duration,
+    pub recovery_window: Duration,
     /// Requests a second.
     pub rate: u64,
     /// Protection that is switched off.
-    pub off: Option<Guard>,
+    pub disabled_guard: Option<Guard>,
     /// What becomes of an order that a node gives up.
-    pub give_up: GiveUp,
+    pub close_mode: CloseMode,
 }
 
 impl WorldConfig {
@@ -119,12 +119,12 @@
             nodes: draw_nodes(&mut random, seed),
             keyed: random.random_range(3..7),
             pool: random.random_range(2..5),
-            lead: Duration::from_secs(6),
-            troubled: Duration::from_secs(12),
-            calm: Duration::from_secs(18),
+            warm_up_time: Duration::from_secs(6),
+            fault_window: Duration::from_secs(12),
+            recovery_window: Duration::from_secs(18),
             rate: random.random_range(20..50),
-            off: None,
-            give_up: GiveUp::default(),
+            disabled_guard: None,
+            close_mode: CloseMode::default(),
         }
     }
 
@@ -148,9 +148,9 @@
             nodes: 300,
             keyed: 480,
             pool: 320,
-            lead: Duration::from_secs(8),
-            troubled: Duration::from_secs(6),
-            calm: Duration::from_secs(14),
+            warm_up_time: Duration::from_secs(8),
+            fault_window: Duration::from_secs(6),
+            recovery_window: Duration::from_secs(14),
             rate: 400,
             ..Self::drawn(seed)
         }
@@ -162,7 +162,7 @@
     }
 
     fn end(&self) -> Time {
-        Time::ZERO + self.lead + self.troubled + self.calm
+        Time::ZERO + self.warm_up_time + self.fault_window + self.recovery_window
     }
 
     /// From when on requests tell whether everything has recovered.
@@ -188,7 +188,7 @@
 }
 
 /// Settings of one of the world's nodes.
-pub fn usual_settings(node: usize) -> NodeSettings {
+pub fn default_settings(node: usize) -> NodeSettings {
     nodes::settings(node)
 }
 
@@ -196,11 +196,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuspicionCosts {
     /// Lines that all nodes together would have written.
-    pub notices: usize,
+    pub log_lines: usize,
     /// Suspicions in datagrams that they sent, counted at each receiver.
-    pub told: usize,
+    pub suspicions_received: usize,
     /// Most fingerprints that one node remembered at a time.
-    pub remembered: usize,
+    pub peak_fingerprints: usize,
 }
 
 /// How a history ended.
@@ -209,7 +209,7 @@
     /// Promises that were broken.
     pub violations: Vec<Violation>,
     /// Requests that clients sent.
-    pub asked: usize,
+    pub requests: usize,
     /// Requests that were answered by an upstream.
     pub served: usize,
     /// Requests that were refused since upstreams ended under others that say the same.
@@ -224,7 +224,7 @@
 
 /// A request as the world follows it.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct ClientRequest {
     pub id: String,
     pub node: usize,
     pub key: Option<ShardKey>,
@@ -259,10 +259,10 @@
     pub(crate) last_attempt: u32,
     /// Last attempt that ended, by request.
     pub(crate) ended_attempts: BTreeMap<(usize, u64, Ticket), u32>,
-    pub(crate) asked: BTreeMap<(usize, u64, Ticket), Asked>,
+    pub(crate) asked: BTreeMap<(usize, u64, Ticket), ClientRequest>,
     pub(crate) configurations: Vec<(Time, u64)>,
     pub(crate) checkers: Checkers,
-    pub(crate) asked_count: usize,
+    pub(crate) request_count: usize,
     pub(crate) served_count: usize,
     pub(crate) quarantined_count: usize,
     pub(crate) suspicion: SuspicionCosts,
@@ -295,7 +295,7 @@
             asked: BTreeMap::new(),
             configurations: Vec::new(),
             checkers: Checkers::default(),
-            asked_count: 0,
+            request_count: 0,
             served_count: 0,
             quarantined_count: 0,
             suspicion: SuspicionCosts::default(),
@@ -325,7 +325,7 @@
             self.schedule(fault.at.since(Time::ZERO), Event::Fault { index });
         }
         self.schedule(HOUSEKEEPING, Event::Housekeeping);
-        self.schedule(self.config.lead, Event::Client);
+        self.schedule(self.config.warm_up_time, Event::Client);
     }
 
     /// Puts the next configuration into the store.
@@ -385,7 +385,7 @@
     }
 
     /// The configuration that a history begins with.
-    pub fn usual_configuration() -> Configuration {
+    pub fn default_configuration() -> Configuration {
         configuration(1)
     }
 
@@ -401,7 +401,7 @@
         }
         Outcome {
             violations: self.checkers.finish(self.now),
-            asked: self.asked_count,
+            requests: self.request_count,
             served: self.served_count,
             quarantined: self.quarantined_count,
             suspicion: self.suspicion,
--- a/crates/routersim/src/world/clients.rs
+++ b/crates/routersim/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what they ask, and the answers that they get.
 
 use super::network::{Event, Run};
-use super::{Asked, HOST, ORDER, READ, World};
+use super::{ClientRequest, HOST, ORDER, READ, World};
 use beamtray_dispatch::{Fingerprints, RequestContent, RequestHead, Ticket};
 use beamtray_router::core::Input;
 use beamtray_sharding::ShardKey;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Part of the requests that have a key, in percent.
-const READS: u32 = 65;
+const READ_PERCENT: u32 = 65;
 /// Part of the reads that are of the hot key while there is one, in percent.
-const HOT: u32 = 40;
+const HOT_KEY_PERCENT: u32 = 40;
 /// Where all clients call from whose address does not matter.
 pub(super) const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
 /// How long a client waits.
-pub(super) const PATIENCE: Duration = Duration::from_millis(1_500);
+pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What a client's request says.
 pub(super) fn request_head(
@@ -37,7 +37,7 @@
         host: HOST.to_owned(),
         fingerprints: Fingerprints::of(&content, caller),
         path,
-        client_timeout: Some(PATIENCE),
+        client_timeout: Some(CLIENT_TIMEOUT),
         key,
     }
 }
@@ -48,11 +48,11 @@
         let delay = Duration::from_micros(self.random.random_range(0..2 * gap));
         self.schedule(delay, Event::Client);
         let node = self.random.random_range(0..self.nodes.len());
-        let is_read = self.chance(READS);
+        let is_read = self.chance(READ_PERCENT);
         let key = is_read.then(|| self.draw_key());
         let number = self.request_number();
         let work = self.millis(20, 120);
-        self.asked_count += 1;
+        self.request_count += 1;
         let is_late = self.is_late();
         let slot = &mut self.nodes[node];
         if slot.core.is_none() {
@@ -64,7 +64,7 @@
         let id = format!("request-{number}");
         let prefix = if is_read { READ } else { ORDER };
         let head = request_head(&id, format!("{prefix}{number}"), key, CALLER);
-        let asked = Asked {
+        let asked = ClientRequest {
             at: self.now,
             id,
             node,
@@ -81,7 +81,7 @@
     fn draw_key(&mut self) -> ShardKey {
         let hot = self.hot_key;
         match hot {
-            Some(key) if self.chance(HOT) => key,
+            Some(key) if self.chance(HOT_KEY_PERCENT) => key,
             _ => ShardKey(self.random.random()),
         }
     }
@@ -95,7 +95,7 @@
             self.checkers.refused(self.now, &asked.id);
         }
         if asked.is_late {
-            self.checkers.late_answer(false);
+            self.checkers.recovery_answer(false);
         }
     }
 
@@ -106,7 +106,7 @@
         };
         self.served_count += 1;
         if asked.is_late {
-            self.checkers.late_answer(true);
+            self.checkers.recovery_answer(true);
         }
     }
 
--- a/crates/routersim/src/world/faults.rs
+++ b/crates/routersim/src/world/faults.rs
@@ -3,42 +3,42 @@
 use super::World;
 use super::network::Event;
 use crate::check::Sender;
-use crate::fault::{CutFrom, Trouble};
+use crate::fault::{CutFrom, FaultKind};
 use beamtray_catalog::RequestRate;
 use beamtray_sharding::ShardKey;
 use rand::RngExt;
 use std::time::Duration;
 
 /// How long watches hear nothing before the history goes.
-const DEAF: Duration = Duration::from_secs(1);
+const COMPACTION_DELAY: Duration = Duration::from_secs(1);
 /// Pause after which an upstream tries again to tell the store that it leaves.
 const STORE_RETRY: Duration = Duration::from_millis(200);
 
 impl World {
     pub(super) fn fault(&mut self, index: usize) {
         let fault = self.faults[index].clone();
-        let lasts = fault.lasts;
+        let duration = fault.duration;
         let mut node = None;
-        match &fault.trouble {
-            Trouble::NodeKill { node: chosen } => {
+        match &fault.kind {
+            FaultKind::NodeKill { node: chosen } => {
                 let node = chosen.or_else(|| self.granter());
                 if let Some(node) = node.filter(|node| self.nodes[*node].core.is_some()) {
                     self.kill_node(node);
-                    self.schedule(lasts, Event::NodeStart { node });
+                    self.schedule(duration, Event::NodeStart { node });
                 }
             }
-            Trouble::KillAll => self.kill_all(lasts),
-            Trouble::NodeFreeze { node: chosen } => {
+            FaultKind::KillAll => self.kill_all(duration),
+            FaultKind::NodeFreeze { node: chosen } => {
                 if let Some(node) = chosen.or_else(|| self.granter()) {
-                    self.freeze(node, lasts);
+                    self.freeze(node, duration);
                 }
             }
-            Trouble::NodeSuspend { node: chosen } => {
+            FaultKind::NodeSuspend { node: chosen } => {
                 if let Some(node) = chosen.or_else(|| self.granter()) {
-                    self.suspend(node, lasts);
+                    self.suspend(node, duration);
                 }
             }
-            Trouble::NodeSlow {
+            FaultKind::NodeSlow {
                 node: chosen,
                 order_ms,
             } => {
@@ -47,115 +47,115 @@
                     self.nodes[node].order_cost = Duration::from_millis(*order_ms);
                 }
             }
-            Trouble::StoreCut { node: chosen } => {
+            FaultKind::StoreCut { node: chosen } => {
                 node = chosen.or_else(|| self.granter());
                 if let Some(node) = node {
                     self.nodes[node].store_cut = true;
                     self.nodes[node].disturbed = self.now;
-                    self.forget_rests(node);
+                    self.forget_retry_after(node);
                     self.silence_watches(|waiting| waiting == node);
                 }
             }
-            Trouble::PeerCut { node } => {
+            FaultKind::PeerCut { node } => {
                 self.nodes[*node].peer_cut = true;
-                self.forget_rests(*node);
+                self.forget_retry_after(*node);
             }
-            Trouble::Stop { node } => {
+            FaultKind::Stop { node } => {
                 if self.nodes[*node].core.is_some() {
                     let run = self.nodes[*node].run;
                     self.nodes[*node].disturbed = self.now;
                     self.input(*node, run, beamtray_router::core::Input::Stop);
                 }
             }
-            Trouble::StoreDown { lapse } => {
+            FaultKind::StoreDown { lapse } => {
                 self.store_state.down = true;
                 self.store.leases_run = *lapse;
                 self.silence_watches(|_| true);
             }
-            Trouble::StoreGoesBack { back_ms } => {
+            FaultKind::StoreGoesBack { back_ms } => {
                 self.store_state.down = true;
                 self.store_state
-                    .keep_copy(self.now, Duration::from_millis(*back_ms));
+                    .select_snapshot(self.now, Duration::from_millis(*back_ms));
                 self.store.leases_run = false;
                 self.silence_watches(|_| true);
             }
-            Trouble::StoreLost { percent, late } => {
+            FaultKind::StoreLost { percent, late } => {
                 self.store_state.lost_percent = *percent;
                 self.store_state.late = *late;
             }
-            Trouble::Compact => {
-                self.store_state.deaf_until = self.now + DEAF;
-                self.store_state.disturbed = Some(self.now + DEAF);
+            FaultKind::Compact => {
+                self.store_state.watches_silent_until = self.now + COMPACTION_DELAY;
+                self.store_state.disturbed = Some(self.now + COMPACTION_DELAY);
             }
-            Trouble::UpstreamCrash { upstream, dark } => self.crash(*upstream, *dark, lasts),
-            Trouble::UpstreamRestart { upstream, dark } => {
-                self.restart_upstream(*upstream, *dark, lasts);
+            FaultKind::UpstreamCrash { upstream, dark } => self.crash(*upstream, *dark, duration),
+            FaultKind::UpstreamRestart { upstream, dark } => {
+                self.restart_upstream(*upstream, *dark, duration);
             }
-            Trouble::UpstreamDrain { upstream, abrupt } => self.drain(*upstream, *abrupt),
-            Trouble::UpstreamLeaves { upstream } => self.say_it_leaves(*upstream),
-            Trouble::UpstreamRests { upstream, rest_ms } => {
+            FaultKind::UpstreamDrain { upstream, abrupt } => self.drain(*upstream, *abrupt),
+            FaultKind::UpstreamLeaves { upstream } => self.say_it_leaves(*upstream),
+            FaultKind::UpstreamRests { upstream, rest_ms } => {
                 self.upstream_state[*upstream].rest = Some(Duration::from_millis(*rest_ms));
             }
-            Trouble::UpstreamCut { upstream } => {
+            FaultKind::UpstreamCut { upstream } => {
                 self.upstream_state[*upstream].cut_since = Some(self.now);
             }
-            Trouble::UpstreamUnreachable { upstream, from } => {
+            FaultKind::UpstreamUnreachable { upstream, from } => {
                 self.cut_links(*upstream, from.clone());
             }
-            Trouble::UpstreamInNeed {
+            FaultKind::UpstreamInNeed {
                 upstream,
                 rate_milli,
             } => {
                 let rate = RequestRate::new(f64::from(*rate_milli) / 1e3);
                 self.set_rate(*upstream, rate);
             }
-            Trouble::NodePowerLoss { node: chosen } => {
+            FaultKind::NodePowerLoss { node: chosen } => {
                 if let Some(node) = chosen.or_else(|| self.granter()) {
                     self.nodes[node].boot += 1;
                     self.kill_node(node);
-                    self.schedule(lasts, Event::NodeStart { node });
+                    self.schedule(duration, Event::NodeStart { node });
                 }
             }
-            Trouble::StandbyIsland { upstream } => {
+            FaultKind::StandbyIsland { upstream } => {
                 node = self.standby();
                 if let Some(node) = node {
                     self.cut_off(node, *upstream);
                 }
             }
-            Trouble::GranterIsland { upstream } => {
+            FaultKind::GranterIsland { upstream } => {
                 node = self.granter();
                 if let Some(node) = node {
                     self.cut_off(node, *upstream);
                 }
             }
-            Trouble::ZoneEvacuation { zone } => self.evacuate(zone),
-            Trouble::OrdersLate { percent } => self.orders_late_percent = *percent,
-            Trouble::AnswersLost { percent } => self.answers_lost_percent = *percent,
-            Trouble::PoisonRequest { .. } => {
+            FaultKind::ZoneEvacuation { zone } => self.evacuate(zone),
+            FaultKind::OrdersLate { percent } => self.orders_late_percent = *percent,
+            FaultKind::AnswersLost { percent } => self.answers_lost_percent = *percent,
+            FaultKind::PoisonRequest { .. } => {
                 self.schedule(Duration::ZERO, Event::PoisonClients { fault: index });
             }
-            Trouble::PopularRequest { .. } => {
+            FaultKind::PopularRequest { .. } => {
                 self.schedule(Duration::ZERO, Event::PopularClient { fault: index });
             }
-            Trouble::HotKey => self.hot_key = Some(ShardKey(self.random.random())),
-            Trouble::Configure => {
+            FaultKind::HotKey => self.hot_key = Some(ShardKey(self.random.random())),
+            FaultKind::Configure => {
                 if !self.store_state.down {
                     self.configure();
                 }
             }
         }
-        let trouble = fault.trouble;
-        let lasts = match trouble {
-            Trouble::Compact => DEAF,
+        let kind = fault.kind;
+        let duration = match kind {
+            FaultKind::Compact => COMPACTION_DELAY,
             // A node that was told to stop ends within its grace.
-            Trouble::Stop { .. } => Duration::from_secs(4),
-            _ => lasts,
+            FaultKind::Stop { .. } => Duration::from_secs(4),
+            _ => duration,
         };
-        self.schedule(lasts, Event::FaultEnds { trouble, node });
+        self.schedule(duration, Event::FaultEnds { kind, node });
     }
 
     fn cut_off(&mut self, node: usize, upstream: usize) {
-        self.forget_rests(node);
+        self.forget_retry_after(node);
         let slot = &mut self.nodes[node];
         slot.store_cut = true;
         slot.peer_cut = true;
@@ -167,9 +167,9 @@
     }
 
     /// A node is disturbed: the rests that it was asked for before don't count.
-    fn forget_rests(&mut self, node: usize) {
+    fn forget_retry_after(&mut self, node: usize) {
         let run = self.nodes[node].run;
-        self.checkers.forget_rests(Sender { node, run });
+        self.checkers.forget_retry_after(Sender { node, run });
     }
 
     fn cut_links(&mut self, upstream: usize, from: CutFrom) {
@@ -180,52 +180,52 @@
         state.unreached_from = Some(from);
     }
 
-    fn kill_all(&mut self, lasts: Duration) {
+    fn kill_all(&mut self, duration: Duration) {
         let kept_until = self.store_state.keeps_until(self.now);
-        self.checkers.poison_forgotten(kept_until);
+        self.checkers.forget_poison(kept_until);
         for node in 0..self.nodes.len() {
             if self.nodes[node].core.is_none() {
                 continue;
             }
             self.kill_node(node);
             let spread = self.millis(0, 500);
-            self.schedule(lasts / 4 + spread, Event::NodeStart { node });
+            self.schedule(duration / 4 + spread, Event::NodeStart { node });
         }
     }
 
-    pub(super) fn fault_ends(&mut self, trouble: &Trouble, node: Option<usize>) {
-        match trouble {
-            Trouble::UpstreamLeaves { upstream } if self.store_state.down => {
-                let trouble = Trouble::UpstreamLeaves {
+    pub(super) fn fault_ends(&mut self, kind: &FaultKind, node: Option<usize>) {
+        match kind {
+            FaultKind::UpstreamLeaves { upstream } if self.store_state.down => {
+                let kind = FaultKind::UpstreamLeaves {
                     upstream: *upstream,
                 };
-                self.schedule(STORE_RETRY, Event::FaultEnds { trouble, node });
+                self.schedule(STORE_RETRY, Event::FaultEnds { kind, node });
             }
-            Trouble::UpstreamLeaves { upstream } => self.drain(*upstream, false),
-            Trouble::UpstreamRests { upstream, .. } => self.upstream_state[*upstream].rest = None,
-            Trouble::StoreCut { .. } => {
+            FaultKind::UpstreamLeaves { upstream } => self.drain(*upstream, false),
+            FaultKind::UpstreamRests { upstream, .. } => self.upstream_state[*upstream].rest = None,
+            FaultKind::StoreCut { .. } => {
                 if let Some(node) = node {
                     self.nodes[node].store_cut = false;
                     self.nodes[node].disturbed = self.now;
                 }
             }
-            Trouble::NodeSlow { .. } => {
+            FaultKind::NodeSlow { .. } => {
                 if let Some(node) = node {
                     self.nodes[node].order_cost = Duration::ZERO;
                 }
             }
-            Trouble::PeerCut { node } => {
+            FaultKind::PeerCut { node } => {
                 self.nodes[*node].peer_cut = false;
                 self.nodes[*node].peers_regained = self.now;
             }
-            Trouble::Stop { node } => {
+            FaultKind::Stop { node } => {
                 if self.nodes[*node].core.is_some() {
                     self.kill_node(*node);
                     self.schedule(Duration::from_millis(300), Event::NodeStart { node: *node });
                 }
             }
-            Trouble::StoreGoesBack { .. } => self.store_goes_back(),
-            Trouble::StoreDown { lapse } => {
+            FaultKind::StoreGoesBack { .. } => self.roll_back_store(),
+            FaultKind::StoreDown { lapse } => {
                 self.store_state.down = false;
                 self.store_state.disturbed = Some(self.now);
                 if *lapse {
@@ -235,16 +235,16 @@
                     self.store.leases_run = true;
                 }
             }
-            Trouble::StoreLost { .. } => {
+            FaultKind::StoreLost { .. } => {
                 self.store_state.lost_percent = 0;
                 self.store_state.disturbed = Some(self.now);
             }
-            Trouble::Compact => {
+            FaultKind::Compact => {
                 self.store.compact();
                 self.store_state.disturbed = Some(self.now);
             }
-            Trouble::UpstreamCut { upstream } => self.upstream_state[*upstream].cut_since = None,
-            Trouble::StandbyIsland { upstream } | Trouble::GranterIsland { upstream } => {
+            FaultKind::UpstreamCut { upstream } => self.upstream_state[*upstream].cut_since = None,
+            FaultKind::StandbyIsland { upstream } | FaultKind::GranterIsland { upstream } => {
                 let state = &mut self.upstream_state[*upstream];
                 state.reached_from = None;
                 state.cut_since = None;
@@ -255,28 +255,28 @@
                     self.nodes[node].disturbed = self.now;
                 }
             }
-            Trouble::UpstreamUnreachable { upstream, .. } => {
+            FaultKind::UpstreamUnreachable { upstream, .. } => {
                 let state = &mut self.upstream_state[*upstream];
                 state.unreached_from = None;
                 state.cut_since = None;
                 state.healed_at = Some(self.now);
             }
-            Trouble::UpstreamInNeed { upstream, .. } => self.set_rate(*upstream, None),
-            Trouble::ZoneEvacuation { zone } => self.end_evacuation(zone),
-            Trouble::OrdersLate { .. } => self.orders_late_percent = 0,
-            Trouble::AnswersLost { .. } => self.answers_lost_percent = 0,
-            Trouble::HotKey => self.hot_key = None,
-            Trouble::NodeKill { .. }
-            | Trouble::NodePowerLoss { .. }
-            | Trouble::KillAll
-            | Trouble::NodeFreeze { .. }
-            | Trouble::NodeSuspend { .. }
-            | Trouble::UpstreamCrash { .. }
-            | Trouble::UpstreamRestart { .. }
-            | Trouble::UpstreamDrain { .. }
-            | Trouble::PoisonRequest { .. }
-            | Trouble::PopularRequest { .. }
-            | Trouble::Configure => {}
+            FaultKind::UpstreamInNeed { upstream, .. } => self.set_rate(*upstream, None),
+            FaultKind::ZoneEvacuation { zone } => self.end_evacuation(zone),
+            FaultKind::OrdersLate { .. } => self.orders_late_percent = 0,
+            FaultKind::AnswersLost { .. } => self.answers_lost_percent = 0,
+            FaultKind::HotKey => self.hot_key = None,
+            FaultKind::NodeKill { .. }
+            | FaultKind::NodePowerLoss { .. }
+            | FaultKind::KillAll
+            | FaultKind::NodeFreeze { .. }
+            | FaultKind::NodeSuspend { .. }
+            | FaultKind::UpstreamCrash { .. }
+            | FaultKind::UpstreamRestart { .. }
+            | FaultKind::UpstreamDrain { .. }
+            | FaultKind::PoisonRequest { .. }
+            | FaultKind::PopularRequest { .. }
+            | FaultKind::Configure => {}
         }
     }
 }
--- a/crates/routersim/src/world/links.rs
+++ b/crates/routersim/src/world/links.rs
@@ -20,18 +20,18 @@
 const FIRST_RETRANSMISSION: Duration = Duration::from_millis(200);
 /// How long a connection that an answer came on is used again: half of the rest that
 /// upstreams allow.
-const REST: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Connections that a node keeps to one upstream.
-const KEPT: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 /// For so long after its sender ran again or its link was whole again, a grant that
 /// arrives does not tell against the router: it could not know better.
-const AFTER_TROUBLE: Duration = Duration::from_millis(300);
+const RECOVERY_GRACE: Duration = Duration::from_millis(300);
 /// Before a process that stands still is looked at again.
-const STANDSTILL: Duration = Duration::from_millis(10);
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a node's shell does with the connection of an order that it gives up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum CloseMode {
     /// It closes it in the ordinary way: what was written goes on being sent, also after
     /// the process was killed.
     #[default]
@@ -52,7 +52,7 @@
 
 /// A connection that rests.
 #[derive(Clone, Copy, Debug)]
-struct Resting {
+struct IdleConnection {
     since: Time,
     until: Time,
 }
@@ -63,7 +63,7 @@
 /// What the world knows of connections for orders.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Links {
-    resting: BTreeMap<Link, Vec<Resting>>,
+    idle: BTreeMap<Link, Vec<IdleConnection>>,
     /// Orders whose packets were lost and whose answers are still waited for.
     open: BTreeSet<OpenOrder>,
 }
@@ -71,22 +71,22 @@
 impl Links {
     /// Takes a connection that rests.
     fn take(&mut self, now: Time, link: Link) -> bool {
-        let Some(resting) = self.resting.get_mut(&link) else {
+        let Some(idle) = self.idle.get_mut(&link) else {
             return false;
         };
-        resting.retain(|one| now < one.until);
-        let free = resting.iter().position(|one| one.since <= now);
+        idle.retain(|one| now < one.until);
+        let free = idle.iter().position(|one| one.since <= now);
         free.is_some_and(|free| {
-            resting.swap_remove(free);
+            idle.swap_remove(free);
             true
         })
     }
 
     fn keep(&mut self, since: Time, link: Link) {
-        let resting = self.resting.entry(link).or_default();
-        if resting.len() < KEPT {
-            let until = since + REST;
-            resting.push(Resting { since, until });
+        let idle = self.idle.entry(link).or_default();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            let until = since + IDLE_TIMEOUT;
+            idle.push(IdleConnection { since, until });
         }
     }
 }
@@ -142,7 +142,7 @@
     /// The answer to an order doesn't come: the other connections may be as dead.
     pub(super) fn forget_connections(&mut self, node: usize, run: Run, index: usize) {
         let link = self.link(node, run, index);
-        self.links.resting.remove(&link);
+        self.links.idle.remove(&link);
     }
 
     /// An order's packets are lost. It is written only if a connection rests: a new one
@@ -171,10 +171,10 @@
         let slot = &self.nodes[link.node];
         if slot.run == link.run && slot.frozen {
             // A process that stands still closes nothing.
-            return self.schedule(STANDSTILL, Event::OrderGivenUp { order });
+            return self.schedule(FROZEN_POLL_INTERVAL, Event::OrderGivenUp { order });
         }
         if self.links.open.remove(&order.open()) {
-            self.links.resting.remove(&link);
+            self.links.idle.remove(&link);
             self.order_answered(Duration::ZERO, order.pending, GrantReply::Unanswered);
         }
     }
@@ -205,7 +205,7 @@
         let lost_power = slot.boot != order.boot;
         let is_killed = slot.run != link.run;
         let is_given_up = is_killed || !self.links.open.contains(&order.open());
-        let is_reset = is_given_up && self.config.give_up == GiveUp::Reset;
+        let is_reset = is_given_up && self.config.close_mode == CloseMode::Reset;
         let state = &self.upstream_state[link.index];
         let is_unknown =
             state.incarnation != link.incarnation || self.upstreams[link.index].is_none();
@@ -214,7 +214,7 @@
 
     /// How an order comes that arrives now.
     pub(super) fn delivery(&self, node: usize, index: usize) -> Delivery {
-        let just = |at: Option<Time>| at.is_some_and(|at| self.now.since(at) < AFTER_TROUBLE);
+        let just = |at: Option<Time>| at.is_some_and(|at| self.now.since(at) < RECOVERY_GRACE);
         let ran_again = just(self.nodes[node].thawed_at);
         Delivery {
             is_late: false,
--- a/crates/routersim/src/world/network.rs
+++ b/crates/routersim/src/world/network.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::links::WrittenOrder;
 use super::upstreams::Answer;
-use crate::fault::Trouble;
+use crate::fault::FaultKind;
 use beamtray_catalog::{UpstreamId, UpstreamRecord};
 use beamtray_dispatch::{AttemptOutcome, Forward, Ticket};
 use beamtray_emulator::{Delivery, RunId};
@@ -145,7 +145,7 @@
         index: usize,
     },
     FaultEnds {
-        trouble: Trouble,
+        kind: FaultKind,
         node: Option<usize>,
     },
 }
@@ -294,10 +294,10 @@
             Event::Client => self.client(),
             Event::PoisonClients { fault } => self.poison_clients(fault),
             Event::PopularClient { fault } => self.popular_client(fault),
-            Event::PoisonEnds { index, incarnation } => self.poison_ends(index, incarnation),
+            Event::PoisonEnds { index, incarnation } => self.poison_crashed(index, incarnation),
             Event::Housekeeping => self.housekeeping(),
             Event::Fault { index } => self.fault(index),
-            Event::FaultEnds { trouble, node } => self.fault_ends(&trouble, node),
+            Event::FaultEnds { kind, node } => self.fault_ends(&kind, node),
         }
     }
 }
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes: their cores, and what becomes of their outputs.
 
 use super::network::{DeferredInput, Event, Question, Run};
-use super::{CONTACT, HEARTBEAT, TICK, World};
+use super::{CONNECTED_AFTER, HEARTBEAT, TICK, World};
 use crate::check::Sender;
 use crate::check::{COLD_OVERAGE, COLD_SLACK, DRAIN_TIME, EVACUATION_TIME};
 use crate::guard::Guard;
@@ -21,7 +21,7 @@
 const PEER_PORT: u16 = 7000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Part of the datagrams that get lost, in percent.
-const DATAGRAMS_LOST: u32 = 2;
+const DATAGRAM_LOSS_PERCENT: u32 = 2;
 
 /// A node's place; the process in it comes and goes.
 #[derive(Default)]
@@ -89,7 +89,7 @@
         },
         bounds: BoundSettings {
             drain_ms: DRAIN_TIME.as_millis() as u64,
-            contact_ms: CONTACT.as_millis() as u64,
+            contact_ms: CONNECTED_AFTER.as_millis() as u64,
             grace_s: 6.0,
             retry_ratio: 0.2,
             retry_allowance: 50.0,
@@ -110,35 +110,35 @@
 }
 
 /// The core's configuration, with a protection switched off or none.
-pub(crate) fn core_config(node: usize, run: Run, off: Option<Guard>) -> CoreConfig {
+pub(crate) fn core_config(node: usize, run: Run, disabled_guard: Option<Guard>) -> CoreConfig {
     let mut config = settings(node).core_config(run);
-    config.dispatch.honors_rate_limits = off != Some(Guard::NamedRates);
-    config.dispatch.honors_rests = off != Some(Guard::Rests);
-    config.accept_leaving_notices = off != Some(Guard::LeavingWords);
-    config.dispatch.requires_proof_before_retry = off != Some(Guard::ProofBeforeRepeat);
-    config.share_suspicions = off != Some(Guard::SuspicionsTold);
-    config.control.persist_suspicions = off != Some(Guard::SuspicionsKept);
+    config.dispatch.honors_rate_limits = disabled_guard != Some(Guard::NamedRates);
+    config.dispatch.honors_rests = disabled_guard != Some(Guard::Rests);
+    config.accept_leaving_notices = disabled_guard != Some(Guard::LeavingWords);
+    config.dispatch.requires_proof_before_retry = disabled_guard != Some(Guard::ProofBeforeRepeat);
+    config.share_suspicions = disabled_guard != Some(Guard::SuspicionsTold);
+    config.control.persist_suspicions = disabled_guard != Some(Guard::SuspicionsKept);
     config.control.grants.guards = GranterGuards {
-        records_first: off != Some(Guard::RecordFirst),
-        waits_for_lapse: off != Some(Guard::LapseWait),
-        respects_predecessor: off != Some(Guard::PredecessorWait),
-        counts_unanswered: off != Some(Guard::UnansweredCounts),
-        waits_for_standbys: off != Some(Guard::StandbyWait),
-        fences_lost_holders: off != Some(Guard::LostHolderFence),
-        renews_tokens: off != Some(Guard::TokenRenewal),
-        doubts_records: off != Some(Guard::RecordDoubt),
-        waits_for_doubt: off != Some(Guard::DoubtWait),
+        records_first: disabled_guard != Some(Guard::RecordFirst),
+        waits_for_lapse: disabled_guard != Some(Guard::LapseWait),
+        respects_predecessor: disabled_guard != Some(Guard::PredecessorWait),
+        counts_unanswered: disabled_guard != Some(Guard::UnansweredCounts),
+        waits_for_standbys: disabled_guard != Some(Guard::StandbyWait),
+        fences_lost_holders: disabled_guard != Some(Guard::LostHolderFence),
+        renews_tokens: disabled_guard != Some(Guard::TokenRenewal),
+        doubts_records: disabled_guard != Some(Guard::RecordDoubt),
+        waits_for_doubt: disabled_guard != Some(Guard::DoubtWait),
     };
-    if off == Some(Guard::ShortDoubt) {
-        config.directory.reregistration_timeout = CONTACT * 3;
+    if disabled_guard == Some(Guard::ShortDoubt) {
+        config.directory.reregistration_timeout = CONNECTED_AFTER * 3;
     }
     config
 }
 
 /// By how much a node's clock is behind after that time asleep: not at all, unless it goes
 /// by the steady clock.
-fn clock_behind(asleep: Duration, off: Option<Guard>) -> Duration {
-    if off == Some(Guard::BootClock) {
+fn clock_behind(asleep: Duration, disabled_guard: Option<Guard>) -> Duration {
+    if disabled_guard == Some(Guard::BootClock) {
         asleep
     } else {
         Duration::ZERO
@@ -160,7 +160,7 @@
         slot.run += 1;
         let run = slot.run;
         // Runs of different nodes must differ too.
-        let config = core_config(node, run * 1_000 + node as u64, self.config.off);
+        let config = core_config(node, run * 1_000 + node as u64, self.config.disabled_guard);
         slot.core = Some(NodeCore::new(config, dialect));
         slot.frozen = false;
         slot.disturbed = now;
@@ -194,7 +194,7 @@
         self.schedule(pause, Event::NodeTick { node, run });
     }
 
-    pub(super) fn freeze(&mut self, node: usize, lasts: Duration) {
+    pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
         let now = self.now;
         let slot = &mut self.nodes[node];
         if slot.core.is_none() || slot.frozen {
@@ -203,16 +203,16 @@
         slot.frozen = true;
         slot.disturbed = now;
         let run = slot.run;
-        self.checkers.froze(Sender { node, run });
-        self.checkers.forget_rests(Sender { node, run });
-        self.schedule(lasts, Event::Thaw { node, run });
+        self.checkers.forget_leaving_reports(Sender { node, run });
+        self.checkers.forget_retry_after(Sender { node, run });
+        self.schedule(duration, Event::Thaw { node, run });
     }
 
     /// Suspends a node's machine: to its process it is as if no time passed.
-    pub(super) fn suspend(&mut self, node: usize, lasts: Duration) {
+    pub(super) fn suspend(&mut self, node: usize, duration: Duration) {
         let now = self.now;
         if self.nodes[node].core.is_some() && !self.nodes[node].frozen {
-            self.freeze(node, lasts);
+            self.freeze(node, duration);
             self.nodes[node].suspended_at = Some(now);
         }
     }
@@ -251,7 +251,7 @@
         let Some(core) = &mut slot.core else {
             return;
         };
-        let behind = clock_behind(asleep, self.config.off);
+        let behind = clock_behind(asleep, self.config.disabled_guard);
         let outputs = core.handle(now - behind, input);
         for output in outputs {
             self.output(node, run, output);
@@ -301,7 +301,7 @@
             }
             Output::Send(datagram, addresses) => {
                 if let Datagram::Suspicions(suspicions) = &datagram {
-                    self.suspicion.told += suspicions.len() * addresses.len();
+                    self.suspicion.suspicions_received += suspicions.len() * addresses.len();
                     self.note_remembered(node);
                 }
                 self.send(node, &datagram, &addresses);
@@ -321,7 +321,7 @@
             }
             Output::Probe(doubted) => self.probe(node, run, doubted),
             Output::Quarantine(_) => {
-                self.suspicion.notices += 1;
+                self.suspicion.log_lines += 1;
                 self.note_remembered(node);
             }
             Output::RateLimit(..)
@@ -342,12 +342,12 @@
         };
         let (_, _, dispatcher) = core.inspect();
         let (suspected, _) = dispatcher.quarantine().counts(now);
-        self.suspicion.remembered = self.suspicion.remembered.max(suspected);
+        self.suspicion.peak_fingerprints = self.suspicion.peak_fingerprints.max(suspected);
     }
 
     /// A reading of a node's clock as the world's time.
     fn by_world(&self, node: usize, time: Time) -> Time {
-        time + clock_behind(self.nodes[node].asleep, self.config.off)
+        time + clock_behind(self.nodes[node].asleep, self.config.disabled_guard)
     }
 
     /// Sends an order once those before it were sent. One that is not sent while its answer
@@ -384,7 +384,7 @@
 
     fn send(&mut self, from: usize, datagram: &Datagram, addresses: &[SocketAddr]) {
         for to in addresses.iter().filter_map(|address| node_at(*address)) {
-            if self.chance(DATAGRAMS_LOST) || to >= self.nodes.len() {
+            if self.chance(DATAGRAM_LOSS_PERCENT) || to >= self.nodes.len() {
                 continue;
             }
             let delay = self.millis(1, 3);
@@ -445,14 +445,14 @@
     /// Whether promises with a time bound hold for the node.
     pub(super) fn is_connected(&self, node: usize) -> bool {
         let slot = &self.nodes[node];
-        let has_peers = !slot.peer_cut && self.now.since(slot.peers_regained) >= CONTACT;
+        let has_peers = !slot.peer_cut && self.now.since(slot.peers_regained) >= CONNECTED_AFTER;
         has_peers && self.reaches_store(node)
     }
 
     /// The same for promises that hold for nodes cut off from each other, too.
     pub(super) fn reaches_store(&self, node: usize) -> bool {
         let slot = &self.nodes[node];
-        let undisturbed = self.now.since(slot.disturbed) >= CONTACT;
+        let undisturbed = self.now.since(slot.disturbed) >= CONNECTED_AFTER;
         undisturbed && slot.core.is_some() && !slot.frozen && !slot.store_cut
     }
 }
--- a/crates/routersim/src/world/orders.rs
+++ b/crates/routersim/src/world/orders.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// How soon a connection is refused.
-const REFUSED_IN: Duration = Duration::from_millis(2);
+const REFUSAL_DELAY: Duration = Duration::from_millis(2);
 /// How long it waits for the answer to a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Part of the unanswered orders that are taken late, in percent; the others
 /// are taken at once.
-const LATE: u32 = 50;
+const LATE_PERCENT: u32 = 50;
 
 impl World {
     pub(super) fn order_arrives(&mut self, node: usize, run: Run, task: OrderTask, epoch: u64) {
@@ -39,7 +39,7 @@
         if !is_up && !self.upstream_state[index].dark {
             // Nobody listens there: its kernel says so, on old connections and new ones.
             self.forget_connections(node, run, index);
-            return self.order_answered(REFUSED_IN, pending, GrantReply::Undelivered);
+            return self.order_answered(REFUSAL_DELAY, pending, GrantReply::Undelivered);
         }
         if !is_up || !self.reaches(node, index) {
             return self.order_lost(index, timeout, pending);
@@ -47,7 +47,7 @@
         let delivery = self.delivery(node, index);
         let percent = self.orders_late_percent;
         let unanswered = percent > 0 && self.chance(percent);
-        if unanswered && self.chance(LATE) {
+        if unanswered && self.chance(LATE_PERCENT) {
             let delay = self.millis(2_000, 12_000);
             let order = pending.order.clone();
             let delivery = Delivery {
--- a/crates/routersim/src/world/owners.rs
+++ b/crates/routersim/src/world/owners.rs
@@ -1,7 +1,7 @@
 //! What the checkers are shown of keys that upstreams hold.
 
 use super::World;
-use crate::check::{Holder, OVERLAP, OtherHolder, Taking};
+use crate::check::{AcceptedGrant, Holder, OVERLAP, OtherHolder};
 use beamtray_emulator::{Delivery, GrantTaken, UpstreamEmulator};
 use beamtray_sharding::{GrantOrder, ShardKey};
 
@@ -45,7 +45,8 @@
                 })
             })
             .collect();
-        self.checkers.keyed_begins(now, &id, key, since, &others);
+        self.checkers
+            .keyed_request_started(now, &id, key, since, &others);
     }
 
     /// An upstream took a grant.
@@ -55,14 +56,14 @@
             return;
         };
         let holder = self.holder(index, upstream);
-        let taking = Taking {
+        let accepted_grant = AcceptedGrant {
             range: order.range,
             token: order.token.0,
             // As above: the sender could not know. One that was held up or left lying
             // counts here: its token tells how old it is.
             is_counted: !delivery.is_after_trouble,
         };
-        self.checkers.takes(now, &holder, taking);
+        self.checkers.grant_accepted(now, &holder, accepted_grant);
         // What was held up or left lying lasts from its arrival, later than its sender can
         // know by any clock.
         if delivery.is_late {
@@ -85,10 +86,10 @@
             }
         }
         for other in holding {
-            self.checkers.taken_twice(now, &holder.id, &other);
+            self.checkers.granted_while_held(now, &holder.id, &other);
         }
         for other in working {
-            self.checkers.taken_from_work(now, &holder.id, &other);
+            self.checkers.granted_during_work(now, &holder.id, &other);
         }
     }
 }
--- a/crates/routersim/src/world/poison.rs
+++ b/crates/routersim/src/world/poison.rs
@@ -1,10 +1,10 @@
 //! A request that ends each upstream which begins to run it, and comes again.
 
-use super::clients::{PATIENCE, request_head};
+use super::clients::{CLIENT_TIMEOUT, request_head};
 use super::network::{DeferredInput, Event, Run};
 use super::upstreams::{CONNECT_TIMEOUT, index_of};
-use super::{Asked, CONTACT, ORDER, READ, World};
-use crate::fault::Trouble;
+use super::{CONNECTED_AFTER, ClientRequest, ORDER, READ, World};
+use crate::fault::FaultKind;
 use beamtray_dispatch::{ProbeTarget, Ticket};
 use beamtray_router::core::{Input, Liveness};
 use beamtray_sharding::ShardKey;
@@ -13,23 +13,23 @@
 use std::time::Duration;
 
 /// Time after which an upstream that was ended is back.
-const BACK_AFTER: Duration = Duration::from_secs(2);
+const RESTART_DELAY: Duration = Duration::from_secs(2);
 /// Sets the keys of such requests apart.
 const KEY_SPREAD: u16 = 7_919;
 
 impl World {
     /// Has each caller of a fault send its request to some node, and again after its pause.
     pub(super) fn poison_clients(&mut self, fault: usize) {
-        let (begun, lasts) = (self.faults[fault].at, self.faults[fault].lasts);
-        let Trouble::PoisonRequest {
+        let (begun, duration) = (self.faults[fault].at, self.faults[fault].duration);
+        let FaultKind::PoisonRequest {
             is_read,
             pause_ms,
             callers,
-        } = self.faults[fault].trouble
+        } = self.faults[fault].kind
         else {
             return;
         };
-        if self.now >= begun + lasts {
+        if self.now >= begun + duration {
             return;
         }
         let pause = Duration::from_millis(pause_ms);
@@ -54,14 +54,14 @@
         let id = format!("poison-{number}");
         let key = is_read.then(|| ShardKey(KEY_SPREAD.wrapping_mul(fault as u16 + 1)));
         let head = request_head(&id, content.clone(), key, caller);
-        let asked = Asked {
+        let asked = ClientRequest {
             at: self.now,
             id,
             node,
             key,
             repeatable: is_read,
             is_late: false,
-            work: PATIENCE,
+            work: CLIENT_TIMEOUT,
             poison: Some(content),
         };
         self.asked.insert((node, run, ticket), asked);
@@ -70,21 +70,22 @@
 
     /// An upstream ends under a request that it runs. Each such request that it runs at
     /// that moment ends with it, and counts.
-    pub(super) fn poison_ends(&mut self, index: usize, incarnation: u64) {
+    pub(super) fn poison_crashed(&mut self, index: usize, incarnation: u64) {
         let is_there = self.upstreams[index].is_some();
         if !is_there || self.upstream_state[index].incarnation != incarnation {
             return;
         }
         for content in self.upstream_state[index].poison_under_way() {
-            self.checkers.poison_ends(self.now, &content);
+            self.checkers.poison_crashed(self.now, &content);
         }
-        self.crash(index, false, BACK_AFTER);
+        self.crash(index, false, RESTART_DELAY);
     }
 
     /// A request from a node that reaches the store comes to an upstream.
-    pub(super) fn check_poison(&mut self, asked: &Asked) {
+    pub(super) fn check_poison(&mut self, asked: &ClientRequest) {
         if let Some(content) = asked.poison.as_deref().filter(|_| self.is_store_stable()) {
-            self.checkers.poison_arrives(self.now, CONTACT, content);
+            self.checkers
+                .poison_arrived(self.now, CONNECTED_AFTER, content);
         }
     }
 
--- a/crates/routersim/src/world/popular.rs
+++ b/crates/routersim/src/world/popular.rs
@@ -2,8 +2,8 @@
 
 use super::clients::{CALLER, request_head};
 use super::network::Event;
-use super::{Asked, ORDER, READ, World};
-use crate::fault::Trouble;
+use super::{ClientRequest, ORDER, READ, World};
+use crate::fault::FaultKind;
 use beamtray_dispatch::Ticket;
 use beamtray_router::core::Input;
 use beamtray_sharding::ShardKey;
@@ -16,16 +16,16 @@
 impl World {
     /// Sends the request of a fault to some node, and the next one after its pause.
     pub(super) fn popular_client(&mut self, fault: usize) {
-        let (begun, lasts) = (self.faults[fault].at, self.faults[fault].lasts);
-        let Trouble::PopularRequest {
+        let (begun, duration) = (self.faults[fault].at, self.faults[fault].duration);
+        let FaultKind::PopularRequest {
             is_read,
             pause_ms,
             says_the_same,
-        } = self.faults[fault].trouble
+        } = self.faults[fault].kind
         else {
             return;
         };
-        if self.now >= begun + lasts {
+        if self.now >= begun + duration {
             return;
         }
         let pause = Duration::from_millis(pause_ms);
@@ -48,7 +48,7 @@
         };
         let key = is_read.then_some(KEY);
         let head = request_head(&id, format!("{prefix}{content}"), key, CALLER);
-        let asked = Asked {
+        let asked = ClientRequest {
             at: self.now,
             id,
             node,
@@ -58,7 +58,7 @@
             work,
             poison: None,
         };
-        self.asked_count += 1;
+        self.request_count += 1;
         self.asked.insert((node, run, ticket), asked);
         self.input(node, run, Input::Request { ticket, head });
     }
--- a/crates/routersim/src/world/registrations.rs
+++ b/crates/routersim/src/world/registrations.rs
@@ -1,7 +1,7 @@
 //! Registrations of upstreams in the store.
 
 use super::network::Event;
-use super::upstreams::{MISSED, key_of};
+use super::upstreams::{MISSED_HEARTBEATS, key_of};
 use super::{HEARTBEAT, World};
 use beamtray_catalog::{UpstreamId, UpstreamRecord, UpstreamState as Announced};
 use beamtray_dialect::Dialect;
@@ -25,7 +25,7 @@
         let state = &mut self.upstream_state[index];
         record.warm_up_left = state.cold_until.since(now);
         if let Some(since) = state.cut_since {
-            let missed = now.since(since) >= HEARTBEAT * MISSED;
+            let missed = now.since(since) >= HEARTBEAT * MISSED_HEARTBEATS;
             if missed && !self.store_state.down && self.store.get(&key).is_some() {
                 self.store.delete(now, &key);
             }
@@ -105,7 +105,7 @@
         let id = record.id.clone();
         let value = self.dialect.encode_upstream(record);
         self.store.put(self.now, &key_of(&id), value);
-        let vanishes = HEARTBEAT * MISSED;
+        let vanishes = HEARTBEAT * MISSED_HEARTBEATS;
         self.schedule(vanishes, Event::StaleRegistrationEnds { id });
     }
 }
--- a/crates/routersim/src/world/stores.rs
+++ b/crates/routersim/src/world/stores.rs
@@ -1,9 +1,9 @@
 //! The store, its troubles, and the path to it.
 
 use super::network::{Event, Run};
-use super::{CONTACT, HOUSEKEEPING, World};
-use crate::check::KEPT_WITHIN;
-use crate::fault::{Fault, Trouble};
+use super::{CONNECTED_AFTER, HOUSEKEEPING, World};
+use crate::check::POISON_PERSIST_TIME;
+use crate::fault::{Fault, FaultKind};
 use beamtray_emulator::{StoreEmulator, StoreReply, WatchWait};
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_router::core::{Input, StoreTask};
@@ -14,9 +14,9 @@
 /// How long a node waits for an answer.
 const TIMEOUT: Duration = Duration::from_millis(900);
 /// Between two copies of the store.
-const COPY_PAUSE: Duration = Duration::from_millis(250);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long copies are kept.
-const COPIES_KEPT: Duration = Duration::from_secs(20);
+const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug)]
 struct Waiting {
@@ -32,23 +32,23 @@
     pub down: bool,
     pub lost_percent: u32,
     pub late: bool,
-    pub deaf_until: Time,
+    pub watches_silent_until: Time,
     /// When something was last wrong.
     pub disturbed: Option<Time>,
     watches: Vec<Waiting>,
     /// Its era.
     pub era: StoreEra,
     /// Copies of it, the oldest first; none where it never goes back.
-    copies: VecDeque<(Time, StoreEmulator)>,
-    copy_at: Time,
+    snapshots: VecDeque<(Time, StoreEmulator)>,
+    next_snapshot: Time,
     /// The copy from which it comes back, and when that was made.
     kept: Option<(Time, StoreEmulator)>,
-    went_back: Option<GoneBack>,
+    rollback: Option<Rollback>,
 }
 
 /// The store came back from an older copy.
 #[derive(Clone, Copy, Debug)]
-struct GoneBack {
+struct Rollback {
     copy_of: Time,
     at: Time,
 }
@@ -56,21 +56,21 @@
 impl StoreState {
     /// Notes how the store stands, so that it can go back to that.
     fn copy(&mut self, now: Time, store: &StoreEmulator) {
-        if now < self.copy_at || self.down {
+        if now < self.next_snapshot || self.down {
             return;
         }
-        self.copy_at = now + COPY_PAUSE;
-        self.copies.push_back((now, store.clone()));
-        while now.since(self.copies[0].0) > COPIES_KEPT {
-            self.copies.pop_front();
+        self.next_snapshot = now + SNAPSHOT_INTERVAL;
+        self.snapshots.push_back((now, store.clone()));
+        while now.since(self.snapshots[0].0) > SNAPSHOT_RETENTION {
+            self.snapshots.pop_front();
         }
     }
 
     /// Chooses the newest copy of that age from which the store comes back.
-    pub fn keep_copy(&mut self, now: Time, age: Duration) {
-        let mut copies = self.copies.iter().rev();
-        let old = copies.find(|(at, _)| now.since(*at) >= age);
-        let copy = old.or(self.copies.front());
+    pub fn select_snapshot(&mut self, now: Time, age: Duration) {
+        let mut snapshots = self.snapshots.iter().rev();
+        let old = snapshots.find(|(at, _)| now.since(*at) >= age);
+        let copy = old.or(self.snapshots.front());
         self.kept = copy.cloned();
     }
 
@@ -80,8 +80,8 @@
     pub fn keeps_until(&self, now: Time) -> Time {
         let coming = self.kept.as_ref().map(|(copy_of, _)| *copy_of);
         let lately = self
-            .went_back
-            .filter(|gone| now.since(gone.at) < KEPT_WITHIN);
+            .rollback
+            .filter(|gone| now.since(gone.at) < POISON_PERSIST_TIME);
         coming.or(lately.map(|gone| gone.copy_of)).unwrap_or(now)
     }
 
@@ -99,7 +99,8 @@
     /// Whether the store has been sound for the contact time.
     pub(super) fn is_store_stable(&self) -> bool {
         let disturbed = self.store_state.disturbed;
-        !self.store_state.is_disturbed() && disturbed.is_none_or(|at| self.now.since(at) >= CONTACT)
+        !self.store_state.is_disturbed()
+            && disturbed.is_none_or(|at| self.now.since(at) >= CONNECTED_AFTER)
     }
 
     pub(super) fn store_arrives(
@@ -191,18 +192,18 @@
 
     /// The store comes back from an older copy, and what operators and upstreams wrote since
     /// is soon written again.
-    pub(super) fn store_goes_back(&mut self) {
+    pub(super) fn roll_back_store(&mut self) {
         let now = self.now;
         self.store_state.down = false;
         self.store_state.disturbed = Some(now);
         self.store_state.era.0 += 1;
         if let Some((copy_of, copy)) = self.store_state.kept.take() {
             self.store.go_back_to(copy);
-            self.store_state.went_back = Some(GoneBack { copy_of, at: now });
+            self.store_state.rollback = Some(Rollback { copy_of, at: now });
         }
         self.store.leases_run = true;
         self.store.renew_all(now);
-        self.store_state.copies.clear();
+        self.store_state.snapshots.clear();
         let delay = self.millis(50, 800);
         self.schedule(delay, Event::WritesAgain);
     }
@@ -233,7 +234,7 @@
 
     pub(super) fn housekeeping(&mut self) {
         self.schedule(HOUSEKEEPING, Event::Housekeeping);
-        let goes_back = |fault: &Fault| matches!(fault.trouble, Trouble::StoreGoesBack { .. });
+        let goes_back = |fault: &Fault| matches!(fault.kind, FaultKind::StoreGoesBack { .. });
         if self.faults.iter().any(goes_back) {
             self.store_state.copy(self.now, &self.store);
         }
@@ -246,7 +247,7 @@
     }
 
     fn answer_watches(&mut self) {
-        if self.store_state.down || self.now < self.store_state.deaf_until {
+        if self.store_state.down || self.now < self.store_state.watches_silent_until {
             return;
         }
         let watches = std::mem::take(&mut self.store_state.watches);
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -1,7 +1,7 @@
 //! Upstreams: registrations, orders and requests.
 
 use super::network::{Event, Run};
-use super::restarts::tells_birth;
+use super::restarts::reports_birth;
 use super::{KEYED, POOL, World};
 use crate::check::COLD_START;
 use crate::check::Sender;
@@ -26,14 +26,14 @@
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Part of the crashes after which an old write of the dead upstream comes
 /// late, in percent.
-pub(super) const LATE_REGISTRATION: u32 = 50;
+pub(super) const LATE_REGISTRATION_PERCENT: u32 = 50;
 /// How long an upstream works on a request that ends it.
 const POISON_WORK: Duration = Duration::from_millis(20);
 /// Heartbeats without a write after which a registration vanishes.
-pub(super) const MISSED: u32 = 3;
+pub(super) const MISSED_HEARTBEATS: u32 = 3;
 
 /// How an attempt ends that an upstream turns away.
-const TURNED_AWAY: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
+const REJECTED: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
 /// An attempt that an upstream has taken.
 #[derive(Clone, Debug)]
@@ -145,11 +145,11 @@
             healed_at: state.healed_at,
             ..UpstreamState::default()
         };
-        if self.now >= Time::ZERO + self.config.lead {
+        if self.now >= Time::ZERO + self.config.warm_up_time {
             self.upstream_state[index].cold_until = self.now + COLD_START;
         }
         let mut id = UpstreamId::from(format!("u{index}-{named}"));
-        id.started_at = tells_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
+        id.started_at = reports_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
         let divided = index < self.config.keyed;
         let slowness_percent = [70, 100, 160][self.random.random_range(0..3)];
         self.upstreams[index] = Some(UpstreamEmulator::new(UpstreamConfig {
@@ -189,7 +189,7 @@
             self.store.put(now, &key_of(&id), value);
         }
         if self.is_store_stable() {
-            self.checkers.leaves(now, &id);
+            self.checkers.upstream_left(now, &id);
         }
         let incarnation = self.upstream_state[index].incarnation;
         let delay = self.millis(2_200, 5_000);
@@ -234,7 +234,7 @@
     }
 
     /// An upstream ends without a word and comes back as another.
-    pub(super) fn crash(&mut self, index: usize, dark: bool, lasts: Duration) {
+    pub(super) fn crash(&mut self, index: usize, dark: bool, duration: Duration) {
         let Some(upstream) = self.upstreams[index].take() else {
             return;
         };
@@ -243,9 +243,9 @@
         self.upstream_state[index].dark = dark;
         self.break_off(index);
         self.upstream_state[index].withdrawn = true;
-        let back = lasts.max(Duration::from_secs(2));
+        let back = duration.max(Duration::from_secs(2));
         self.schedule(back, Event::UpstreamStart { index });
-        if self.chance(LATE_REGISTRATION) {
+        if self.chance(LATE_REGISTRATION_PERCENT) {
             // A write of the dead one that was on its way for long.
             let delay = back + self.millis(1_500, 4_000);
             self.schedule(delay, Event::LateRegistration { record });
@@ -303,7 +303,7 @@
             .collect();
         let is_excused = |sender: Sender| excused[sender.node];
         self.checkers
-            .arrives_limited(self.now, upstream, sender, is_excused);
+            .arrived_rate_limited(self.now, upstream, sender, is_excused);
     }
 
     /// An answer comes to a node, with what its upstream says of itself.
@@ -313,11 +313,12 @@
         }
         let sender = Sender { node, run };
         if matches!(answer.rate, AdvertisedRate::Limited(_)) {
-            self.checkers.told_rate(self.now, &answer.upstream, sender);
+            self.checkers
+                .rate_reported(self.now, &answer.upstream, sender);
         }
         if answer.leaves {
             self.checkers
-                .told_leaving(self.now, &answer.upstream, sender);
+                .leaving_reported(self.now, &answer.upstream, sender);
         }
     }
 
@@ -335,8 +336,8 @@
         match rate {
             Some(rate) => self
                 .checkers
-                .names_rate(self.now, &upstream.config.id, rate),
-            None => self.checkers.names_no_rate(&upstream.config.id),
+                .rate_advertised(self.now, &upstream.config.id, rate),
+            None => self.checkers.rate_withdrawn(&upstream.config.id),
         }
     }
 
@@ -349,7 +350,8 @@
             .and_then(|core| core.inspect().0.configuration.clone())
             .map_or(0, |configuration| configuration.version.0);
         let age = self.now.since(at);
-        self.checkers.acted_by(self.now, node, version, newest, age);
+        self.checkers
+            .configuration_used(self.now, node, version, newest, age);
     }
 
     pub(super) fn forward_arrives(
@@ -387,13 +389,15 @@
             return self.end_attempt(CONNECT_TIMEOUT, &taken, outcome);
         }
         if self.now < self.upstream_state[index].cold_until {
-            self.checkers.arrives_cold(self.now, &forward.upstream);
+            self.checkers
+                .arrived_during_cold_start(self.now, &forward.upstream);
         }
         if self.is_connected(node) {
-            self.checkers.arrives(self.now, &forward.upstream);
+            self.checkers.request_arrived(self.now, &forward.upstream);
             let zone = self.upstreams[index].as_ref().map(|one| &one.config.zone);
             if let Some(zone) = zone {
-                self.checkers.arrives_in(self.now, zone, &forward.upstream);
+                self.checkers
+                    .arrived_in_zone(self.now, zone, &forward.upstream);
             }
         }
         if self.reaches_store(node) {
@@ -405,7 +409,7 @@
             self.input(node, run, Input::Replaced { upstream });
         }
         self.checkers
-            .arrives_resting(self.now, &forward.upstream, Sender { node, run });
+            .arrived_during_retry_after(self.now, &forward.upstream, Sender { node, run });
         if let Some(rest) = self.upstream_state[index].rest {
             return self.ask_for_rest(index, &taken, rest);
         }
@@ -418,7 +422,7 @@
         self.check_rate(index, node, run, &forward.upstream);
         let sender = Sender { node, run };
         self.checkers
-            .arrives_leaving(self.now, &forward.upstream, sender, asked.at);
+            .arrived_after_leaving(self.now, &forward.upstream, sender, asked.at);
         let now = self.now;
         let arrival = match &mut self.upstreams[index] {
             Some(upstream) => upstream.arrive(now, request),
@@ -437,8 +441,8 @@
             run: taken.run,
         };
         self.checkers
-            .asks_for_rest(self.now, &upstream.config.id, sender, rest);
-        self.answer_attempt(Duration::from_millis(1), index, taken, TURNED_AWAY);
+            .retry_after_sent(self.now, &upstream.config.id, sender, rest);
+        self.answer_attempt(Duration::from_millis(1), index, taken, REJECTED);
     }
 
     fn arrived(&mut self, index: usize, id: String, taken: Taken, arrival: Arrival) {
@@ -452,7 +456,7 @@
                 self.upstream_state[index].taken.insert(id, taken);
             }
             Arrival::Full => {
-                self.answer_attempt(soon, index, &taken, TURNED_AWAY);
+                self.answer_attempt(soon, index, &taken, REJECTED);
             }
             Arrival::Misdirected => {
                 let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
@@ -485,7 +489,8 @@
             self.schedule(POISON_WORK, Event::PoisonEnds { index, incarnation });
         }
         if !repeatable {
-            self.checkers.unrepeatable_begins(self.now, &run.request.id);
+            self.checkers
+                .unrepeatable_started(self.now, &run.request.id);
         }
     }
 
@@ -499,7 +504,7 @@
         };
         let (ended, begun, refused) = upstream.end(now, run);
         let released = upstream.released();
-        if let Some(taken) = ended.and_then(|request| self.untake(index, &request.id)) {
+        if let Some(taken) = ended.and_then(|request| self.remove_taken(index, &request.id)) {
             let percent = self.answers_lost_percent;
             let lost = percent > 0 && self.chance(percent);
             let outcome = if lost {
@@ -510,7 +515,7 @@
             self.end_reached(index, &taken, outcome);
         }
         for request in refused {
-            if let Some(taken) = self.untake(index, &request.id) {
+            if let Some(taken) = self.remove_taken(index, &request.id) {
                 let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.end_reached(index, &taken, outcome);
             }
@@ -532,7 +537,7 @@
         }
     }
 
-    fn untake(&mut self, index: usize, id: &str) -> Option<Taken> {
+    fn remove_taken(&mut self, index: usize, id: &str) -> Option<Taken> {
         self.upstream_state[index].taken.remove(id)
     }
 
@@ -556,7 +561,7 @@
         let present = self.upstreams[index].as_ref().filter(|_| is_answer);
         let state = &self.upstream_state[index];
         let (rate, leaves) = (state.rate, state.leaves);
-        let rest = state.rest.filter(|_| outcome == TURNED_AWAY);
+        let rest = state.rest.filter(|_| outcome == REJECTED);
         let answer = present.map(|upstream| Answer {
             upstream: upstream.config.id.clone(),
             rate: rate.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited),
--- a/crates/routersim/tests/evacuations.rs
+++ b/crates/routersim/tests/evacuations.rs
@@ -4,7 +4,7 @@
 //! acknowledged more than five seconds before. Cause: no node read evacuations. Proof: the
 //! promise breaks in each history below for nodes that take no notice of them.
 
-use beamtray_routersim::{Fault, FaultPlan, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
     }
 }
 
-fn evacuation(zone: &'static str, millis: u64, lasts: u64) -> Fault {
+fn evacuation(zone: &'static str, millis: u64, duration: u64) -> Fault {
     Fault {
         at: Time(millis * 1_000),
-        lasts: Duration::from_millis(lasts),
-        trouble: Trouble::ZoneEvacuation { zone },
+        duration: Duration::from_millis(duration),
+        kind: FaultKind::ZoneEvacuation { zone },
     }
 }
 
@@ -33,10 +33,10 @@
         let plan = FaultPlan {
             faults: faults.to_vec(),
         };
-        let outcome = play(config(seed), plan, None);
+        let outcome = run_plan(config(seed), plan, None);
         let violations = outcome.violations.iter();
         all.extend(violations.map(|one| format!("seed {seed}: {one}")));
-        let (served, asked) = (outcome.served, outcome.asked);
+        let (served, asked) = (outcome.served, outcome.requests);
         if served * 100 < asked * least_served_percent {
             all.push(format!("seed {seed}: {served} of {asked} served"));
         }
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn a_zone_that_is_evacuated_gets_nothing_and_its_keys_go_to_others() {
+fn evacuated_zone_gets_no_requests_and_its_keys_move() {
     let broken = broken(&[evacuation("b", 8_000, 12_000)], 90);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn zones_are_evacuated_one_after_the_other() {
+fn zones_are_evacuated_in_turn() {
     let faults = [
         evacuation("a", 7_000, 6_000),
         evacuation("b", 14_000, 6_000),
@@ -64,11 +64,11 @@
 /// The granter is lost right when keys are to move, and the next one knows of the
 /// evacuation from its own copy.
 #[test]
-fn an_evacuation_outlives_the_granter() {
+fn evacuation_survives_loss_of_the_granter() {
     let killed = Fault {
         at: Time(8_050_000),
-        lasts: Duration::from_millis(4_000),
-        trouble: Trouble::NodeKill { node: None },
+        duration: Duration::from_millis(4_000),
+        kind: FaultKind::NodeKill { node: None },
     };
     let broken = broken(&[evacuation("b", 8_000, 12_000), killed], 75);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
@@ -76,11 +76,11 @@
 
 /// The entry stays while nodes lose the store and all that they knew.
 #[test]
-fn an_evacuation_outlives_all_nodes() {
+fn evacuation_survives_loss_of_all_nodes() {
     let killed = Fault {
         at: Time(10_000_000),
-        lasts: Duration::from_millis(500),
-        trouble: Trouble::KillAll,
+        duration: Duration::from_millis(500),
+        kind: FaultKind::KillAll,
     };
     let broken = broken(&[evacuation("b", 8_000, 14_000), killed], 70);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
--- a/crates/routersim/tests/explore.rs
+++ b/crates/routersim/tests/explore.rs
@@ -1,14 +1,14 @@
 //! Histories of fixed seeds keep every promise.
 
-use beamtray_routersim::{WorldSize, explore, explore_further};
+use beamtray_routersim::{WorldSize, run_seed, run_seed_extended};
 
 const SEEDS: u64 = 120;
 
 #[test]
-fn fixed_seeds_keep_every_promise() {
+fn fixed_seeds_satisfy_all_invariants() {
     let mut broken = Vec::new();
     for seed in 0..SEEDS {
-        let outcome = explore(WorldSize::Drawn, seed);
+        let outcome = run_seed(WorldSize::Drawn, seed);
         for violation in outcome.violations {
             broken.push(format!("seed {seed}: {violation}"));
         }
@@ -19,10 +19,10 @@
 /// The same with upstreams that say that they leave or ask for rest, and a store that goes
 /// back.
 #[test]
-fn fixed_seeds_with_further_trouble_keep_every_promise() {
+fn fixed_seeds_with_extended_faults_satisfy_all_invariants() {
     let mut broken = Vec::new();
     for seed in 0..SEEDS {
-        let outcome = explore_further(WorldSize::Drawn, seed);
+        let outcome = run_seed_extended(WorldSize::Drawn, seed);
         for violation in outcome.violations {
             broken.push(format!("seed {seed}: {violation}"));
         }
@@ -34,9 +34,9 @@
 const ONCE_BROKEN_WITH_MANY: [u64; 2] = [5043, 29];
 
 #[test]
-fn histories_that_once_broke_a_promise_keep_it() {
+fn formerly_failing_histories_satisfy_all_invariants() {
     for seed in ONCE_BROKEN_WITH_MANY {
-        let outcome = explore(WorldSize::Many, seed);
+        let outcome = run_seed(WorldSize::Many, seed);
         let broken: Vec<String> = outcome
             .violations
             .iter()
--- a/crates/routersim/tests/guards.rs
+++ b/crates/routersim/tests/guards.rs
@@ -1,33 +1,40 @@
 //! Without any one protection a history breaks its promise, which it keeps
 //! with all of them.
 
-use beamtray_routersim::{CutFrom, Fault, FaultPlan, Guard, Promise, Trouble, WorldConfig, play};
+use beamtray_routersim::{
+    CutFrom, Fault, FaultKind, FaultPlan, Guard, Invariant, WorldConfig, run_plan,
+};
 use beamtray_types::Time;
 use std::ops::Range;
 use std::time::Duration;
 
-fn fault(at_ms: u64, lasts_ms: u64, trouble: Trouble) -> Fault {
+fn fault(at_ms: u64, duration_ms: u64, kind: FaultKind) -> Fault {
     Fault {
         at: Time(at_ms * 1_000),
-        lasts: Duration::from_millis(lasts_ms),
-        trouble,
+        duration: Duration::from_millis(duration_ms),
+        kind,
     }
 }
 
 /// An upstream takes its registration back and serves on for a while.
 fn leave(at_ms: u64, upstream: usize) -> Fault {
     let abrupt = true;
-    fault(at_ms, 0, Trouble::UpstreamDrain { upstream, abrupt })
+    fault(at_ms, 0, FaultKind::UpstreamDrain { upstream, abrupt })
 }
 
-fn breaks(seed: u64, faults: &[Fault], off: Option<Guard>, promise: Promise) -> bool {
+fn breaks(
+    seed: u64,
+    faults: &[Fault],
+    disabled_guard: Option<Guard>,
+    invariant: Invariant,
+) -> bool {
     let plan = FaultPlan {
         faults: faults.to_vec(),
     };
-    let violations = play(WorldConfig::drawn(seed), plan, off).violations;
+    let violations = run_plan(WorldConfig::drawn(seed), plan, disabled_guard).violations;
     violations
         .iter()
-        .any(|violation| violation.promise == promise)
+        .any(|violation| violation.invariant == invariant)
 }
 
 /// Some of the first seeds break the promise without the protection, none with
@@ -37,12 +44,12 @@
 }
 
 fn matters_in(guard: Guard, faults: &[Fault], seeds: Range<u64>) {
-    let promise = guard.promise();
+    let invariant = guard.invariant();
     let mut all = seeds.clone();
-    let without = all.any(|seed| breaks(seed, faults, Some(guard), promise));
+    let without = all.any(|seed| breaks(seed, faults, Some(guard), invariant));
     assert!(without, "{guard:?} is not missed");
     for seed in seeds {
-        assert!(!breaks(seed, faults, None, promise), "seed {seed}");
+        assert!(!breaks(seed, faults, None, invariant), "seed {seed}");
     }
 }
 
@@ -50,8 +57,8 @@
 fn record_first() {
     // The granter loses the store while a hot key makes it move slices.
     let faults = [
-        fault(8_000, 9_000, Trouble::HotKey),
-        fault(8_500, 6_000, Trouble::StoreCut { node: None }),
+        fault(8_000, 9_000, FaultKind::HotKey),
+        fault(8_500, 6_000, FaultKind::StoreCut { node: None }),
     ];
     matters(Guard::RecordFirst, &faults);
 }
@@ -59,13 +66,13 @@
 #[test]
 fn lapse_wait() {
     // Holders do not answer, but still hold.
-    let faults = [fault(8_000, 6_000, Trouble::OrdersLate { percent: 95 })];
+    let faults = [fault(8_000, 6_000, FaultKind::OrdersLate { percent: 95 })];
     matters(Guard::LapseWait, &faults);
 }
 
 #[test]
 fn unanswered_counts() {
-    let faults = [fault(8_000, 9_000, Trouble::OrdersLate { percent: 95 })];
+    let faults = [fault(8_000, 9_000, FaultKind::OrdersLate { percent: 95 })];
     // A fresh token after each order without an answer covers part of this: it is missed in
     // 27 of the first 300 histories, 19 and 24 among them, and in none of the first 12.
     matters_in(Guard::UnansweredCounts, &faults, 0..30);
@@ -76,9 +83,9 @@
     // The granter gives its place up, and leaves holders behind that its
     // successor can't reach.
     let faults = [
-        fault(8_000, 9_000, Trouble::OrdersLate { percent: 95 }),
-        fault(8_250, 6_000, Trouble::Stop { node: 0 }),
-        fault(8_250, 6_000, Trouble::Stop { node: 1 }),
+        fault(8_000, 9_000, FaultKind::OrdersLate { percent: 95 }),
+        fault(8_250, 6_000, FaultKind::Stop { node: 0 }),
+        fault(8_250, 6_000, FaultKind::Stop { node: 1 }),
         leave(8_300, 0),
         leave(8_300, 1),
         leave(8_300, 2),
@@ -90,14 +97,14 @@
 #[test]
 fn standby_wait() {
     // A standby keeps a holder alive that the granter can't reach.
-    let upstream = |upstream| fault(8_000, 15_000, Trouble::StandbyIsland { upstream });
+    let upstream = |upstream| fault(8_000, 15_000, FaultKind::StandbyIsland { upstream });
     matters(Guard::StandbyWait, &[upstream(0)]);
 }
 
 #[test]
 fn lost_holder_fence() {
     // What was written to a holder as it was cut off comes when its keys are another's.
-    let unreachable = Trouble::UpstreamUnreachable {
+    let unreachable = FaultKind::UpstreamUnreachable {
         upstream: 0,
         from: CutFrom::Everything,
     };
@@ -106,14 +113,14 @@
 
 #[test]
 fn proof_before_repeat() {
-    let faults = [fault(8_000, 5_000, Trouble::AnswersLost { percent: 40 })];
+    let faults = [fault(8_000, 5_000, FaultKind::AnswersLost { percent: 40 })];
     matters(Guard::ProofBeforeRepeat, &faults);
 }
 
 #[test]
 fn short_doubt() {
     // A node is cut off from the store while an upstream leaves unsaid.
-    let cut = |node| fault(7_900, 4_000, Trouble::StoreCut { node: Some(node) });
+    let cut = |node| fault(7_900, 4_000, FaultKind::StoreCut { node: Some(node) });
     let faults = [
         cut(0),
         cut(1),
@@ -129,15 +136,15 @@
     // The granter's machine is suspended and cut off together with a holder. When it wakes
     // it reaches that holder alone, whose keys have gone to another since.
     let faults = [
-        fault(8_000, 15_000, Trouble::GranterIsland { upstream: 0 }),
-        fault(8_001, 9_000, Trouble::NodeSuspend { node: None }),
+        fault(8_000, 15_000, FaultKind::GranterIsland { upstream: 0 }),
+        fault(8_001, 9_000, FaultKind::NodeSuspend { node: None }),
     ];
     matters(Guard::BootClock, &faults);
 }
 
 #[test]
 fn named_rates() {
-    let in_need = Trouble::UpstreamInNeed {
+    let in_need = FaultKind::UpstreamInNeed {
         upstream: 0,
         rate_milli: 2_000,
     };
@@ -147,8 +154,8 @@
 #[test]
 fn leaving_words() {
     let faults = [
-        fault(8_000, 6_000, Trouble::UpstreamLeaves { upstream: 0 }),
-        fault(8_000, 6_000, Trouble::StoreDown { lapse: false }),
+        fault(8_000, 6_000, FaultKind::UpstreamLeaves { upstream: 0 }),
+        fault(8_000, 6_000, FaultKind::StoreDown { lapse: false }),
     ];
     matters(Guard::LeavingWords, &faults);
 }
@@ -158,7 +165,7 @@
     // So many holders rest that their keys stay.
     let rests = |upstream| {
         let rest_ms = 4_000;
-        fault(8_000, 9_000, Trouble::UpstreamRests { upstream, rest_ms })
+        fault(8_000, 9_000, FaultKind::UpstreamRests { upstream, rest_ms })
     };
     matters(Guard::Rests, &[rests(0), rests(1), rests(2)]);
 }
@@ -167,9 +174,9 @@
 fn record_doubt() {
     // All nodes go while the store does, so that nobody knows newer records than it.
     let faults = [
-        fault(7_000, 6_000, Trouble::HotKey),
-        fault(12_000, 2_500, Trouble::StoreGoesBack { back_ms: 5_000 }),
-        fault(12_500, 2_000, Trouble::KillAll),
+        fault(7_000, 6_000, FaultKind::HotKey),
+        fault(12_000, 2_500, FaultKind::StoreGoesBack { back_ms: 5_000 }),
+        fault(12_500, 2_000, FaultKind::KillAll),
     ];
     matters(Guard::RecordDoubt, &faults);
 }
@@ -177,12 +184,12 @@
 #[test]
 fn doubt_wait() {
     // A holder leaves renewals lying and is cut off before it answers others.
-    let unreachable = Trouble::UpstreamUnreachable {
+    let unreachable = FaultKind::UpstreamUnreachable {
         upstream: 0,
         from: CutFrom::Everything,
     };
     let faults = [
-        fault(17_000, 120, Trouble::OrdersLate { percent: 95 }),
+        fault(17_000, 120, FaultKind::OrdersLate { percent: 95 }),
         fault(17_430, 6_000, unreachable),
     ];
     matters(Guard::DoubtWait, &faults);
--- a/crates/routersim/tests/large.rs
+++ b/crates/routersim/tests/large.rs
@@ -1,14 +1,14 @@
 //! A deployment of hundreds of nodes keeps every promise.
 
-use beamtray_routersim::{WorldSize, explore};
+use beamtray_routersim::{WorldSize, run_seed};
 
 /// Seeds whose faults strike the granter, nodes, the store and upstreams.
 const SEEDS: [u64; 1] = [1];
 
 #[test]
-fn three_hundred_nodes_keep_every_promise() {
+fn three_hundred_nodes_satisfy_all_invariants() {
     for seed in SEEDS {
-        let outcome = explore(WorldSize::Large, seed);
+        let outcome = run_seed(WorldSize::Large, seed);
         let broken: Vec<String> = outcome
             .violations
             .iter()
@@ -16,10 +16,10 @@
             .collect();
         assert!(broken.is_empty(), "seed {seed}: {}", broken.join("\n"));
         assert!(
-            outcome.served * 10 >= outcome.asked * 6,
+            outcome.served * 10 >= outcome.requests * 6,
             "seed {seed}: {} of {} served",
             outcome.served,
-            outcome.asked
+            outcome.requests
         );
     }
 }
--- a/crates/routersim/tests/late_orders.rs
+++ b/crates/routersim/tests/late_orders.rs
@@ -6,7 +6,7 @@
 //! requests on a key is not.
 
 use beamtray_routersim::{
-    Fault, FaultPlan, Promise, Trouble, WorldConfig, WorldSize, explore, play,
+    Fault, FaultKind, FaultPlan, Invariant, WorldConfig, WorldSize, run_plan, run_seed,
 };
 use beamtray_types::Time;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 const SEEDS: u64 = 24;
 
 #[test]
-fn orders_that_lie_do_not_make_two_owners() {
+fn delayed_orders_do_not_cause_two_owners() {
     let mut broken = Vec::new();
     for seed in 0..SEEDS {
         for percent in [20, 60, 95] {
             let late = Fault {
                 at: Time(8_000_000),
-                lasts: Duration::from_secs(8),
-                trouble: Trouble::OrdersLate { percent },
+                duration: Duration::from_secs(8),
+                kind: FaultKind::OrdersLate { percent },
             };
             let plan = FaultPlan { faults: vec![late] };
-            let outcome = play(WorldConfig::drawn(seed), plan, None);
+            let outcome = run_plan(WorldConfig::drawn(seed), plan, None);
             let violations = outcome.violations.into_iter();
-            let two_owners = violations.filter(|one| one.promise == Promise::SoleOwner);
+            let two_owners = violations.filter(|one| one.invariant == Invariant::SoleOwner);
             broken.extend(two_owners.map(|one| format!("seed {seed}, {percent}: {one}")));
         }
     }
@@ -43,16 +43,16 @@
 /// before. Cause: the granter used a token again under which an order had no answer. The
 /// orders that the simulator printed show it: eleven under 16777255, the first one unanswered.
 #[test]
-fn nor_is_one_that_its_upstream_carries_out_late_in_a_drawn_history() {
-    let outcome = explore(WorldSize::Many, 4);
+fn delayed_order_of_a_partitioned_upstream_is_harmless() {
+    let outcome = run_seed(WorldSize::Many, 4);
     assert_eq!(outcome.violations, []);
 }
 
 /// Seeds 2540 and 2688 broke the order of tokens in the same way, among fewer nodes.
 #[test]
-fn nor_in_two_others() {
+fn delayed_orders_keep_token_order_in_two_histories_with_fewer_nodes() {
     for seed in [2_540, 2_688] {
-        let outcome = explore(WorldSize::Drawn, seed);
+        let outcome = run_seed(WorldSize::Drawn, seed);
         assert_eq!(outcome.violations, [], "seed {seed}");
     }
 }
@@ -62,8 +62,8 @@
 /// began at 17.43 s, and at 22.69 s the upstream took it, 0.7 s after its keys went on. What
 /// the search found in eight steps. `lying_order_before_cut.rs` has the same by its moments.
 #[test]
-fn nor_is_one_of_an_upstream_that_answers_nothing_after_it() {
-    let outcome = explore(WorldSize::Drawn, 1_312);
+fn delayed_order_without_later_responses_is_harmless() {
+    let outcome = run_seed(WorldSize::Drawn, 1_312);
     assert_eq!(outcome.violations, []);
 }
 
@@ -72,8 +72,8 @@
 /// 22.4 s. At 21.6 s it took keys under a token of the granter before, which another upstream
 /// had under a higher one: the doubt of the granter before was in no record.
 #[test]
-fn nor_is_one_of_a_granter_that_was_killed() {
-    let outcome = explore(WorldSize::Drawn, 70_188);
+fn delayed_order_of_a_killed_granter_is_harmless() {
+    let outcome = run_seed(WorldSize::Drawn, 70_188);
     assert_eq!(outcome.violations, []);
 }
 
@@ -82,7 +82,7 @@
 /// from 10.8 s to 18.3 s; at 15.3 s and 16.0 s it took two of them after its keys went on.
 /// By its faults the same as the drawn history before.
 #[test]
-fn nor_is_one_among_many_nodes() {
-    let outcome = explore(WorldSize::Many, 61_091);
+fn delayed_orders_are_harmless_with_many_nodes() {
+    let outcome = run_seed(WorldSize::Many, 61_091);
     assert_eq!(outcome.violations, []);
 }
--- a/crates/routersim/tests/leaving.rs
+++ b/crates/routersim/tests/leaving.rs
@@ -5,7 +5,7 @@
 //! was back, 12 s later. Cause: leaving was learned from entries of the store only. Proof: the
 //! promise breaks in each history below for nodes that take no notice of answers.
 
-use beamtray_routersim::{Fault, FaultPlan, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 
 const SEEDS: u64 = 16;
 
@@ -25,10 +25,10 @@
         let plan = FaultPlan {
             faults: faults.to_vec(),
         };
-        let outcome = play(config(seed), plan, None);
+        let outcome = run_plan(config(seed), plan, None);
         let violations = outcome.violations.iter().take(1);
         all.extend(violations.map(|one| format!("seed {seed}: {one}")));
-        let (served, asked) = (outcome.served, outcome.asked);
+        let (served, asked) = (outcome.served, outcome.requests);
         if served * 100 < asked * least_served_percent {
             all.push(format!("seed {seed}: {served} of {asked} served"));
         }
@@ -39,10 +39,10 @@
 /// Guards against requests to an upstream whose answers said that it leaves, while the store
 /// knows nothing of it.
 #[test]
-fn an_upstream_whose_answers_say_that_it_leaves_gets_nothing_more() {
+fn upstream_announcing_departure_gets_no_more_requests() {
     let faults = [
-        Fault::new(8_000, 6_000, Trouble::UpstreamLeaves { upstream: 0 }),
-        Fault::new(9_000, 7_000, Trouble::UpstreamLeaves { upstream: 6 }),
+        Fault::new(8_000, 6_000, FaultKind::UpstreamLeaves { upstream: 0 }),
+        Fault::new(9_000, 7_000, FaultKind::UpstreamLeaves { upstream: 6 }),
     ];
     let broken = broken(&faults, 95);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
@@ -50,11 +50,11 @@
 
 /// The same while the store is away, so that its keys can't go to others: they are refused.
 #[test]
-fn leaving_upstreams_get_nothing_more_while_the_store_is_away() {
+fn leaving_upstreams_get_no_more_requests_during_store_outage() {
     let faults = [
-        Fault::new(7_900, 8_000, Trouble::StoreDown { lapse: false }),
-        Fault::new(8_000, 6_000, Trouble::UpstreamLeaves { upstream: 0 }),
-        Fault::new(9_000, 6_000, Trouble::UpstreamLeaves { upstream: 6 }),
+        Fault::new(7_900, 8_000, FaultKind::StoreDown { lapse: false }),
+        Fault::new(8_000, 6_000, FaultKind::UpstreamLeaves { upstream: 0 }),
+        Fault::new(9_000, 6_000, FaultKind::UpstreamLeaves { upstream: 6 }),
     ];
     let broken = broken(&faults, 80);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
@@ -62,14 +62,14 @@
 
 /// The same while nodes are killed, cut off from the others, and start again.
 #[test]
-fn leaving_upstreams_get_nothing_more_while_nodes_are_lost() {
+fn leaving_upstreams_get_no_more_requests_while_nodes_are_lost() {
     let faults = [
-        Fault::new(8_000, 9_000, Trouble::UpstreamLeaves { upstream: 0 }),
-        Fault::new(8_500, 9_000, Trouble::UpstreamLeaves { upstream: 6 }),
-        Fault::new(9_000, 1_000, Trouble::NodeKill { node: None }),
-        Fault::new(9_500, 5_000, Trouble::PeerCut { node: 1 }),
-        Fault::new(11_000, 2_000, Trouble::NodeFreeze { node: Some(0) }),
-        Fault::new(12_000, 1_500, Trouble::NodeKill { node: Some(0) }),
+        Fault::new(8_000, 9_000, FaultKind::UpstreamLeaves { upstream: 0 }),
+        Fault::new(8_500, 9_000, FaultKind::UpstreamLeaves { upstream: 6 }),
+        Fault::new(9_000, 1_000, FaultKind::NodeKill { node: None }),
+        Fault::new(9_500, 5_000, FaultKind::PeerCut { node: 1 }),
+        Fault::new(11_000, 2_000, FaultKind::NodeFreeze { node: Some(0) }),
+        Fault::new(12_000, 1_500, FaultKind::NodeKill { node: Some(0) }),
     ];
     let broken = broken(&faults, 75);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
--- a/crates/routersim/tests/lying_order_and_old_store.rs
+++ b/crates/routersim/tests/lying_order_and_old_store.rs
@@ -1,19 +1,19 @@
 //! An order that is left lying while the store goes back to an older copy.
 
-use beamtray_routersim::{WorldSize, explore_further};
+use beamtray_routersim::{WorldSize, run_seed_extended};
 
 /// A grant was given up on while the store was away, all processes were killed, and the store
 /// came back from before: no record told of the grant, and it was taken after its keys went on.
 #[test]
-fn a_grant_that_no_record_could_tell_of_is_not_taken_after_its_keys_went_on() {
-    let outcome = explore_further(WorldSize::Drawn, 9_000_118);
+fn unrecorded_grant_is_not_accepted_after_its_keys_moved() {
+    let outcome = run_seed_extended(WorldSize::Drawn, 9_000_118);
     assert_eq!(outcome.violations, []);
 }
 
 /// The same in another history: the granter and the store were away when it was given up on.
 #[test]
 fn nor_is_one_of_a_term_whose_records_went_back() {
-    let outcome = explore_further(WorldSize::Drawn, 9_000_482);
+    let outcome = run_seed_extended(WorldSize::Drawn, 9_000_482);
     assert_eq!(outcome.violations, []);
 }
 
@@ -21,6 +21,6 @@
 /// record said so; the next one, 0.4 s later, took the record for proven and gave the keys away.
 #[test]
 fn keys_of_a_doubted_record_stay_doubted_at_a_successor() {
-    let outcome = explore_further(WorldSize::Drawn, 9_100_653);
+    let outcome = run_seed_extended(WorldSize::Drawn, 9_100_653);
     assert_eq!(outcome.violations, []);
 }
--- a/crates/routersim/tests/named_rates.rs
+++ b/crates/routersim/tests/named_rates.rs
@@ -6,7 +6,7 @@
 //! have sent eleven times as much. Proof: 41 of the 48 histories below break the promise
 //! without permits, up to 84 requests where 26 are allowed, and none with them.
 
-use beamtray_routersim::{Fault, FaultPlan, Trouble, WorldConfig, WorldSize, explore, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, WorldSize, run_plan, run_seed};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -25,22 +25,22 @@
     }
 }
 
-fn in_need(upstream: usize, millis: u64, lasts: u64) -> Fault {
+fn in_need(upstream: usize, millis: u64, duration: u64) -> Fault {
     Fault {
         at: Time(millis * 1_000),
-        lasts: Duration::from_millis(lasts),
-        trouble: Trouble::UpstreamInNeed {
+        duration: Duration::from_millis(duration),
+        kind: FaultKind::UpstreamInNeed {
             upstream,
             rate_milli: RATE_MILLI,
         },
     }
 }
 
-fn fault(millis: u64, lasts: u64, trouble: Trouble) -> Fault {
+fn fault(millis: u64, duration: u64, kind: FaultKind) -> Fault {
     Fault {
         at: Time(millis * 1_000),
-        lasts: Duration::from_millis(lasts),
-        trouble,
+        duration: Duration::from_millis(duration),
+        kind,
     }
 }
 
@@ -51,41 +51,41 @@
         let plan = FaultPlan {
             faults: faults.to_vec(),
         };
-        let violations = play(config(seed), plan, None).violations;
+        let violations = run_plan(config(seed), plan, None).violations;
         all.extend(violations.first().map(|one| format!("seed {seed}: {one}")));
     }
     all
 }
 
 #[test]
-fn a_holder_of_keys_gets_no_more_than_it_takes() {
+fn advertised_rate_of_a_key_holder_is_respected() {
     let broken = broken(&[in_need(0, 8_000, 10_000)]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn nor_do_two_of_four_that_hold_no_keys() {
+fn advertised_rates_of_two_unsharded_upstreams_are_respected() {
     let broken = broken(&[in_need(4, 8_000, 10_000), in_need(5, 8_000, 10_000)]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 /// Nodes that are killed, or cut off from the others, are excused; the others are not.
 #[test]
-fn nor_while_nodes_are_lost() {
+fn advertised_rate_is_respected_while_nodes_are_lost() {
     let broken = broken(&[
         in_need(0, 8_000, 12_000),
         in_need(4, 8_000, 12_000),
-        fault(10_000, 3_000, Trouble::NodeKill { node: Some(1) }),
-        fault(11_000, 4_000, Trouble::PeerCut { node: 2 }),
-        fault(12_500, 3_000, Trouble::NodeKill { node: None }),
-        fault(13_000, 2_000, Trouble::NodeFreeze { node: Some(3) }),
+        fault(10_000, 3_000, FaultKind::NodeKill { node: Some(1) }),
+        fault(11_000, 4_000, FaultKind::PeerCut { node: 2 }),
+        fault(12_500, 3_000, FaultKind::NodeKill { node: None }),
+        fault(13_000, 2_000, FaultKind::NodeFreeze { node: Some(3) }),
     ]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 /// The promise is about need that comes and goes, too.
 #[test]
-fn nor_when_it_is_in_need_again_and_again() {
+fn advertised_rate_is_respected_in_repeated_overload() {
     let again: Vec<Fault> = (0..3)
         .map(|time| in_need(0, 8_000 + 4_500 * time, 4_000))
         .collect();
@@ -96,15 +96,15 @@
 /// A holder in need takes a third of what its keys get: they go on to holders with room,
 /// sooner than their requests are refused for want of permits.
 #[test]
-fn keys_of_a_holder_in_need_go_to_others() {
+fn keys_of_an_overloaded_holder_move() {
     let (mut served, mut asked) = (0, 0);
     for seed in 0..SEEDS {
         let plan = FaultPlan {
             faults: vec![in_need(0, 8_000, 12_000)],
         };
-        let outcome = play(config(seed), plan, None);
+        let outcome = run_plan(config(seed), plan, None);
         served += outcome.served;
-        asked += outcome.asked;
+        asked += outcome.requests;
     }
     assert!(served * 100 >= asked * 97, "{served} of {asked} served");
 }
@@ -112,8 +112,8 @@
 /// Guards against a check that goes on by the first rate of an upstream that names a higher
 /// one by now: it objected to 19 requests in four seconds, of 27 that are allowed.
 #[test]
-fn an_upstream_that_names_a_higher_rate_gets_that() {
-    let outcome = explore(WorldSize::Drawn, 40_047);
+fn checker_uses_a_raised_rate() {
+    let outcome = run_seed(WorldSize::Drawn, 40_047);
     let violations: Vec<String> = outcome
         .violations
         .iter()
--- a/crates/routersim/tests/old_grants.rs
+++ b/crates/routersim/tests/old_grants.rs
@@ -12,7 +12,7 @@
 //! below, where nothing else goes wrong, the promise breaks.
 
 use beamtray_routersim::{
-    CutFrom, Fault, FaultPlan, GiveUp, Promise, Trouble, Violation, WorldConfig, play,
+    CloseMode, CutFrom, Fault, FaultKind, FaultPlan, Invariant, Violation, WorldConfig, run_plan,
 };
 use beamtray_types::Time;
 use std::time::Duration;
@@ -24,27 +24,32 @@
 const CUT_WITH_SUCCESSION: Duration = Duration::from_millis(7_000);
 
 /// The first upstream can't be reached from 8 s on.
-fn unreachable(lasts: Duration) -> Fault {
+fn unreachable(duration: Duration) -> Fault {
     Fault {
         at: Time(8_000_000),
-        lasts,
-        trouble: Trouble::UpstreamUnreachable {
+        duration,
+        kind: FaultKind::UpstreamUnreachable {
             upstream: 0,
             from: CutFrom::Everything,
         },
     }
 }
 
-fn owners_broken(seed: u64, give_up: GiveUp, faults: &[Fault]) -> Vec<Violation> {
+fn owners_broken(seed: u64, close_mode: CloseMode, faults: &[Fault]) -> Vec<Violation> {
     let plan = FaultPlan {
         faults: faults.to_vec(),
     };
     let config = WorldConfig {
-        give_up,
+        close_mode,
         ..WorldConfig::drawn(seed)
     };
-    let mut violations = play(config, plan, None).violations;
-    violations.retain(|one| matches!(one.promise, Promise::SoleOwner | Promise::RisingTokens));
+    let mut violations = run_plan(config, plan, None).violations;
+    violations.retain(|one| {
+        matches!(
+            one.invariant,
+            Invariant::SoleOwner | Invariant::RisingTokens
+        )
+    });
     violations
 }
 
@@ -52,38 +57,38 @@
 /// a transport that drops what was written.
 fn keeps_sole_owners(faults: &[Fault]) {
     let mut broken = Vec::new();
-    for give_up in [GiveUp::Close, GiveUp::Reset] {
+    for close_mode in [CloseMode::Close, CloseMode::Reset] {
         for seed in 0..SEEDS {
-            let violations = owners_broken(seed, give_up, faults).into_iter();
-            broken.extend(violations.map(|one| format!("{give_up:?}, seed {seed}: {one}")));
+            let violations = owners_broken(seed, close_mode, faults).into_iter();
+            broken.extend(violations.map(|one| format!("{close_mode:?}, seed {seed}: {one}")));
         }
     }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn old_grants_come_to_nothing_after_a_cut() {
+fn old_grants_are_harmless_after_a_partition() {
     keeps_sole_owners(&[unreachable(CUT)]);
 }
 
 /// A process that stands still gives nothing up, and its kernel goes on sending.
 #[test]
-fn old_grants_of_a_granter_that_stands_still_come_to_nothing() {
+fn old_grants_of_a_paused_granter_are_harmless() {
     let stands_still = Fault {
         at: Time(8_150_000),
-        lasts: Duration::from_secs(20),
-        trouble: Trouble::NodeFreeze { node: None },
+        duration: Duration::from_secs(20),
+        kind: FaultKind::NodeFreeze { node: None },
     };
     keeps_sole_owners(&[unreachable(CUT_WITH_SUCCESSION), stands_still]);
 }
 
 /// Nobody is left to close the connection, or to know of the order.
 #[test]
-fn old_grants_of_a_killed_granter_come_to_nothing() {
+fn old_grants_of_a_killed_granter_are_harmless() {
     let killed = Fault {
         at: Time(8_150_000),
-        lasts: Duration::from_secs(3),
-        trouble: Trouble::NodeKill { node: None },
+        duration: Duration::from_secs(3),
+        kind: FaultKind::NodeKill { node: None },
     };
     keeps_sole_owners(&[unreachable(CUT_WITH_SUCCESSION), killed]);
 }
@@ -96,9 +101,9 @@
 const GRANTER_LOST_AS_A_PATH_HEALS: u64 = 823;
 
 #[test]
-fn old_grants_come_to_nothing_where_nobody_tells_a_lost_holder() {
+fn old_grants_are_harmless_if_a_lost_holder_is_not_told() {
     let seed = GRANTER_LOST_AS_A_PATH_HEALS;
     let faults = FaultPlan::draw(seed, &WorldConfig::drawn(seed)).faults;
-    assert_eq!(owners_broken(seed, GiveUp::Close, &faults), []);
-    assert_eq!(owners_broken(seed, GiveUp::Reset, &faults), []);
+    assert_eq!(owners_broken(seed, CloseMode::Close, &faults), []);
+    assert_eq!(owners_broken(seed, CloseMode::Reset, &faults), []);
 }
--- a/crates/routersim/tests/poison_request.rs
+++ b/crates/routersim/tests/poison_request.rs
@@ -7,7 +7,7 @@
 //! next one with the same content was new to every node. Proof: below, the same request
 //! ends upstreams for as long as it comes, with one node as with eight.
 
-use beamtray_routersim::{Fault, FaultPlan, Guard, Promise, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, Guard, Invariant, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 fn poison_of(is_read: bool, pause_ms: u64, callers: u8) -> Fault {
     Fault {
         at: Time(7_000_000),
-        lasts: Duration::from_secs(50),
-        trouble: Trouble::PoisonRequest {
+        duration: Duration::from_secs(50),
+        kind: FaultKind::PoisonRequest {
             is_read,
             pause_ms,
             callers,
@@ -33,19 +33,19 @@
 fn world(seed: u64, nodes: usize) -> WorldConfig {
     WorldConfig {
         nodes,
-        calm: Duration::from_secs(44),
+        recovery_window: Duration::from_secs(44),
         ..WorldConfig::drawn(seed)
     }
 }
 
 /// Where histories of those faults break the promise.
-fn broken(nodes: usize, faults: &[Fault], off: Option<Guard>) -> Vec<String> {
+fn broken(nodes: usize, faults: &[Fault], disabled_guard: Option<Guard>) -> Vec<String> {
     let mut broken = Vec::new();
     for seed in 0..SEEDS {
         let faults = faults.to_vec();
-        let outcome = play(world(seed, nodes), FaultPlan { faults }, off);
+        let outcome = run_plan(world(seed, nodes), FaultPlan { faults }, disabled_guard);
         let violations = outcome.violations.into_iter();
-        let poison = violations.filter(|one| one.promise == Promise::PoisonKeptOff);
+        let poison = violations.filter(|one| one.invariant == Invariant::PoisonKeptOff);
         broken.extend(poison.map(|one| format!("seed {seed}: {one}")));
     }
     broken
@@ -59,34 +59,34 @@
 fn kill_all(at_ms: u64) -> Fault {
     Fault {
         at: Time(at_ms * 1_000),
-        lasts: Duration::from_secs(2),
-        trouble: Trouble::KillAll,
+        duration: Duration::from_secs(2),
+        kind: FaultKind::KillAll,
     }
 }
 
 #[test]
-fn a_read_that_ends_upstreams_is_kept_off_by_one_node() {
+fn poison_read_is_quarantined_by_one_node() {
     keeps_it_off(1, &[poison(true, 900)]);
 }
 
 #[test]
-fn a_read_that_ends_upstreams_is_kept_off_by_all_nodes() {
+fn poison_read_is_quarantined_by_all_nodes() {
     keeps_it_off(8, &[poison(true, 900)]);
 }
 
 #[test]
-fn an_order_that_ends_upstreams_is_kept_off_by_all_nodes() {
+fn poison_order_is_quarantined_by_all_nodes() {
     keeps_it_off(8, &[poison(false, 2_500)]);
 }
 
 /// They tell each other through relays.
 #[test]
-fn it_is_kept_off_by_many_nodes() {
+fn poison_read_is_quarantined_by_many_nodes() {
     keeps_it_off(24, &[poison(true, 900), poison(false, 2_500)]);
 }
 
 #[test]
-fn it_is_kept_off_by_nodes_that_lost_all_they_knew() {
+fn poison_read_stays_quarantined_after_loss_of_all_nodes() {
     let faults = [poison(true, 900), kill_all(14_000), kill_all(21_000)];
     keeps_it_off(6, &faults);
 }
@@ -96,35 +96,35 @@
 /// nodes. Cause: upstreams that ended were counted, not runs that ended with them, and
 /// until the third upstream had ended any number of nodes sent it at once.
 #[test]
-fn a_read_that_many_send_at_once_is_kept_off() {
+fn concurrent_poison_reads_are_quarantined() {
     keeps_it_off(8, &[poison_of(true, 900, 6)]);
 }
 
 #[test]
-fn an_order_that_many_send_at_once_is_kept_off() {
+fn concurrent_poison_orders_are_quarantined() {
     keeps_it_off(8, &[poison_of(false, 2_500, 6)]);
 }
 
 /// They tell each other through relays.
 #[test]
-fn what_many_send_at_once_is_kept_off_by_many_nodes() {
+fn concurrent_poison_requests_are_quarantined_by_many_nodes() {
     keeps_it_off(24, &[poison_of(true, 900, 6), poison_of(false, 2_500, 6)]);
 }
 
 /// What the first ends told is lost with the processes, but for the store's record.
 #[test]
-fn what_many_send_at_once_is_kept_off_by_nodes_that_lost_all_they_knew() {
+fn concurrent_poison_requests_stay_quarantined_after_loss_of_all_nodes() {
     let faults = [poison_of(true, 900, 6), kill_all(14_000), kill_all(21_000)];
     keeps_it_off(6, &faults);
 }
 
 /// Some of them can't reach the node that lends permits, and send nothing of the kind.
 #[test]
-fn what_many_send_at_once_is_kept_off_while_nodes_are_cut_off_from_each_other() {
+fn concurrent_poison_requests_are_quarantined_during_a_partition() {
     let cut = |node, at_ms: u64| Fault {
         at: Time(at_ms * 1_000),
-        lasts: Duration::from_secs(8),
-        trouble: Trouble::PeerCut { node },
+        duration: Duration::from_secs(8),
+        kind: FaultKind::PeerCut { node },
     };
     let mut faults = vec![poison_of(true, 900, 6), poison_of(false, 2_500, 6)];
     faults.extend((0..4).map(|node| cut(node, 6_500 + 1_000 * node as u64)));
@@ -133,14 +133,14 @@
 
 /// Each node counts for itself what it saw.
 #[test]
-fn nodes_that_do_not_tell_each_other_let_it_through() {
+fn nodes_without_shared_suspicions_violate_the_invariant() {
     let faults = [poison(false, 2_500)];
     let broken = broken(8, &faults, Some(Guard::SuspicionsTold));
     assert!(!broken.is_empty());
 }
 
 #[test]
-fn nodes_that_lost_all_they_knew_need_the_store() {
+fn restarted_nodes_need_the_persisted_suspicions() {
     let faults = [poison(true, 900), kill_all(14_000), kill_all(21_000)];
     let broken = broken(6, &faults, Some(Guard::SuspicionsKept));
     assert!(!broken.is_empty());
--- a/crates/routersim/tests/popular_request.rs
+++ b/crates/routersim/tests/popular_request.rs
@@ -4,7 +4,7 @@
 //! those that say the same wait for that one; some are refused. Requests for the same key
 //! that all say something else show what the ends themselves cost.
 
-use beamtray_routersim::{Fault, FaultPlan, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 fn plan(config: &WorldConfig, is_read: bool, says_the_same: bool) -> FaultPlan {
     let popular = Fault {
         at: Time(7_000_000),
-        lasts: Duration::from_secs(30),
-        trouble: Trouble::PopularRequest {
+        duration: Duration::from_secs(30),
+        kind: FaultKind::PopularRequest {
             is_read,
             pause_ms: PAUSE_MS,
             says_the_same,
@@ -30,8 +30,8 @@
     };
     let ends = (0..config.upstreams().min(ENDS)).map(|upstream| Fault {
         at: Time(8_000_000 + 2_500_000 * upstream as u64),
-        lasts: Duration::from_secs(2),
-        trouble: Trouble::UpstreamCrash {
+        duration: Duration::from_secs(2),
+        kind: FaultKind::UpstreamCrash {
             upstream,
             dark: false,
         },
@@ -52,9 +52,9 @@
             ..WorldConfig::drawn(seed)
         };
         let plan = plan(&config, is_read, says_the_same);
-        let outcome = play(config, plan, None);
+        let outcome = run_plan(config, plan, None);
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
-        asked += outcome.asked;
+        asked += outcome.requests;
         served += outcome.served;
         refused += outcome.quarantined;
     }
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn a_popular_read_is_served_again_at_once() {
+fn popular_read_is_served_again_at_once() {
     costs_little(8, true);
 }
 
 #[test]
-fn a_popular_order_is_served_again_at_once() {
+fn popular_order_is_served_again_at_once() {
     costs_little(8, false);
 }
 
 #[test]
-fn a_popular_read_is_served_again_at_once_by_many_nodes() {
+fn popular_read_is_served_again_at_once_by_many_nodes() {
     costs_little(24, true);
 }
--- a/crates/routersim/tests/relay_cut_off.rs
+++ b/crates/routersim/tests/relay_cut_off.rs
@@ -9,7 +9,9 @@
 //! relays lose the store at the time.
 
 use beamtray_router::core::{NodeRecord, Relays};
-use beamtray_routersim::{Fault, FaultPlan, Promise, Trouble, WorldConfig, play, usual_settings};
+use beamtray_routersim::{
+    Fault, FaultKind, FaultPlan, Invariant, WorldConfig, default_settings, run_plan,
+};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,13 +22,13 @@
 /// The relays of the first two zones.
 fn relays() -> Vec<usize> {
     let record = |node| {
-        let settings = usual_settings(node);
+        let settings = default_settings(node);
         let config = settings.core_config(1);
         (settings.node, config.control.record)
     };
     let records: BTreeMap<String, NodeRecord> = (0..NODES).map(record).collect();
     let relays = Relays::choose(&records);
-    let is_relay = |node: &usize| relays.contains(&usual_settings(*node).listen.peers);
+    let is_relay = |node: &usize| relays.contains(&default_settings(*node).listen.peers);
     (0..NODES).filter(is_relay).take(2).collect()
 }
 
@@ -35,13 +37,13 @@
 fn faults(leaves_after_ms: u64) -> Vec<Fault> {
     let cut = relays().into_iter().map(|node| Fault {
         at: Time(8_000_000),
-        lasts: Duration::from_secs(6),
-        trouble: Trouble::StoreCut { node: Some(node) },
+        duration: Duration::from_secs(6),
+        kind: FaultKind::StoreCut { node: Some(node) },
     });
     let leaves = Fault {
         at: Time((8_000 + leaves_after_ms) * 1_000),
-        lasts: Duration::ZERO,
-        trouble: Trouble::UpstreamDrain {
+        duration: Duration::ZERO,
+        kind: FaultKind::UpstreamDrain {
             upstream: UPSTREAM,
             abrupt: true,
         },
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn nodes_hear_in_time_of_an_upstream_that_leaves() {
+fn nodes_learn_of_a_departure_in_time() {
     let mut broken = Vec::new();
     for seed in 0..12 {
         for leaves_after_ms in [200, 500, 800, 1_100] {
@@ -61,9 +63,9 @@
                 ..WorldConfig::drawn(seed)
             };
             let faults = faults(leaves_after_ms);
-            let outcome = play(config, FaultPlan { faults }, None);
+            let outcome = run_plan(config, FaultPlan { faults }, None);
             let violations = outcome.violations.into_iter();
-            let late = violations.filter(|one| one.promise == Promise::Drain);
+            let late = violations.filter(|one| one.invariant == Invariant::Drain);
             broken.extend(late.map(|one| format!("seed {seed}, {leaves_after_ms} ms: {one}")));
         }
     }
--- a/crates/routersim/tests/restarts.rs
+++ b/crates/routersim/tests/restarts.rs
@@ -1,6 +1,6 @@
 //! Upstreams start again under their names, which their callers tell from the births only.
 
-use beamtray_routersim::{Fault, FaultPlan, Promise, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, Invariant, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
     }
 }
 
-fn fault(millis: u64, lasts: u64, trouble: Trouble) -> Fault {
+fn fault(millis: u64, duration: u64, kind: FaultKind) -> Fault {
     Fault {
         at: Time(millis * 1_000),
-        lasts: Duration::from_millis(lasts),
-        trouble,
+        duration: Duration::from_millis(duration),
+        kind,
     }
 }
 
@@ -36,17 +36,17 @@
             downtimes
                 .into_iter()
                 .enumerate()
-                .map(move |(index, lasts)| {
+                .map(move |(index, duration)| {
                     let dark = (seed + index as u64).is_multiple_of(2);
-                    let restart = Trouble::UpstreamRestart { upstream, dark };
-                    fault(begins + index as u64 * 4_000, lasts, restart)
+                    let restart = FaultKind::UpstreamRestart { upstream, dark };
+                    fault(begins + index as u64 * 4_000, duration, restart)
                 })
         })
         .collect()
 }
 
 /// What is broken of the promises that are asked for.
-fn broken(plan: impl Fn(u64) -> Vec<Fault>, is_asked: fn(Promise) -> bool) -> Vec<String> {
+fn broken(plan: impl Fn(u64) -> Vec<Fault>, is_asked: fn(Invariant) -> bool) -> Vec<String> {
     broken_in(0..SEEDS, plan, is_asked)
 }
 
@@ -54,14 +54,14 @@
 fn broken_in(
     seeds: impl IntoIterator<Item = u64>,
     plan: impl Fn(u64) -> Vec<Fault>,
-    is_asked: fn(Promise) -> bool,
+    is_asked: fn(Invariant) -> bool,
 ) -> Vec<String> {
     let mut all = Vec::new();
     for seed in seeds {
         let faults = restarts(seed).into_iter().chain(plan(seed)).collect();
-        let outcome = play(config(seed), FaultPlan { faults }, None);
+        let outcome = run_plan(config(seed), FaultPlan { faults }, None);
         let violations = outcome.violations.into_iter();
-        let asked = violations.filter(|one| is_asked(one.promise));
+        let asked = violations.filter(|one| is_asked(one.invariant));
         all.extend(asked.map(|one| format!("seed {seed}: {one}")));
     }
     all
@@ -69,7 +69,9 @@
 
 /// All but the one that has a test of its own.
 fn keeps_every_promise(plan: impl Fn(u64) -> Vec<Fault>) {
-    let broken = broken(plan, |promise| promise != Promise::RisingTokensOfRestarts);
+    let broken = broken(plan, |invariant| {
+        invariant != Invariant::RisingTokensOfRestarts
+    });
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
@@ -82,8 +84,8 @@
 /// restart. Cause: what a connection tells of a restart was used up by the first order that
 /// met it. The simulator's lines show it: `Undelivered after 0ns` for one of the four.
 #[test]
-fn restarts_take_keys_under_higher_tokens_than_those_before_had() {
-    let of_restarts = |promise| promise == Promise::RisingTokensOfRestarts;
+fn restarts_accept_keys_under_higher_tokens_than_predecessors() {
+    let of_restarts = |invariant| invariant == Invariant::RisingTokensOfRestarts;
     let broken = broken(|_| Vec::new(), of_restarts);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
@@ -93,43 +95,43 @@
 /// that follow open new ones, 1 to 125 ms after the start, under the tokens of the process
 /// before. 3 of the first 240 histories, 23 before connections that ended stopped them.
 #[test]
-fn restarts_that_no_connection_tells_of_take_keys_under_higher_tokens() {
-    let of_restarts = |promise| promise == Promise::RisingTokensOfRestarts;
+fn restarts_without_idle_connections_accept_higher_tokens() {
+    let of_restarts = |invariant| invariant == Invariant::RisingTokensOfRestarts;
     let broken = broken_in([58, 148, 198], |_| Vec::new(), of_restarts);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn restarts_in_series_keep_every_promise() {
+fn repeated_restarts_satisfy_invariants() {
     keeps_every_promise(|_| Vec::new());
 }
 
 fn late_orders(_: u64) -> Vec<Fault> {
-    vec![fault(6_000, 20_000, Trouble::OrdersLate { percent: 40 })]
+    vec![fault(6_000, 20_000, FaultKind::OrdersLate { percent: 40 })]
 }
 
 /// A restart has forgotten every token and may take an order that was left lying for the
 /// one before, after its keys went to others.
 #[test]
-fn restarts_under_late_orders_keep_every_promise() {
+fn restarts_with_late_orders_satisfy_invariants() {
     keeps_every_promise(late_orders);
 }
 
 /// Each grant that broke the promise was given to one process and left lying, and was taken
 /// by a later one that had not answered its first release.
 #[test]
-fn restarts_under_late_orders_keep_every_promise_in_other_histories() {
-    let is_asked = |promise| promise != Promise::RisingTokensOfRestarts;
+fn restarts_with_late_orders_satisfy_invariants_in_other_histories() {
+    let is_asked = |invariant| invariant != Invariant::RisingTokensOfRestarts;
     let broken = broken_in([27, 28, 30], late_orders, is_asked);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 #[test]
-fn restarts_under_late_orders_make_no_two_owners() {
-    let broken = broken(late_orders, |promise| {
+fn restarts_with_late_orders_do_not_cause_two_owners() {
+    let broken = broken(late_orders, |invariant| {
         !matches!(
-            promise,
-            Promise::RisingTokens | Promise::RisingTokensOfRestarts
+            invariant,
+            Invariant::RisingTokens | Invariant::RisingTokensOfRestarts
         )
     });
     assert!(broken.is_empty(), "{}", broken.join("\n"));
@@ -137,17 +139,23 @@
 
 /// The new granter reads a record that names incarnations which have ended.
 #[test]
-fn restarts_while_the_granter_is_lost_keep_every_promise() {
+fn restarts_during_granter_loss_satisfy_invariants() {
     keeps_every_promise(|seed| {
-        let kill = |millis| fault(millis + seed * 53, 1_500, Trouble::NodeKill { node: None });
+        let kill = |millis| {
+            fault(
+                millis + seed * 53,
+                1_500,
+                FaultKind::NodeKill { node: None },
+            )
+        };
         vec![kill(8_300), kill(12_600), kill(16_900)]
     });
 }
 
 /// Orders come late, and the store does writes seconds after they were given up on.
 #[test]
-fn restarts_with_a_lossy_store_keep_every_promise() {
-    let lost = Trouble::StoreLost {
+fn restarts_with_a_lossy_store_satisfy_invariants() {
+    let lost = FaultKind::StoreLost {
         percent: 40,
         late: true,
     };
@@ -156,11 +164,11 @@
 
 /// All that drawn histories have, and restarts.
 #[test]
-fn restarts_among_drawn_faults_keep_every_promise() {
+fn restarts_among_drawn_faults_satisfy_invariants() {
     let drawn = |seed| FaultPlan::draw(seed + 1_000, &config(seed)).faults;
     let without_late = |seed| {
         let faults = drawn(seed).into_iter();
-        let is_late = |fault: &Fault| matches!(fault.trouble, Trouble::OrdersLate { .. });
+        let is_late = |fault: &Fault| matches!(fault.kind, FaultKind::OrdersLate { .. });
         faults.filter(|fault| !is_late(fault)).collect()
     };
     keeps_every_promise(without_late);
--- a/crates/routersim/tests/rests.rs
+++ b/crates/routersim/tests/rests.rs
@@ -5,7 +5,7 @@
 //! were told to come back in 0.1 to 0.3 s. Cause: nobody read how long was asked for. Proof:
 //! the promise breaks in each history below for nodes that take no notice of it.
 
-use beamtray_routersim::{Fault, FaultPlan, Outcome, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, Outcome, WorldConfig, run_plan};
 
 const SEEDS: u64 = 16;
 
@@ -18,9 +18,13 @@
     }
 }
 
-fn rests(upstream: usize, millis: u64, lasts: u64) -> Fault {
+fn rests(upstream: usize, millis: u64, duration: u64) -> Fault {
     let rest_ms = 3_000;
-    Fault::new(millis, lasts, Trouble::UpstreamRests { upstream, rest_ms })
+    Fault::new(
+        millis,
+        duration,
+        FaultKind::UpstreamRests { upstream, rest_ms },
+    )
 }
 
 fn outcomes(faults: &[Fault]) -> impl Iterator<Item = (u64, Outcome)> {
@@ -28,7 +32,7 @@
         let plan = FaultPlan {
             faults: faults.to_vec(),
         };
-        (seed, play(config(seed), plan, None))
+        (seed, run_plan(config(seed), plan, None))
     })
 }
 
@@ -43,14 +47,14 @@
 
 /// Guards against requests to a holder of keys that asked for rest.
 #[test]
-fn a_holder_of_keys_that_asked_for_rest_gets_it() {
+fn retry_after_of_a_key_holder_is_respected() {
     let broken = broken(&[rests(0, 8_000, 9_000), rests(1, 8_200, 9_000)]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 /// The same where another upstream could take each request, and where none can.
 #[test]
-fn upstreams_without_keys_that_asked_for_rest_get_it() {
+fn retry_after_of_unsharded_upstreams_is_respected() {
     let some: Vec<Fault> = (6..8)
         .map(|upstream| rests(upstream, 8_000, 9_000))
         .collect();
@@ -65,8 +69,8 @@
 /// The same while nodes are killed and cut off, and while an upstream rests that leaves and
 /// names a rate.
 #[test]
-fn rests_are_kept_while_nodes_are_lost() {
-    let in_need = Trouble::UpstreamInNeed {
+fn retry_after_is_respected_while_nodes_are_lost() {
+    let in_need = FaultKind::UpstreamInNeed {
         upstream: 0,
         rate_milli: 3_500,
     };
@@ -74,11 +78,11 @@
         rests(0, 8_000, 9_000),
         rests(7, 8_000, 9_000),
         Fault::new(7_500, 9_000, in_need),
-        Fault::new(9_000, 7_000, Trouble::UpstreamLeaves { upstream: 0 }),
-        Fault::new(9_500, 1_500, Trouble::NodeKill { node: None }),
-        Fault::new(10_000, 3_000, Trouble::PeerCut { node: 1 }),
-        Fault::new(11_000, 2_000, Trouble::NodeFreeze { node: Some(0) }),
-        Fault::new(11_500, 3_000, Trouble::StoreCut { node: None }),
+        Fault::new(9_000, 7_000, FaultKind::UpstreamLeaves { upstream: 0 }),
+        Fault::new(9_500, 1_500, FaultKind::NodeKill { node: None }),
+        Fault::new(10_000, 3_000, FaultKind::PeerCut { node: 1 }),
+        Fault::new(11_000, 2_000, FaultKind::NodeFreeze { node: Some(0) }),
+        Fault::new(11_500, 3_000, FaultKind::StoreCut { node: None }),
     ]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
@@ -86,12 +90,12 @@
 /// Holders that rest lose their keys to others, sooner than their requests are refused for
 /// the rest's whole length.
 #[test]
-fn keys_of_holders_that_rest_go_to_others() {
+fn keys_of_holders_with_retry_after_move() {
     let faults = [rests(0, 8_000, 9_000), rests(1, 8_200, 9_000)];
     let (mut served, mut asked, mut releases) = (0, 0, 0);
     for (_, outcome) in outcomes(&faults) {
         served += outcome.served;
-        asked += outcome.asked;
+        asked += outcome.requests;
         releases += outcome.releases;
     }
     println!("{served} of {asked} served, {releases} releases");
--- a/crates/routersim/tests/slow_granter.rs
+++ b/crates/routersim/tests/slow_granter.rs
@@ -1,6 +1,6 @@
 //! Nodes that take long for each order they give still grant all keys.
 
-use beamtray_routersim::{Fault, FaultPlan, Outcome, Promise, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, Invariant, Outcome, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
         keyed: 6,
         ..WorldConfig::drawn(seed)
     };
-    let fault = |at_ms: u64, trouble| Fault {
+    let fault = |at_ms: u64, kind| Fault {
         at: Time(at_ms * 1_000),
-        lasts: Duration::from_secs(30),
-        trouble,
+        duration: Duration::from_secs(30),
+        kind,
     };
     let nodes = 0..config.nodes;
     let mut faults: Vec<Fault> = nodes
         .map(|node| {
             let node = Some(node);
-            fault(8_000, Trouble::NodeSlow { node, order_ms })
+            fault(8_000, FaultKind::NodeSlow { node, order_ms })
         })
         .collect();
     faults.push(Fault {
-        lasts: Duration::from_secs(2),
-        ..fault(9_000, Trouble::KillAll)
+        duration: Duration::from_secs(2),
+        ..fault(9_000, FaultKind::KillAll)
     });
-    play(config, FaultPlan { faults }, None)
+    run_plan(config, FaultPlan { faults }, None)
 }
 
 const SEEDS: u64 = 6;
 
 /// 48 slices take 720 ms, longer than an answer is waited for.
 #[test]
-fn all_keys_are_granted_again_after_all_nodes_were_lost() {
+fn all_keys_are_granted_again_after_loss_of_all_nodes() {
     for seed in 0..SEEDS {
         let outcome = run(seed, 15);
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
         assert!(
-            outcome.served * 100 >= outcome.asked * 85,
+            outcome.served * 100 >= outcome.requests * 85,
             "seed {seed}: {} of {} served",
             outcome.served,
-            outcome.asked
+            outcome.requests
         );
     }
 }
@@ -50,14 +50,14 @@
 /// They take 1.4 s, half of a hold. Less than half was served while the granter took its
 /// lateness for its holders' silence.
 #[test]
-fn a_granter_that_is_late_with_everything_serves_most() {
+fn delayed_granter_serves_most_requests() {
     let (mut asked, mut served) = (0, 0);
     for seed in 0..SEEDS {
         let outcome = run(seed, 30);
         let mut violations = outcome.violations.iter();
-        let only_served_less = violations.all(|one| one.promise == Promise::Recovery);
+        let only_served_less = violations.all(|one| one.invariant == Invariant::Recovery);
         assert!(only_served_less, "{:?}", outcome.violations);
-        asked += outcome.asked;
+        asked += outcome.requests;
         served += outcome.served;
     }
     assert!(served * 100 >= asked * 70, "{served} of {asked} served");
--- a/crates/routersim/tests/zone_ends.rs
+++ b/crates/routersim/tests/zone_ends.rs
@@ -8,7 +8,7 @@
 //! suspicion costs grew with the load. Proof: the counts below, of the same ends at two
 //! loads: at the higher one all nodes would have written 5,328 lines, and write 210 now.
 
-use beamtray_routersim::{Fault, FaultPlan, Outcome, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, Outcome, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
@@ -41,8 +41,8 @@
         let of_zone = (2..config.upstreams()).step_by(3);
         of_zone.map(move |upstream| Fault {
             at: Time((8_000 + end * PAUSE_MS) * 1_000),
-            lasts: Duration::from_millis(600),
-            trouble: Trouble::UpstreamCrash {
+            duration: Duration::from_millis(600),
+            kind: FaultKind::UpstreamCrash {
                 upstream,
                 dark: false,
             },
@@ -54,33 +54,42 @@
 }
 
 fn outcomes(rate: u64) -> Vec<Outcome> {
-    let play = |seed| {
+    let run_plan = |seed| {
         let config = world(seed, rate);
         let plan = zone_ends(&config);
-        play(config, plan, None)
+        run_plan(config, plan, None)
     };
-    (0..SEEDS).map(play).collect()
+    (0..SEEDS).map(run_plan).collect()
 }
 
 #[test]
-fn what_suspicion_costs_is_bounded_whatever_the_load() {
+fn suspicion_cost_is_bounded_regardless_of_load() {
     for rate in [300, 2_400] {
         for outcome in outcomes(rate) {
             let costs = outcome.suspicion;
             let each = NODES * ENDS as usize;
-            assert!(costs.notices <= NOTICES_A_NODE * each, "{rate}: {costs:?}");
-            assert!(costs.told <= TOLD_A_NODE * each, "{rate}: {costs:?}");
-            assert!(costs.remembered <= MOST_REMEMBERED, "{rate}: {costs:?}");
+            assert!(
+                costs.log_lines <= NOTICES_A_NODE * each,
+                "{rate}: {costs:?}"
+            );
+            assert!(
+                costs.suspicions_received <= TOLD_A_NODE * each,
+                "{rate}: {costs:?}"
+            );
+            assert!(
+                costs.peak_fingerprints <= MOST_REMEMBERED,
+                "{rate}: {costs:?}"
+            );
         }
     }
 }
 
 #[test]
-fn ordinary_requests_go_on() {
+fn ordinary_requests_are_served() {
     for outcome in outcomes(200) {
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
         let Outcome {
-            asked,
+            requests: asked,
             served,
             quarantined,
             ..
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -1,7 +1,7 @@
 //! `explore-router`: histories of the store-backed router.
 
 use crate::ExploreRouterArguments;
-use beamtray_routersim::{FaultPlan, Guard, Outcome, WorldConfig, WorldSize, play};
+use beamtray_routersim::{FaultPlan, Guard, Outcome, WorldConfig, WorldSize, run_plan};
 use eyre::{Result, eyre};
 use std::process::ExitCode;
 use std::thread;
@@ -18,7 +18,7 @@
 
 impl Total {
     fn add(&mut self, seed: u64, outcome: &Outcome) {
-        self.asked += outcome.asked;
+        self.asked += outcome.requests;
         self.served += outcome.served;
         self.releases += outcome.releases;
         self.faults += outcome.plan.faults.len();
@@ -71,7 +71,7 @@
     for seed in seeds {
         let config = WorldConfig::sized(size, seed);
         let plan = FaultPlan::draw(seed, &config);
-        total.add(seed, &play(config, plan, off));
+        total.add(seed, &run_plan(config, plan, off));
     }
     total
 }
