--- a/crates/routersim/benches/core_cost.rs
+++ b/crates/routersim/benches/core_cost.rs
@@ -1,8 +1,8 @@
-//! Processor time of one node's core by itself, without input and output.
+//! CPU time of one node's core in isolation, without I/O.
 //!
-//! Prints for deployments of several sizes what a second without requests costs
-//! a plain node, the relay that its zone relies on, and the granter. What a plain
-//! node spends must not grow with the deployment.
+//! Prints, for deployments of several sizes, the cost of a second without requests for a plain
+//! node, for the relay of its zone and for the granter. The cost of a plain node must not grow
+//! with the deployment.
 //!
 //!     cargo bench -p beamtray-routersim --bench core_cost
 
@@ -23,25 +23,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Sizes that are measured, in nodes.
+/// Deployment sizes in nodes.
 const SIZES: [usize; 4] = [75, 150, 300, 600];
-/// Upstreams for each node, of both services together.
+/// Upstreams per node, of both services together.
 const UPSTREAMS_PER_NODE: f64 = 8.0 / 3.0;
 const ZONES: usize = 5;
-/// Simulated time before the measured second: elections and first grants.
+/// Simulated time before the measurement, for elections and first grants.
 const WARM_UP: Duration = Duration::from_secs(12);
 const MEASURED: Duration = Duration::from_secs(4);
 const STEP: Duration = Duration::from_millis(10);
-/// How long an upstream takes to answer an order.
+/// Time that an upstream takes to answer an order.
 const ORDER_ANSWER: Duration = Duration::from_millis(3);
-/// Between the words of the relay or granter that the measured node hears.
+/// Interval between the datagrams with the latest revisions that the measured node receives.
 const HEADS_PAUSE: Duration = Duration::from_millis(200);
-/// Between load reports of one node to its relay.
+/// Interval between load reports from one node to its relay.
 const REPORT_PAUSE: Duration = Duration::from_millis(30);
-/// Most slots of one upstream's address space in the made-up addresses.
+/// Number of addresses per value of the third octet in generated addresses.
 const HOSTS: usize = 250;
 
-/// What the measured node is.
+/// Role of the measured node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Plain,
@@ -74,7 +74,7 @@
     }
 }
 
-/// One core, the store that it calls, and upstreams that take every order.
+/// A core with its store and with upstreams that accept every order.
 struct Rig {
     now: Time,
     core: NodeCore,
@@ -185,7 +185,7 @@
         self.later(Duration::from_millis(4), Input::Store { task, outcome });
     }
 
-    /// What other nodes tell the measured one.
+    /// Delivers the datagrams that the measured node receives from other nodes.
     fn hear(&mut self) {
         if self.now.0.is_multiple_of(HEADS_PAUSE.as_micros() as u64) && self.role == Role::Plain {
             let (views, ..) = self.core.inspect();
--- a/crates/routersim/src/check.rs
+++ b/crates/routersim/src/check.rs
@@ -1,5 +1,5 @@
-//! Checkers. Each sees events at clients, upstreams and the store, and objects
-//! to a history in which its promise is broken.
+//! Invariant checkers. Each observes events at clients, upstreams and the store and records a
+//! violation when its invariant does not hold.
 
 mod leaving;
 mod rate_limit;
@@ -19,54 +19,53 @@
 use tokens::Tokens;
 pub use tokens::{AcceptedGrant, Holder};
 
-/// What must always hold.
+/// An invariant of every history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Two upstreams never both begin requests on a key while both hold it, nor hold it
-    /// together for long, nor is it given away while its last holder works on it.
+    /// Two upstreams never both begin requests on a key while both hold it, never hold it
+    /// together for longer than [`OVERLAP`], and a key is not granted while its last holder
+    /// still works on it.
     SoleOwner,
-    /// An upstream takes a key only under a token above all those under which others had
-    /// it.
+    /// An upstream accepts a key only under a fencing token higher than all tokens under which
+    /// other upstreams have held it.
     RisingTokens,
-    /// The same of the incarnations before it that had its name.
+    /// Like `RisingTokens`, for earlier incarnations with the same name.
     RisingTokensOfRestarts,
-    /// What may not be repeated runs once at most.
+    /// A non-repeatable request runs at most once.
     AtMostOnce,
-    /// What was refused has not run and never will.
+    /// A refused request has not run and never runs.
     RefusedNotRun,
-    /// An upstream that leaves gets nothing from connected nodes once the
-    /// drain time is over.
+    /// Connected nodes send a leaving upstream nothing after the drain time.
     Drain,
-    /// An upstream gets nothing from a node that had its word that it leaves once the drain
-    /// time is over.
+    /// A node that was told in a response that an upstream is leaving sends it nothing after
+    /// the drain time.
     LeavingWord,
-    /// An upstream of a zone that is evacuated gets nothing from connected nodes once the
-    /// time for it is over.
+    /// Connected nodes send upstreams of an evacuated zone nothing after the evacuation time.
     Evacuation,
-    /// All nodes together send an upstream that is cold no more than it may get.
+    /// All nodes together respect the cold-start rate of an upstream.
     ColdStart,
-    /// Connected nodes act by the newest configuration in time.
+    /// Connected nodes apply the newest configuration within the configuration time.
     Configuration,
-    /// A request that ended three times with the upstream that ran it comes to upstreams
-    /// no more than three times more from nodes that had the time to hear of it.
+    /// A request whose run has crashed an upstream three times reaches upstreams at most three
+    /// more times from nodes that had time to learn of it.
     PoisonKeptOff,
-    /// An upstream that names the requests a second that it takes gets not much more from
-    /// all nodes together that had such an answer.
+    /// An upstream that advertises a rate limit gets not much more from all nodes together that
+    /// have received such a response.
     RateLimit,
-    /// An upstream that asked a node for rest gets next to nothing from it meanwhile.
+    /// A node sends next to nothing to an upstream during the retry-after period it received.
     Rest,
-    /// After the troubles most requests are served again.
+    /// Most requests are served again after the last fault.
     Recovery,
 }
 
-/// One broken promise.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When.
+    /// Time of the violation.
     pub at: Time,
-    /// What happened.
+    /// Description of the violation.
     pub text: String,
 }
 
@@ -81,47 +80,48 @@
     }
 }
 
-/// Another upstream that holds a key, as seen when a request begins.
+/// Another upstream that holds a key when a request on it begins.
 #[derive(Clone, Debug)]
 pub struct OtherHolder {
-    /// The upstream.
+    /// Identity of the upstream.
     pub upstream: UpstreamId,
-    /// Since when it has held the key.
+    /// Start of its hold on the key.
     pub since: Time,
 }
 
-/// How long two upstreams may hold the same keys without requests.
+/// Maximum time for which two upstreams may hold the same keys without running requests.
 pub const OVERLAP: Duration = Duration::from_millis(500);
-/// How long a leaving upstream may get requests.
+/// Maximum time for which a leaving upstream may still get requests.
 pub const DRAIN_TIME: Duration = Duration::from_millis(2_000);
-/// How long upstreams of a zone may get requests after its evacuation was accepted.
+/// Maximum time for which upstreams of a zone may get requests after the store has acknowledged
+/// its evacuation.
 pub const EVACUATION_TIME: Duration = Duration::from_millis(5_000);
-/// How long an upstream is cold that has started during a history.
+/// Cold-start period of an upstream that starts during a history.
 pub const COLD_START: Duration = Duration::from_millis(3_000);
-/// Requests a second that it takes meanwhile.
+/// Requests per second that an upstream accepts during its cold start.
 pub const COLD_RATE: f64 = 6.7;
-/// Requests a second that it may get over all nodes, as a multiple of that.
+/// Permitted requests per second over all nodes, as a multiple of [`COLD_RATE`].
 pub const COLD_OVERAGE: f64 = 1.5;
-/// Requests a second beyond that.
+/// Requests per second permitted in addition.
 pub const COLD_SLACK: f64 = 8.0;
-/// Over which they are counted.
+/// Window in which requests to cold upstreams are counted.
 const COLD_WINDOW: Duration = Duration::from_secs(1);
-/// How long a configuration may take to be in force.
+/// Maximum time until a new configuration is in force.
 pub const CONFIGURE_TIME: Duration = Duration::from_millis(2_000);
-/// Least part of the requests served after the troubles, in percent.
+/// Minimum percentage of requests served after the last fault.
 pub const LEAST_SERVED_PERCENT: usize = 90;
 
-/// Runs of a request that ended with their upstreams when it counts as poison.
+/// Number of crashed runs after which a request counts as poison.
 const POISON_AFTER: usize = 3;
-/// Most attempts with it that may still come to upstreams once all nodes had the time
-/// to hear of that.
+/// Maximum attempts with a poison request that may still reach upstreams after all nodes had
+/// time to learn of it.
 const POISON_LET_THROUGH: usize = 3;
 
-/// Within which time nodes have the store keep what they know of such requests, while they
-/// and the store are sound.
+/// Maximum time until nodes have persisted their suspicions in the store, while they and the
+/// store are healthy.
 pub const POISON_PERSIST_TIME: Duration = Duration::from_secs(1);
 
-/// What a request did to the upstreams that ran it, over all its sendings.
+/// Upstream crashes caused by a request, over all its attempts.
 #[derive(Clone, Debug, Default)]
 struct Poison {
     ended: usize,
@@ -129,22 +129,22 @@
     let_through: usize,
 }
 
-/// All checkers.
+/// The state of all checkers and the violations found so far.
 #[derive(Clone, Debug, Default)]
 pub struct Checkers {
     violations: Vec<Violation>,
-    /// Last request begun, by upstream and key.
+    /// Start of the last request, by upstream and key.
     begun: BTreeMap<(UpstreamId, ShardKey), Time>,
     tokens: Tokens,
-    /// The same where all incarnations of a name count as one.
+    /// Tokens with all incarnations of a name counted as one holder.
     tokens_by_name: Tokens,
-    /// Numbers of names.
+    /// Number assigned to each name.
     names: BTreeMap<UpstreamName, u64>,
     once: BTreeSet<String>,
     refused: BTreeSet<String>,
     left: BTreeMap<UpstreamId, Time>,
     evacuated: BTreeMap<Zone, Time>,
-    /// Requests that reached cold upstreams within the last second.
+    /// Arrivals at cold upstreams within the last second.
     cold: BTreeMap<UpstreamId, VecDeque<Time>>,
     rate_limits: RateLimits,
     leaving: LeavingReports,
@@ -163,8 +163,8 @@
         });
     }
 
-    /// A request with a key begins to run at an upstream that has held the key
-    /// since `since`, while others hold it too.
+    /// Records that a keyed request begins at an upstream that has held the key since `since`,
+    /// while `others` hold it too.
     pub fn keyed_request_started(
         &mut self,
         at: Time,
@@ -184,20 +184,21 @@
         self.begun.insert((upstream.clone(), key), at);
     }
 
-    /// An upstream takes keys that another one still holds.
+    /// Records that an upstream accepts keys that another one still holds.
     pub fn granted_while_held(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
         let text = format!("{upstream} takes keys that {other} holds");
         self.record_violation(Invariant::SoleOwner, at, text);
     }
 
-    /// An upstream takes keys on which another one works, under a lease that still ran
-    /// when it gave them back, if it did.
+    /// Records that an upstream accepts keys on which another one still works. If the other one
+    /// has released them, its lease was still valid at that time.
     pub fn granted_during_work(&mut self, at: Time, upstream: &UpstreamId, other: &UpstreamId) {
         let text = format!("{upstream} takes keys on which {other} works");
         self.record_violation(Invariant::SoleOwner, at, text);
     }
 
-    /// An upstream takes a grant.
+    /// Records that an upstream accepts a grant, and compares its token with those of other
+    /// holders.
     pub fn grant_accepted(&mut self, at: Time, holder: &Holder, accepted_grant: AcceptedGrant) {
         let named = self.by_name(holder);
         let of_others = self.tokens_by_name.take(&named, accepted_grant);
@@ -211,7 +212,7 @@
         self.record_violation(invariant, at, text);
     }
 
-    /// The holder with a number that it shares with all incarnations of its name.
+    /// The holder with an incarnation number shared by all incarnations of its name.
     fn by_name(&mut self, holder: &Holder) -> Holder {
         let next = self.names.len() as u64;
         let number = self.names.entry(holder.id.name.clone()).or_insert(next);
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A request that may not be repeated begins to run.
+    /// Records that a non-repeatable request begins to run.
     pub fn unrepeatable_started(&mut self, at: Time, id: &str) {
         if !self.once.insert(id.to_owned()) {
             self.record_violation(Invariant::AtMostOnce, at, format!("{id} runs again"));
@@ -235,8 +236,7 @@
         }
     }
 
-    /// A client is told that its request, which may not be repeated, was
-    /// refused.
+    /// Records that a client receives a refusal of its non-repeatable request.
     pub fn refused(&mut self, at: Time, id: &str) {
         self.refused.insert(id.to_owned());
         if self.once.contains(id) {
@@ -244,8 +244,8 @@
         }
     }
 
-    /// A run of a request with that content ended with its upstream. Runs that ended with
-    /// the same upstream count each.
+    /// Records that an upstream crashed while running a request with this content. Several runs
+    /// that end in the same crash count separately.
     pub fn poison_crashed(&mut self, at: Time, content: &str) {
         let poison = self.poison.entry(content.to_owned()).or_default();
         poison.ended += 1;
@@ -254,9 +254,9 @@
         }
     }
 
-    /// All processes end at once, and the store keeps what it was told until `kept_until`. Of
-    /// requests whose last end lies too close before that nobody knows any more: they count
-    /// anew.
+    /// Records that all processes end at once while the store retains writes up to
+    /// `kept_until`. Requests whose poison threshold was reached too late to be persisted by
+    /// then are counted anew.
     pub fn forget_poison(&mut self, kept_until: Time) {
         let is_kept = |poison: &Poison| {
             let known = poison.known_at;
@@ -265,8 +265,8 @@
         self.poison.retain(|_, poison| is_kept(poison));
     }
 
-    /// A request with that content, sent at `sent` by a node that reaches the store, if not
-    /// the other nodes, comes to an upstream.
+    /// Records that a request with this content reaches an upstream. `sent` is when it was
+    /// sent, by a node that reaches the store but not necessarily the other nodes.
     pub fn poison_arrived(&mut self, sent: Time, contact: Duration, content: &str) {
         let Some(poison) = self.poison.get_mut(content) else {
             return;
@@ -285,27 +285,27 @@
         }
     }
 
-    /// The sound store acknowledged that an upstream leaves or is gone.
+    /// Records that the healthy store has acknowledged that an upstream is leaving or gone.
     pub fn upstream_left(&mut self, at: Time, upstream: &UpstreamId) {
         self.left.entry(upstream.clone()).or_insert(at);
     }
 
-    /// An upstream that was thought to leave is back.
+    /// Clears the departure of an upstream that has returned.
     pub fn upstream_returned(&mut self, upstream: &UpstreamId) {
         self.left.remove(upstream);
     }
 
-    /// The sound store acknowledged that a zone is evacuated.
+    /// Records that the healthy store has acknowledged the evacuation of a zone.
     pub fn evacuated(&mut self, at: Time, zone: &str) {
         self.evacuated.entry(zone.into()).or_insert(at);
     }
 
-    /// The evacuation of a zone was taken back.
+    /// Clears the evacuation of a zone.
     pub fn readmitted(&mut self, zone: &str) {
         self.evacuated.remove(&Zone::from(zone));
     }
 
-    /// A request of a connected node reaches an upstream of a zone.
+    /// Records that a request from a connected node reaches an upstream of a zone.
     pub fn arrived_in_zone(&mut self, at: Time, zone: &Zone, upstream: &UpstreamId) {
         let Some(evacuated) = self.evacuated.get(zone) else {
             return;
@@ -318,7 +318,7 @@
         }
     }
 
-    /// A request of any node reaches an upstream that is cold.
+    /// Records that a request from any node reaches an upstream during its cold start.
     pub fn arrived_during_cold_start(&mut self, at: Time, upstream: &UpstreamId) {
         let arrivals = self.cold.entry(upstream.clone()).or_default();
         arrivals.push_back(at);
@@ -332,7 +332,7 @@
         }
     }
 
-    /// A request of a connected node reaches an upstream.
+    /// Records that a request from a connected node reaches an upstream.
     pub fn request_arrived(&mut self, at: Time, upstream: &UpstreamId) {
         let Some(left) = self.left.get(upstream).copied() else {
             return;
@@ -344,8 +344,8 @@
         }
     }
 
-    /// A connected node acted by an older configuration than the one that was
-    /// acknowledged that long ago.
+    /// Records that a connected node used configuration `version` when `newest` was
+    /// acknowledged `age` ago.
     pub fn configuration_used(
         &mut self,
         at: Time,
@@ -363,13 +363,13 @@
         }
     }
 
-    /// A request that was sent after the troubles got its final answer.
+    /// Records the final response to a request sent after the last fault.
     pub fn recovery_answer(&mut self, served: bool) {
         self.recovery_requests += 1;
         self.recovery_served += usize::from(served);
     }
 
-    /// Ends the history.
+    /// Ends the history, checks recovery and returns all violations.
     pub fn finish(mut self, at: Time) -> Vec<Violation> {
         let (served, asked) = (self.recovery_served, self.recovery_requests);
         if served * 100 < asked * LEAST_SERVED_PERCENT {
@@ -379,7 +379,7 @@
         self.violations
     }
 
-    /// What was objected to so far.
+    /// Violations recorded so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
--- a/crates/routersim/src/check/leaving.rs
+++ b/crates/routersim/src/check/leaving.rs
@@ -1,30 +1,30 @@
-//! Requests to upstreams whose answers said that they leave.
+//! Checks requests to upstreams whose responses announced that they are leaving.
 
 use super::{Checkers, DRAIN_TIME, Invariant, Sender};
 use beamtray_catalog::UpstreamId;
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 
-/// Since when each sender has had such an answer of each upstream.
+/// Time of the first such response, by sender and upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeavingReports {
     told: BTreeMap<(Sender, UpstreamId), Time>,
 }
 
 impl Checkers {
-    /// An answer that says that its upstream leaves comes to a node.
+    /// Records that a node receives a response that announces that its upstream is leaving.
     pub fn leaving_reported(&mut self, at: Time, upstream: &UpstreamId, sender: Sender) {
         let told = self.leaving.told.entry((sender, upstream.clone()));
         told.or_insert(at);
     }
 
-    /// A node stands still: what it was told before does not bind it any more.
+    /// Discards what a paused node was told before the pause.
     pub fn forget_leaving_reports(&mut self, sender: Sender) {
         self.leaving.told.retain(|(told, _), _| *told != sender);
     }
 
-    /// A request that its client sent at `sent` reaches an upstream from a node, connected
-    /// or not.
+    /// Records that a request, sent by its client at `sent`, reaches an upstream from a node
+    /// that may be disconnected.
     pub fn arrived_after_leaving(
         &mut self,
         at: Time,
--- a/crates/routersim/src/check/rate_limit.rs
+++ b/crates/routersim/src/check/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Requests to upstreams that name the rate that they take.
+//! Checks requests to upstreams that advertise a rate limit.
 
 use super::{Checkers, Invariant};
 use beamtray_catalog::{RequestRate, UpstreamId};
@@ -6,36 +6,36 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Over which requests are counted.
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long nodes may take to keep to a rate that is new.
+/// Time within which nodes must respect a newly advertised rate.
 const CONVERGENCE_TIME: Duration = Duration::from_secs(3);
-/// How long a node has had such an answer when its requests count.
+/// Requests of a node count once it has known the rate for this long.
 const MIN_KNOWN_FOR: Duration = Duration::from_millis(500);
-/// Requests that an upstream may get, as a multiple of what it takes.
+/// Permitted requests as a multiple of the advertised rate.
 const OVERAGE: f64 = 1.5;
-/// Requests beyond that.
+/// Requests permitted in addition.
 const SLACK: f64 = 5.0;
 
-/// One run of a node.
+/// One run of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sender {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The run.
+    /// Run of its process.
     pub run: u64,
 }
 
-/// One upstream that names a rate.
+/// An upstream that advertises a rate limit.
 #[derive(Clone, Debug)]
 struct Limited {
     rate: RequestRate,
     named: Time,
-    /// Since when each sender has had such an answer.
+    /// Time of the first such response, by sender.
     told: BTreeMap<Sender, Time>,
 }
 
-/// All upstreams: who sent them what of late, and what they name.
+/// Advertised rates and recent arrivals, by upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RateLimits {
     limited: BTreeMap<UpstreamId, Limited>,
@@ -43,7 +43,7 @@
 }
 
 impl Checkers {
-    /// An upstream names a rate. One that names a higher one than before takes that.
+    /// Records that an upstream advertises a rate. A higher rate replaces the previous one.
     pub fn rate_advertised(&mut self, at: Time, upstream: &UpstreamId, rate: RequestRate) {
         let limited = Limited {
             rate,
@@ -57,20 +57,20 @@
         }
     }
 
-    /// It names none any more.
+    /// Records that an upstream no longer advertises a rate.
     pub fn rate_withdrawn(&mut self, upstream: &UpstreamId) {
         self.rate_limits.limited.remove(upstream);
     }
 
-    /// An answer that names the rate comes to a node.
+    /// Records that a node receives a response that advertises the rate.
     pub fn rate_reported(&mut self, at: Time, upstream: &UpstreamId, sender: Sender) {
         if let Some(limited) = self.rate_limits.limited.get_mut(upstream) {
             limited.told.entry(sender).or_insert(at);
         }
     }
 
-    /// A request of some node reaches an upstream. Nodes that were disturbed of late are
-    /// excused.
+    /// Records that a request reaches an upstream. Requests of nodes with a recent fault are
+    /// not counted.
     pub fn arrived_rate_limited(
         &mut self,
         at: Time,
--- a/crates/routersim/src/check/rest.rs
+++ b/crates/routersim/src/check/rest.rs
@@ -1,4 +1,4 @@
-//! Requests to upstreams that asked the node that sends them for rest.
+//! Checks requests to upstreams during the retry-after period that they sent to a node.
 
 use super::{Checkers, Invariant, Sender};
 use beamtray_catalog::UpstreamId;
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after the answer requests that were under way may come.
+/// Time after the response during which requests already in flight may arrive.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
-/// Requests that may come after that.
+/// Maximum requests that may arrive after that.
 const MAX_ARRIVALS: u32 = 2;
 
-/// One answer that asked for rest, and what came in spite of it.
+/// One retry-after response and the requests that arrived in spite of it.
 #[derive(Clone, Copy, Debug)]
 struct RetryAfterPeriod {
     at: Time,
@@ -19,14 +19,14 @@
     arrived: u32,
 }
 
-/// The rests that upstreams asked nodes for and that are not over.
+/// Unexpired retry-after periods, by sender and upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryAfterPeriods {
     asked: BTreeMap<(Sender, UpstreamId), Vec<RetryAfterPeriod>>,
 }
 
 impl Checkers {
-    /// An upstream turns a node's request away and asks it for rest.
+    /// Records that an upstream rejects a node's request with a retry-after period.
     pub fn retry_after_sent(
         &mut self,
         at: Time,
@@ -43,12 +43,12 @@
         all.or_default().push(asked);
     }
 
-    /// A node stood still, or was cut off: what it was asked for before does not bind it.
+    /// Discards the retry-after periods of a node that was paused or partitioned.
     pub fn forget_retry_after(&mut self, sender: Sender) {
         self.rests.asked.retain(|(asked, _), _| *asked != sender);
     }
 
-    /// A request reaches an upstream from a node.
+    /// Records that a request from a node reaches an upstream.
     pub fn arrived_during_retry_after(&mut self, at: Time, upstream: &UpstreamId, sender: Sender) {
         let Some(all) = self.rests.asked.get_mut(&(sender, upstream.clone())) else {
             return;
--- a/crates/routersim/src/check/tokens.rs
+++ b/crates/routersim/src/check/tokens.rs
@@ -1,33 +1,33 @@
-//! Under which tokens upstreams had each key.
+//! Tracks the fencing tokens under which upstreams have held each key.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::KeyRange;
 use std::fmt;
 
-/// An upstream, in one of its lives or over all that have its name, by what stands for the
-/// incarnation.
+/// An upstream. `incarnation` identifies one process or, when incarnations are merged, all
+/// processes with its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// Its number.
+    /// Index of the upstream.
     pub index: usize,
-    /// Its incarnation.
+    /// Number of its incarnation.
     pub incarnation: u64,
-    /// Its name.
+    /// Its identity.
     pub id: UpstreamId,
 }
 
-/// A grant as an upstream takes it.
+/// A grant that an upstream accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedGrant {
-    /// The keys.
+    /// The granted keys.
     pub range: KeyRange,
-    /// The token.
+    /// The fencing token.
     pub token: u64,
-    /// Whether it tells against the router if the token is too low.
+    /// Whether a token that is too low counts as a violation.
     pub is_counted: bool,
 }
 
-/// A token under which an upstream had a key.
+/// A token under which an upstream has held a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct TokenUse {
     token: u64,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The highest token of a key, and the highest of all other holders.
+/// The highest token of a key and the highest among its other holders.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyTokens {
     highest: TokenUse,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A token that is not above all under which others had the keys.
+/// A token that is not higher than all tokens of other holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TokenTooLow {
     token: u64,
@@ -102,7 +102,7 @@
 }
 
 impl Tokens {
-    /// An upstream has keys from now on.
+    /// Records an accepted grant and returns an error value if its token is too low.
     pub fn take(&mut self, holder: &Holder, accepted_grant: AcceptedGrant) -> Option<TokenTooLow> {
         let range = accepted_grant.range;
         let keys = &mut self.keys[usize::from(range.first.0)..=usize::from(range.last.0)];
--- a/crates/routersim/src/dialect.rs
+++ b/crates/routersim/src/dialect.rs
@@ -1,5 +1,5 @@
-//! Values of the emulated store: numbers of entries in a shared list, so that
-//! the world needs no format of its own.
+//! Dialect of the simulated world. Stored values are indices into a shared list, so no
+//! serialization format is needed.
 
 use beamtray_catalog::{AdvertisedRate, Configuration, LeavingStatus, RetryAfter, UpstreamRecord};
 use beamtray_dialect::{
@@ -32,7 +32,7 @@
     upstream_prefix: "upstreams/",
 };
 
-/// Values that the world put into the store.
+/// Values written to the store.
 #[derive(Debug, Default)]
 struct Values {
     configurations: Vec<Configuration>,
@@ -46,14 +46,14 @@
 }
 
 impl SimDialect {
-    /// The value that stands for a configuration.
+    /// Returns the stored value for a configuration.
     pub fn encode_configuration(&self, configuration: Configuration) -> Vec<u8> {
         let mut values = self.values.borrow_mut();
         values.configurations.push(configuration);
         number(values.configurations.len() - 1)
     }
 
-    /// The value that stands for a registration.
+    /// Returns the stored value for a registration.
     pub fn encode_upstream(&self, record: UpstreamRecord) -> Vec<u8> {
         let mut values = self.values.borrow_mut();
         values.upstreams.push(record);
--- a/crates/routersim/src/fault.rs
+++ b/crates/routersim/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults as data.
+//! Fault plans: which faults occur in a history, when and for how long.
 
 use crate::world::WorldConfig;
 use beamtray_types::Time;
@@ -7,201 +7,202 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// What goes wrong, or is planned.
+/// A kind of fault or of planned operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A node is killed and started again after the time.
+    /// A node is killed and restarted when the fault ends.
     NodeKill {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
     },
     /// All nodes are killed at once.
     KillAll,
-    /// A node stands still.
+    /// A node's process is paused.
     NodeFreeze {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
     },
-    /// A node's machine is suspended: its steady clock does not count that time.
+    /// A node's machine is suspended; its monotonic clock does not include that time.
     NodeSuspend {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
     },
-    /// A node is slow: each order that it gives takes that long, one after the other.
+    /// A node is slow: it sends orders one at a time, and each takes `order_ms`.
     NodeSlow {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
-        /// Milliseconds for each order.
+        /// Milliseconds per order.
         order_ms: u64,
     },
-    /// A node loses the store, silently.
+    /// Packets between a node and the store are dropped.
     StoreCut {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
     },
-    /// A node loses all other nodes.
+    /// A node is partitioned from all other nodes.
     PeerCut {
         /// The node.
         node: usize,
     },
-    /// A node is told to stop, and started again after the time.
+    /// A node is stopped gracefully and restarted when the fault ends.
     Stop {
         /// The node.
         node: usize,
     },
-    /// The store is silent.
+    /// The store does not respond.
     StoreDown {
-        /// Whether leases run out meanwhile.
+        /// Whether leases expire during the outage.
         lapse: bool,
     },
-    /// The store is silent and comes back from a copy of itself that is older than its
-    /// silence. What operators and upstreams wrote since is written again.
+    /// The store does not respond, then resumes from a snapshot older than the outage.
+    /// Operators and upstreams repeat what they have written since the snapshot.
     StoreGoesBack {
-        /// How old the copy is when the silence begins, in milliseconds.
+        /// Age of the snapshot when the outage begins, in milliseconds.
         back_ms: u64,
     },
-    /// Answers to writes are lost; the writes are done, some of them late.
+    /// Responses to writes are lost; the writes are applied, some of them late.
     StoreLost {
-        /// Part of the writes, in percent.
+        /// Percentage of affected writes.
         percent: u32,
-        /// Whether they are done 1 to 6 s later.
+        /// Whether they are applied 1 to 6 s late.
         late: bool,
     },
-    /// Watches hear nothing for a second, then the history is gone.
+    /// Watches receive nothing for a second, then the store's revision history is compacted.
     Compact,
-    /// An upstream ends at once and comes back as another.
+    /// An upstream crashes and is replaced by one with another name.
     UpstreamCrash {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Whether its address falls silent instead of refusing.
+        /// Whether connections to its address time out instead of being refused.
         dark: bool,
     },
-    /// An upstream ends at once and starts again under its name, if it tells its birth;
-    /// else it comes back as another.
+    /// An upstream crashes. It restarts under its name if it reports its birth, otherwise under
+    /// another name.
     UpstreamRestart {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Whether its address falls silent instead of refusing.
+        /// Whether connections to its address time out instead of being refused.
         dark: bool,
     },
-    /// An upstream says that it leaves, serves on for a while and ends.
+    /// An upstream announces that it is leaving, keeps serving for a while and ends.
     UpstreamDrain {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Whether it takes its registration back instead of saying so.
+        /// Whether it deletes its registration instead of announcing that it is leaving.
         abrupt: bool,
     },
-    /// An upstream leaves and says so in its answers; the store hears of it after the time.
+    /// An upstream announces in its responses that it is leaving; its registration says so only
+    /// when the fault ends.
     UpstreamLeaves {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
     },
-    /// An upstream turns all requests away and asks those who sent them for rest.
+    /// An upstream rejects all requests with a retry-after period.
     UpstreamRests {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Milliseconds that it asks for.
+        /// Retry-after period in milliseconds.
         rest_ms: u64,
     },
-    /// An upstream can't reach the store, so its registration vanishes.
+    /// An upstream cannot reach the store, so its registration expires.
     UpstreamCut {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
     },
-    /// Nothing comes to an upstream, or leaves it, over some of its links. What was
-    /// written to them before and meanwhile comes after.
+    /// Some links of an upstream are down in both directions. Data written to them before and
+    /// during the cut is delivered afterwards.
     UpstreamUnreachable {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Which links.
+        /// The links that are down.
         from: CutFrom,
     },
-    /// An upstream is in need: its answers name the requests a second that it takes.
+    /// An upstream is overloaded: its responses advertise a rate limit.
     UpstreamInNeed {
-        /// Its number.
+        /// Index of the upstream.
         upstream: usize,
-        /// Requests in a thousand seconds.
+        /// Rate limit in requests per 1,000 seconds.
         rate_milli: u32,
     },
-    /// A node's machine loses power, and starts again after the time.
+    /// A node's machine loses power and boots when the fault ends.
     NodePowerLoss {
-        /// The node; the granter for none.
+        /// The affected node; `None` selects the granter.
         node: Option<usize>,
     },
-    /// The operators evacuate a zone, and take that back after the time.
+    /// Operators evacuate a zone and readmit it when the fault ends.
     ZoneEvacuation {
-        /// The zone's name.
+        /// Name of the zone.
         zone: &'static str,
     },
-    /// Orders to upstreams get no answer, and are taken 2 to 12 s later.
+    /// Orders to upstreams are not answered, and are carried out 2 to 12 s later.
     OrdersLate {
-        /// Part of the orders, in percent.
+        /// Percentage of affected orders.
         percent: u32,
     },
-    /// Upstreams lose answers of requests that ran.
+    /// Responses to requests that have run are lost.
     AnswersLost {
-        /// Part of the answers, in percent.
+        /// Percentage of lost responses.
         percent: u32,
     },
-    /// A standby of the granter and an upstream are cut off from everything else
-    /// together: they reach each other, and nothing else reaches either.
+    /// A standby of the granter and an upstream are partitioned from everything else but can
+    /// reach each other.
     StandbyIsland {
-        /// The upstream's number.
+        /// Index of the upstream.
         upstream: usize,
     },
-    /// The same with the granter instead of a standby.
+    /// Like `StandbyIsland`, with the granter instead of a standby.
     GranterIsland {
-        /// The upstream's number.
+        /// Index of the upstream.
         upstream: usize,
     },
-    /// Callers send one request again and again, all at the same moment and each to any
-    /// node, that ends each upstream which begins to run it.
+    /// Callers repeatedly send the same request, all at the same moment and each to an
+    /// arbitrary node. It crashes each upstream that begins to run it.
     PoisonRequest {
-        /// Whether it is a read by key, which may be repeated, or an order.
+        /// Whether it is a keyed read, which is repeatable, or an order, which is not.
         is_read: bool,
-        /// Milliseconds between two sendings.
+        /// Milliseconds between two requests.
         pause_ms: u64,
-        /// How many they are, each at an address of its own.
+        /// Number of callers, each with its own address.
         callers: u8,
     },
-    /// Clients ask for one thing again and again, each time at any node; it harms nobody.
+    /// Clients repeatedly send the same harmless request, each time to an arbitrary node.
     PopularRequest {
-        /// Whether it is a read by key, which may be repeated, or an order.
+        /// Whether it is a keyed read, which is repeatable, or an order, which is not.
         is_read: bool,
-        /// Milliseconds between two sendings.
+        /// Milliseconds between two requests.
         pause_ms: u64,
-        /// Whether all requests say the same; else each says something else of the same
-        /// key, to compare with.
+        /// Whether all requests have the same content. Otherwise the contents differ and only
+        /// the key is the same, as a baseline.
         says_the_same: bool,
     },
-    /// One key gets much of the traffic.
+    /// One key receives a large share of the traffic.
     HotKey,
-    /// A new configuration.
+    /// A new configuration is written to the store.
     Configure,
 }
 
-/// Links of an upstream that are cut.
+/// Links of an upstream that are down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CutFrom {
-    /// Those to all nodes and to the store.
+    /// The links to all nodes and to the store.
     Everything,
-    /// Those to these nodes.
+    /// The links to these nodes.
     Nodes(Vec<usize>),
 }
 
-/// One fault.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins.
+    /// Start of the fault.
     pub at: Time,
-    /// How long it lasts, where that fits.
+    /// Duration, for kinds that have one.
     pub duration: Duration,
-    /// What it is.
+    /// Kind of fault.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// A fault at so many milliseconds that lasts so many.
+    /// A fault with its start and duration in milliseconds.
     pub fn new(at_ms: u64, duration_ms: u64, kind: FaultKind) -> Self {
         Self {
             at: Time(at_ms * 1_000),
@@ -211,15 +212,15 @@
     }
 }
 
-/// Faults of one history.
+/// The faults of one history.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultPlan {
-    /// In any order.
+    /// Faults in any order.
     pub faults: Vec<Fault>,
 }
 
 impl FaultPlan {
-    /// Draws the faults of a seed.
+    /// Draws the faults for a seed.
     pub fn draw(seed: u64, config: &WorldConfig) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xFA17);
         let count = random.random_range(2..9);
@@ -240,8 +241,9 @@
         Self { faults }
     }
 
-    /// The same, with upstreams that say that they leave or ask for rest, and with a store that
-    /// goes back. Histories of seeds that tests name were found without these.
+    /// Like [`FaultPlan::draw`], plus upstreams that announce leaving or send retry-after
+    /// periods, and store rollbacks. These are kept apart because the seeds named in tests were
+    /// found without them.
     pub fn draw_extended(seed: u64, config: &WorldConfig) -> Self {
         let mut plan = Self::draw(seed, config);
         plan.faults.extend(draw_leaving(seed, config));
@@ -252,8 +254,8 @@
     }
 }
 
-/// In one history of four, a request that ends upstreams: from a generator of its own,
-/// so that the other faults of a seed stay what they were.
+/// Draws a request that crashes upstreams, in one history of four. Uses its own generator so
+/// that the other faults of a seed do not change.
 fn draw_poison(seed: u64, config: &WorldConfig) -> Option<Fault> {
     const PERCENT: u32 = 25;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x9015_0000);
@@ -262,7 +264,7 @@
     }
     Some(Fault {
         at: Time::ZERO + config.warm_up_time + Duration::from_millis(random.random_range(0..4_000)),
-        // It ends with the other troubles: each upstream that it ends takes its keys with it
+        // Ends with the other faults, because each crashed upstream makes its keys unavailable
         // for seconds.
         duration: config.fault_window,
         kind: FaultKind::PoisonRequest {
@@ -273,7 +275,7 @@
     })
 }
 
-/// In one history of six, machines are suspended: from a generator of its own, as above.
+/// Draws machine suspensions, in one history of six, with its own generator.
 fn draw_suspensions(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 6;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x51EE_0000);
@@ -298,12 +300,12 @@
         .collect()
 }
 
-/// In one history of four, an upstream is out of reach for longer than a hold and its
-/// transit, in half of these while the granter loses power or is killed: from a generator
-/// of its own, as above.
+/// Draws an upstream that is unreachable for longer than a hold plus its transit time, in one
+/// history of four. In half of these the granter also loses power or is killed. Uses its own
+/// generator.
 fn draw_unreachable(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 4;
-    /// Between the cut and what befalls the granter.
+    /// Maximum delay between the cut and the granter's fault.
     const AFTER_MS: u64 = 1_000;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xC07_0000);
     if !random.random_ratio(1, ONE_IN) {
@@ -341,8 +343,8 @@
     [unreachable].into_iter().chain(granter).collect()
 }
 
-/// In one history of three, upstreams are in need for longer than it may take to keep to what
-/// they name: from a generator of its own, as above.
+/// Draws overloaded upstreams, in one history of three, for longer than nodes may take to
+/// respect the advertised rate. Uses its own generator.
 fn draw_need(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 3;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x11E_0000);
@@ -357,8 +359,8 @@
     })
 }
 
-/// In one history of four, upstreams say in their answers that they leave, seconds before the
-/// store hears of it: from a generator of its own, as above.
+/// Draws upstreams that announce in their responses that they are leaving, seconds before their
+/// registration says so, in one history of four. Uses its own generator.
 fn draw_leaving(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 4;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x1EAE_0000);
@@ -372,8 +374,8 @@
     })
 }
 
-/// In one history of four, upstreams turn requests away and ask for rest: from a generator of
-/// its own, as above.
+/// Draws upstreams that reject requests with a retry-after period, in one history of four. Uses
+/// its own generator.
 fn draw_rests(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 4;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x2E57_0000);
@@ -388,8 +390,8 @@
     })
 }
 
-/// In one history of six, the store goes back, in half of these while the granter or all nodes
-/// are killed: from a generator of its own, as above.
+/// Draws a store rollback, in one history of six. In half of these the granter or all nodes are
+/// also killed. Uses its own generator.
 fn draw_going_back(seed: u64, config: &WorldConfig) -> Vec<Fault> {
     const ONE_IN: u32 = 6;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xE2A_0000);
@@ -423,8 +425,8 @@
         .collect()
 }
 
-/// Draws a number of faults of one sort that begin in the troubled time and last so many
-/// milliseconds.
+/// Draws faults of one kind that begin within the fault window, with durations from
+/// `duration_ms`.
 fn draw_some(
     random: &mut ChaCha8Rng,
     config: &WorldConfig,
--- a/crates/routersim/src/guard.rs
+++ b/crates/routersim/src/guard.rs
@@ -1,48 +1,49 @@
-//! Protections that can be switched off, to see what each is for.
+//! Safety mechanisms that a test can disable one at a time to show which invariant each one
+//! upholds.
 
 use crate::check::Invariant;
 
-/// One protection.
+/// A safety mechanism of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// A grant waits until a record names its holder.
+    /// A grant is sent only after the assignment record in the store names its holder.
     RecordFirst,
-    /// A silent holder keeps its slices until its grants ran out.
+    /// Slices of an unresponsive holder are reassigned only after its grants have expired.
     LapseWait,
-    /// A new granter counts the grants of the one before as in force.
+    /// A new granter treats the grants of its predecessor as in force.
     PredecessorWait,
-    /// A grant without an answer counts as taken.
+    /// An unanswered grant counts as accepted.
     UnansweredCounts,
-    /// Keys of a silent holder wait until no standby can prolong its hold.
+    /// Keys of an unresponsive holder are withheld until no standby can renew its hold.
     StandbyWait,
-    /// A holder that lost keys without an answer is told until it answers.
+    /// Orders about lost keys are resent to their former holder until it answers.
     LostHolderFence,
-    /// A holder whose connection was lost is renewed under fresh tokens.
+    /// A holder whose connection was lost is renewed under new fencing tokens.
     TokenRenewal,
-    /// What may not be repeated is sent again only on proof.
+    /// A non-repeatable request is retried only with proof that it has not run.
     ProofBeforeRepeat,
-    /// Doubt about a missing registration is short.
+    /// The grace period for a missing registration is short.
     ShortDoubt,
-    /// Nodes tell each other of requests that end upstreams.
+    /// Nodes share suspicions about requests that crash upstreams.
     SuspicionsTold,
-    /// The granter keeps in the store which requests those are.
+    /// The granter persists those suspicions in the store.
     SuspicionsKept,
-    /// Time asleep counts.
+    /// Clocks include the time for which the machine was suspended.
     BootClock,
-    /// Requests to upstreams that name a rate need permits.
+    /// Requests to upstreams that advertise a rate limit need permits.
     NamedRates,
-    /// Upstreams that say in answers that they leave are leavers.
+    /// Upstreams that announce in responses that they are leaving are treated as leaving.
     LeavingWords,
-    /// Nothing is sent to upstreams that asked for rest.
+    /// No requests are sent to upstreams during their retry-after period.
     Rests,
-    /// Records that the store may have gone back from are doubted.
+    /// Records that may predate a rollback of the store are not trusted.
     RecordDoubt,
-    /// Keys wait until no grant that their holder may have left lying can be in force.
+    /// Keys are withheld until no grant that their holder may have delayed can be in force.
     DoubtWait,
 }
 
 impl Guard {
-    /// All protections.
+    /// All guards.
     pub const ALL: [Guard; 17] = [
         Guard::RecordFirst,
         Guard::LapseWait,
@@ -63,7 +64,7 @@
         Guard::DoubtWait,
     ];
 
-    /// The promise that is broken without it.
+    /// The invariant that is violated without the guard.
     pub fn invariant(self) -> Invariant {
         match self {
             Guard::RecordFirst
--- a/crates/routersim/src/lib.rs
+++ b/crates/routersim/src/lib.rs
@@ -1,7 +1,6 @@
-//! Model checking of the router by simulation: real cores of several nodes,
-//! an emulated store and emulated upstreams on one virtual clock, faults drawn
-//! from a seed, and checkers that see only what clients, upstreams and the
-//! store see.
+//! Deterministic simulation testing of the router. Several real node cores run against an
+//! emulated store and emulated upstreams on one virtual clock. Faults are drawn from a seed,
+//! and the checkers observe only what clients, upstreams and the store can observe.
 
 mod check;
 mod dialect;
@@ -17,21 +16,21 @@
     CloseMode, Outcome, SuspicionCosts, World, WorldConfig, WorldSize, default_settings,
 };
 
-/// Runs the history of a seed in a world of that size.
+/// Runs the history drawn from a seed in a world of the given size.
 pub fn run_seed(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
     let plan = FaultPlan::draw(seed, &config);
     World::new(config, plan).run()
 }
 
-/// The same with further kinds of trouble: see [`FaultPlan::draw_extended`].
+/// Like [`run_seed`], with the additional fault kinds of [`FaultPlan::draw_extended`].
 pub fn run_seed_extended(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
     let plan = FaultPlan::draw_extended(seed, &config);
     World::new(config, plan).run()
 }
 
-/// Runs a history of given faults, with a protection switched off or none.
+/// Runs a history with the given faults and, optionally, with one guard disabled.
 pub fn run_plan(
     mut config: WorldConfig,
     plan: FaultPlan,
--- a/crates/routersim/src/world.rs
+++ b/crates/routersim/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world.
+//! The simulated deployment: nodes, store, upstreams, clients and network on one virtual clock.
 
 mod clients;
 mod faults;
@@ -40,33 +40,33 @@
 use std::time::Duration;
 use stores::StoreState;
 
-/// Before the first tick of a node.
+/// Delay before the first tick of a node.
 pub(crate) const TICK: Duration = Duration::from_millis(10);
-/// Between looks at waiting watches and registrations.
+/// Interval between checks of pending watches and registrations.
 pub(crate) const HOUSEKEEPING: Duration = Duration::from_millis(20);
-/// How long a node must have been undisturbed to count as connected.
+/// Time without faults after which a node counts as connected.
 pub(crate) const CONNECTED_AFTER: Duration = Duration::from_millis(3_000);
-/// Between an upstream's writes of its registration.
+/// Interval at which an upstream writes its registration.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_300);
 
-/// The divided service.
+/// The sharded service.
 pub(crate) const KEYED: &str = "keyed";
-/// The other service.
+/// The unsharded service.
 pub(crate) const POOL: &str = "pool";
-/// Path of reads by key.
+/// Path prefix of keyed reads.
 pub(crate) const READ: &str = "/read/";
-/// Path of orders, which may not be repeated.
+/// Path prefix of orders, which are not repeatable.
 pub(crate) const ORDER: &str = "/order/";
-/// The only host.
+/// Host of all routes.
 pub(crate) const HOST: &str = "host";
 
-/// Sizes of worlds.
+/// Size of a world.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorldSize {
-    /// As the seed says; one in twelve has many nodes.
+    /// Drawn from the seed; one world in twelve has many nodes.
     #[default]
     Drawn,
-    /// So many nodes that they tell each other of requests through relays.
+    /// Enough nodes that they share suspicions through relays.
     Many,
     /// Hundreds of nodes and upstreams.
     Large,
@@ -88,30 +88,30 @@
 /// Size and length of a history.
 #[derive(Clone, Debug)]
 pub struct WorldConfig {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams of the divided service.
+    /// Number of upstreams of the sharded service.
     pub keyed: usize,
-    /// Upstreams of the other service.
+    /// Number of upstreams of the unsharded service.
     pub pool: usize,
-    /// Time before the first request.
+    /// Warm-up period before the first request.
     pub warm_up_time: Duration,
-    /// Time in which faults begin.
+    /// Period in which faults begin.
     pub fault_window: Duration,
-    /// Time after that.
+    /// Period after the fault window.
     pub recovery_window: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u64,
-    /// Protection that is switched off.
+    /// Guard that is disabled, if any.
     pub disabled_guard: Option<Guard>,
-    /// What becomes of an order that a node gives up.
+    /// How a node closes the connection of an order that timed out.
     pub close_mode: CloseMode,
 }
 
 impl WorldConfig {
-    /// The world of a seed.
+    /// The world drawn from a seed.
     pub fn drawn(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Self {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The world of a seed, of that size.
+    /// The world of the given size drawn from a seed.
     pub fn sized(size: WorldSize, seed: u64) -> Self {
         let drawn = Self::drawn(seed);
         match size {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A world of hundreds of nodes, shorter than others since it takes long.
+    /// A world of hundreds of nodes. Its history is shorter because it takes long to simulate.
     fn large(seed: u64) -> Self {
         Self {
             nodes: 300,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Upstreams of both services.
+    /// Number of upstreams of both services.
     pub fn upstreams(&self) -> usize {
         self.keyed + self.pool
     }
@@ -165,18 +165,17 @@
         Time::ZERO + self.warm_up_time + self.fault_window + self.recovery_window
     }
 
-    /// From when on requests tell whether everything has recovered.
+    /// Start of the period whose requests count for the recovery invariant.
     fn late(&self) -> Time {
         self.end() - Duration::from_secs(4)
     }
 }
 
-/// One history in this many has so many nodes that they tell each other of
-/// requests through relays.
+/// One history in this many has enough nodes that they share suspicions through relays.
 const MANY_NODES_ONE_IN: u64 = 12;
-/// How many more nodes it has.
+/// Number of additional nodes in such a history.
 const MORE_NODES: usize = 15;
-/// Most nodes of other histories.
+/// Maximum number of nodes in other histories.
 const MOST_FEW_NODES: usize = 8;
 
 fn draw_nodes(random: &mut ChaCha8Rng, seed: u64) -> usize {
@@ -187,42 +186,42 @@
     few
 }
 
-/// Settings of one of the world's nodes.
+/// Settings of one simulated node.
 pub fn default_settings(node: usize) -> NodeSettings {
     nodes::settings(node)
 }
 
-/// What nodes did about requests that were suspected of ending upstreams.
+/// Cost of handling requests suspected of crashing upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuspicionCosts {
-    /// Lines that all nodes together would have written.
+    /// Log lines that all nodes together would have written.
     pub log_lines: usize,
-    /// Suspicions in datagrams that they sent, counted at each receiver.
+    /// Suspicions in datagrams, counted once per receiver.
     pub suspicions_received: usize,
-    /// Most fingerprints that one node remembered at a time.
+    /// Maximum number of fingerprints remembered by one node at a time.
     pub peak_fingerprints: usize,
 }
 
-/// How a history ended.
+/// Result of a history.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Promises that were broken.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Requests that clients sent.
+    /// Number of requests sent by clients.
     pub requests: usize,
-    /// Requests that were answered by an upstream.
+    /// Number of requests answered by an upstream.
     pub served: usize,
-    /// Requests that were refused since upstreams ended under others that say the same.
+    /// Number of requests refused because upstreams crashed on requests with the same content.
     pub quarantined: usize,
-    /// What nodes did about requests that were suspected.
+    /// Cost of handling suspected requests.
     pub suspicion: SuspicionCosts,
-    /// Slices that moved, as the upstreams saw it.
+    /// Number of slices released by upstreams.
     pub releases: usize,
     /// Faults of the history.
     pub plan: FaultPlan,
 }
 
-/// A request as the world follows it.
+/// A client request in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub id: String,
@@ -230,14 +229,14 @@
     pub key: Option<ShardKey>,
     pub repeatable: bool,
     pub is_late: bool,
-    /// When its client sent it.
+    /// Time at which the client sent the request.
     pub at: Time,
     pub work: Duration,
-    /// Its content, where that ends the upstreams that run it.
+    /// Content of the request, if it crashes the upstreams that run it.
     pub poison: Option<String>,
 }
 
-/// The simulated world.
+/// The simulated deployment: nodes, store, upstreams, clients and network on one virtual clock.
 pub struct World {
     pub(crate) config: WorldConfig,
     pub(crate) random: ChaCha8Rng,
@@ -255,9 +254,9 @@
     pub(crate) orders_late_percent: u32,
     pub(crate) answers_lost_percent: u32,
     pub(crate) hot_key: Option<ShardKey>,
-    /// Number of the last attempt of all nodes.
+    /// Number of the last attempt, over all nodes.
     pub(crate) last_attempt: u32,
-    /// Last attempt that ended, by request.
+    /// Last completed attempt, by request.
     pub(crate) ended_attempts: BTreeMap<(usize, u64, Ticket), u32>,
     pub(crate) asked: BTreeMap<(usize, u64, Ticket), ClientRequest>,
     pub(crate) configurations: Vec<(Time, u64)>,
@@ -271,7 +270,7 @@
 }
 
 impl World {
-    /// A world in which nothing has started.
+    /// Creates a world in which nothing has started yet.
     pub fn new(config: WorldConfig, plan: FaultPlan) -> Self {
         let random = ChaCha8Rng::seed_from_u64(config.seed ^ 0x0057_0F1D);
         let mut world = Self {
@@ -328,7 +327,7 @@
         self.schedule(self.config.warm_up_time, Event::Client);
     }
 
-    /// Puts the next configuration into the store.
+    /// Writes the next configuration version to the store.
     pub(crate) fn configure(&mut self) {
         let version = self.configurations.last().map_or(1, |(_, last)| last + 3);
         let value = self.dialect.encode_configuration(configuration(version));
@@ -336,7 +335,7 @@
         self.configurations.push((self.now, version));
     }
 
-    /// Puts the newest configuration into the store once more.
+    /// Writes the newest configuration to the store again.
     pub(crate) fn write_configuration_again(&mut self) {
         let Some((_, version)) = self.configurations.last().copied() else {
             return;
@@ -345,13 +344,13 @@
         self.store.put(self.now, "operator/configuration", value);
     }
 
-    /// Puts the evacuation of a zone into the store.
+    /// Writes the evacuation of a zone to the store.
     pub(crate) fn evacuate(&mut self, zone: &str) {
         self.store.put(self.now, &evacuation_key(zone), Vec::new());
         self.checkers.evacuated(self.now, zone);
     }
 
-    /// Takes it back.
+    /// Deletes the evacuation of a zone.
     pub(crate) fn end_evacuation(&mut self, zone: &str) {
         self.store.delete(self.now, &evacuation_key(zone));
         self.checkers.readmitted(zone);
@@ -379,12 +378,12 @@
         self.next_request
     }
 
-    /// Whether requests count for the recovery.
+    /// Whether requests sent now count for the recovery invariant.
     pub(crate) fn is_late(&self) -> bool {
         self.now >= self.config.late() && self.now < self.config.end() - Duration::from_secs(2)
     }
 
-    /// The configuration that a history begins with.
+    /// The initial configuration of a history.
     pub fn default_configuration() -> Configuration {
         configuration(1)
     }
@@ -417,7 +416,7 @@
     format!("operator/evacuation/{zone}")
 }
 
-/// A configuration whose versions differ in nothing else.
+/// A configuration whose content is the same for every version.
 fn configuration(version: u64) -> Configuration {
     let route = |name: &str, prefix: &str, service: &str, repeatable, priority| Route {
         name: name.to_owned(),
--- a/crates/routersim/src/world/clients.rs
+++ b/crates/routersim/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask, and the answers that they get.
+//! Simulated clients: their requests and the responses they receive.
 
 use super::network::{Event, Run};
 use super::{ClientRequest, HOST, ORDER, READ, World};
@@ -9,16 +9,16 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Part of the requests that have a key, in percent.
+/// Percentage of requests that are keyed reads.
 const READ_PERCENT: u32 = 65;
-/// Part of the reads that are of the hot key while there is one, in percent.
+/// Percentage of reads that use the hot key while there is one.
 const HOT_KEY_PERCENT: u32 = 40;
-/// Where all clients call from whose address does not matter.
+/// Address of all clients whose address does not matter.
 pub(super) const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
-/// How long a client waits.
+/// Time for which a client waits for a response.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a client's request says.
+/// Head of a client's request.
 pub(super) fn request_head(
     id: &str,
     path: String,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A request got a final answer that is not an upstream's.
+    /// Handles a final response that does not come from an upstream.
     pub(super) fn concluded(&mut self, node: usize, run: Run, ticket: Ticket, refused: bool) {
         let Some(asked) = self.asked.remove(&(node, run, ticket)) else {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A request got an upstream's answer.
+    /// Handles a response from an upstream.
     pub(super) fn answered(&mut self, node: usize, run: Run, ticket: Ticket) {
         let Some(asked) = self.asked.remove(&(node, run, ticket)) else {
             return;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The connections of a node's clients end with its process.
+    /// Drops the requests of a node's clients, whose connections end with its process.
     pub(super) fn forget_clients_of(&mut self, node: usize) {
         self.asked.retain(|_, asked| asked.node != node);
     }
--- a/crates/routersim/src/world/faults.rs
+++ b/crates/routersim/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults begin and end.
+//! Start and end of faults.
 
 use super::World;
 use super::network::Event;
@@ -9,9 +9,9 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// How long watches hear nothing before the history goes.
+/// Time for which watches receive nothing before the store compacts its revision history.
 const COMPACTION_DELAY: Duration = Duration::from_secs(1);
-/// Pause after which an upstream tries again to tell the store that it leaves.
+/// Interval at which an upstream retries to write to the store that it is leaving.
 const STORE_RETRY: Duration = Duration::from_millis(200);
 
 impl World {
@@ -147,7 +147,7 @@
         let kind = fault.kind;
         let duration = match kind {
             FaultKind::Compact => COMPACTION_DELAY,
-            // A node that was told to stop ends within its grace.
+            // A node that is stopping ends within its grace period.
             FaultKind::Stop { .. } => Duration::from_secs(4),
             _ => duration,
         };
@@ -166,7 +166,7 @@
         state.cut_since = Some(self.now);
     }
 
-    /// A node is disturbed: the rests that it was asked for before don't count.
+    /// Discards the retry-after periods that a disturbed node received before.
     fn forget_retry_after(&mut self, node: usize) {
         let run = self.nodes[node].run;
         self.checkers.forget_retry_after(Sender { node, run });
--- a/crates/routersim/src/world/links.rs
+++ b/crates/routersim/src/world/links.rs
@@ -1,9 +1,9 @@
-//! Links between nodes and upstreams, and orders that were written to them.
+//! Links between nodes and upstreams, and orders written to them.
 //!
-//! What is written to a connection is the kernel's: it sends the bytes again until they are
-//! acknowledged, also over a cut, and also after the sender has closed the connection in
-//! the ordinary way. So an order may come to its upstream seconds after it was given up.
-//! Only a reset by the sender, or the loss of its machine's power, ends that.
+//! Data written to a connection belongs to the kernel, which retransmits it until it is
+//! acknowledged, also across a partition and after the sender has closed the connection
+//! normally. An order may therefore reach its upstream seconds after the sender has given up on
+//! it. Only a reset by the sender or a power loss of its machine ends the retransmission.
 
 use super::World;
 use super::network::{Event, Run};
@@ -15,33 +15,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long after it was written an unacknowledged packet is sent again; each further
-/// wait is twice as long. The least that Linux takes (`TCP_RTO_MIN`).
+/// Delay of the first retransmission of an unacknowledged packet; each further delay is twice
+/// as long. This is the minimum on Linux (`TCP_RTO_MIN`).
 const FIRST_RETRANSMISSION: Duration = Duration::from_millis(200);
-/// How long a connection that an answer came on is used again: half of the rest that
-/// upstreams allow.
+/// Time for which an idle connection is reused after a response: half of the idle timeout of
+/// upstreams.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Connections that a node keeps to one upstream.
+/// Maximum idle connections from a node to one upstream.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// For so long after its sender ran again or its link was whole again, a grant that
-/// arrives does not tell against the router: it could not know better.
+/// Time after its sender resumed or its link was restored during which an arriving grant does
+/// not count against the router, which cannot know better yet.
 const RECOVERY_GRACE: Duration = Duration::from_millis(300);
-/// Before a process that stands still is looked at again.
+/// Interval at which a paused process is checked again.
 const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a node's shell does with the connection of an order that it gives up.
+/// How a node's shell closes the connection of an order that timed out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CloseMode {
-    /// It closes it in the ordinary way: what was written goes on being sent, also after
-    /// the process was killed.
+    /// Normal close: the kernel keeps retransmitting written data, also after the process has
+    /// been killed.
     #[default]
     Close,
-    /// It resets it, and so does the kernel when the process is killed: what was not
-    /// acknowledged is dropped.
+    /// Reset, also by the kernel when the process is killed: unacknowledged data is dropped.
     Reset,
 }
 
-/// One run of a node's process and one incarnation of an upstream.
+/// Link between one run of a node's process and one incarnation of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     node: usize,
@@ -50,26 +49,26 @@
     incarnation: u64,
 }
 
-/// A connection that rests.
+/// An idle connection.
 #[derive(Clone, Copy, Debug)]
 struct IdleConnection {
     since: Time,
     until: Time,
 }
 
-/// An order that a node waits for, by the run that gave it and its call.
+/// An order awaiting its response: the node, the run that sent it and the call.
 type OpenOrder = (usize, Run, u64);
 
-/// What the world knows of connections for orders.
+/// State of the connections for orders.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Links {
     idle: BTreeMap<Link, Vec<IdleConnection>>,
-    /// Orders whose packets were lost and whose answers are still waited for.
+    /// Orders whose packets were lost and whose responses are still awaited.
     open: BTreeSet<OpenOrder>,
 }
 
 impl Links {
-    /// Takes a connection that rests.
+    /// Takes an idle connection, if there is one.
     fn take(&mut self, now: Time, link: Link) -> bool {
         let Some(idle) = self.idle.get_mut(&link) else {
             return false;
@@ -91,14 +90,14 @@
     }
 }
 
-/// An order whose packets are sent again and again.
+/// An order whose packets are being retransmitted.
 #[derive(Clone, Debug)]
 pub(crate) struct WrittenOrder {
     link: Link,
-    /// Starts of the node's machine when it was written.
+    /// Boot count of the node's machine when the order was written.
     boot: u64,
     pending: PendingRelease,
-    /// Before it is sent again after the next time.
+    /// Delay between the next retransmission and the one after it.
     wait: Duration,
 }
 
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Whether a node's packets come to an upstream.
+    /// Whether packets from a node reach an upstream.
     pub(super) fn reaches(&self, node: usize, index: usize) -> bool {
         let state = &self.upstream_state[index];
         let only = state.reached_from;
@@ -130,23 +129,23 @@
         !cut && only.is_none_or(|only| only == node)
     }
 
-    /// An order comes to its upstream, on a connection that may be used again.
+    /// Keeps the connection of a delivered order for reuse.
     pub(super) fn order_came_through(&mut self, node: usize, run: Run, index: usize) {
         let link = self.link(node, run, index);
         let now = self.now;
         self.links.take(now, link);
-        // The answer is back by then.
+        // The response has arrived by then.
         self.links.keep(now + Duration::from_millis(2), link);
     }
 
-    /// The answer to an order doesn't come: the other connections may be as dead.
+    /// Drops the idle connections after an unanswered order, because they may be dead too.
     pub(super) fn forget_connections(&mut self, node: usize, run: Run, index: usize) {
         let link = self.link(node, run, index);
         self.links.idle.remove(&link);
     }
 
-    /// An order's packets are lost. It is written only if a connection rests: a new one
-    /// does not come up.
+    /// Handles an order whose packets are lost. It is written only to an idle connection,
+    /// because a new one cannot be established.
     pub(super) fn order_lost(&mut self, index: usize, timeout: Duration, pending: PendingRelease) {
         let link = self.link(pending.node, pending.run, index);
         if !self.links.take(self.now, link) {
@@ -165,12 +164,12 @@
         self.schedule(FIRST_RETRANSMISSION, Event::OrderSentAgain { order });
     }
 
-    /// The time is over for which a node waits for the answer to an order.
+    /// Handles the timeout of an order at its node.
     pub(super) fn order_given_up(&mut self, order: Box<WrittenOrder>) {
         let link = order.link;
         let slot = &self.nodes[link.node];
         if slot.run == link.run && slot.frozen {
-            // A process that stands still closes nothing.
+            // A paused process does not close its connections.
             return self.schedule(FROZEN_POLL_INTERVAL, Event::OrderGivenUp { order });
         }
         if self.links.open.remove(&order.open()) {
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Packets of an order are sent once more.
+    /// Retransmits the packets of an order.
     pub(super) fn order_sent_again(&mut self, mut order: Box<WrittenOrder>) {
         let link = order.link;
         if self.is_dropped(&order) {
@@ -198,7 +197,8 @@
         self.carry_out(link.index, order.pending, delivery, is_waited_for);
     }
 
-    /// Whether nobody sends the order again, or nobody knows its connection any more.
+    /// Whether the order is no longer retransmitted, or its connection no longer exists at the
+    /// receiver.
     fn is_dropped(&self, order: &WrittenOrder) -> bool {
         let link = order.link;
         let slot = &self.nodes[link.node];
@@ -212,7 +212,7 @@
         lost_power || is_reset || is_unknown
     }
 
-    /// How an order comes that arrives now.
+    /// Delivery properties of an order that arrives now.
     pub(super) fn delivery(&self, node: usize, index: usize) -> Delivery {
         let just = |at: Option<Time>| at.is_some_and(|at| self.now.since(at) < RECOVERY_GRACE);
         let ran_again = just(self.nodes[node].thawed_at);
--- a/crates/routersim/src/world/network.rs
+++ b/crates/routersim/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Events and their order.
+//! Simulation events and their order.
 
 use super::World;
 use super::links::WrittenOrder;
@@ -18,7 +18,7 @@
 /// One run of a node's process.
 pub(crate) type Run = u64;
 
-/// What happens.
+/// A simulation event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     NodeStart {
@@ -44,7 +44,7 @@
         task: StoreTask,
         outcome: StoreOutcome,
     },
-    /// What operators and upstreams wrote before the store went back is written again.
+    /// Operators and upstreams repeat their writes after a store rollback.
     WritesAgain,
     LateWrite {
         call: StoreCall,
@@ -127,15 +127,15 @@
         back: bool,
     },
     Client,
-    /// Callers send the request of that fault.
+    /// Callers send the poison request of the fault.
     PoisonClients {
         fault: usize,
     },
-    /// A client sends the request of that fault.
+    /// A client sends the popular request of the fault.
     PopularClient {
         fault: usize,
     },
-    /// A request ends the upstream that runs it.
+    /// A poison request crashes the upstream that runs it.
     PoisonEnds {
         index: usize,
         incarnation: u64,
@@ -150,7 +150,7 @@
     },
 }
 
-/// What one node asks of another, and how long it waits.
+/// A request of one node to another, with its timeout.
 #[derive(Clone, Debug)]
 pub(crate) struct Question {
     pub to: usize,
@@ -158,7 +158,7 @@
     pub wait: Duration,
 }
 
-/// Inputs that other nodes and upstreams cause.
+/// Inputs of a node that are caused by other nodes and upstreams.
 #[derive(Clone, Debug)]
 pub(crate) enum DeferredInput {
     Snapshots(SocketAddr, Vec<beamtray_router::core::Snapshot>),
@@ -176,7 +176,7 @@
     }
 }
 
-/// An event with its time; earlier ones first, then as they were scheduled.
+/// An event with its time, ordered by time and then by scheduling order.
 #[derive(Clone, Debug)]
 pub(crate) struct Scheduled {
     pub at: Time,
--- a/crates/routersim/src/world/nodes.rs
+++ b/crates/routersim/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their cores, and what becomes of their outputs.
+//! Simulated nodes: their cores and the handling of their outputs.
 
 use super::network::{DeferredInput, Event, Question, Run};
 use super::{CONNECTED_AFTER, HEARTBEAT, TICK, World};
@@ -20,10 +20,10 @@
 
 const PEER_PORT: u16 = 7000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Part of the datagrams that get lost, in percent.
+/// Percentage of datagrams that are lost.
 const DATAGRAM_LOSS_PERCENT: u32 = 2;
 
-/// A node's place; the process in it comes and goes.
+/// State of a node across the runs of its process.
 #[derive(Default)]
 pub(crate) struct NodeSlot {
     pub core: Option<NodeCore>,
@@ -31,23 +31,23 @@
     pub frozen: bool,
     pub store_cut: bool,
     pub peer_cut: bool,
-    /// How long each order takes that it gives; zero where that does not matter.
+    /// Time to send one order; zero unless the node is slow.
     pub order_cost: Duration,
-    /// When it has given all orders that it was to give.
+    /// Time at which all queued orders have been sent.
     orders_given: Time,
-    /// Time for which its machine was suspended, all in all.
+    /// Total time for which its machine has been suspended.
     asleep: Duration,
-    /// When its machine was suspended, while it is.
+    /// Start of the current suspension of its machine.
     suspended_at: Option<Time>,
-    /// Inputs that came while the process stood still.
+    /// Inputs received while the process was paused.
     backlog: Vec<Input>,
-    /// When its process last ran again after it had stood still.
+    /// Time at which its process last resumed after a pause.
     pub thawed_at: Option<Time>,
-    /// Starts of its machine.
+    /// Boot count of its machine.
     pub boot: u64,
-    /// When the node was last disturbed.
+    /// Time of the node's last fault.
     pub disturbed: Time,
-    /// When it last came to reach the other nodes again.
+    /// Time at which it last regained contact with the other nodes.
     pub peers_regained: Time,
     pub next_ticket: u64,
 }
@@ -67,7 +67,7 @@
     usize::from(u16::from_be_bytes([high, low])).checked_sub(1)
 }
 
-/// Settings of a usual environment: the world runs the product's own timing.
+/// Settings of a typical environment, so that the world runs with the router's own timing.
 pub(crate) fn settings(node: usize) -> NodeSettings {
     let own = address(node);
     NodeSettings {
@@ -109,7 +109,7 @@
     }
 }
 
-/// The core's configuration, with a protection switched off or none.
+/// The core's configuration, optionally with one guard disabled.
 pub(crate) fn core_config(node: usize, run: Run, disabled_guard: Option<Guard>) -> CoreConfig {
     let mut config = settings(node).core_config(run);
     config.dispatch.honors_rate_limits = disabled_guard != Some(Guard::NamedRates);
@@ -135,8 +135,8 @@
     config
 }
 
-/// By how much a node's clock is behind after that time asleep: not at all, unless it goes
-/// by the steady clock.
+/// How far a node's clock lags after the given suspended time: not at all unless it uses the
+/// monotonic clock.
 fn clock_behind(asleep: Duration, disabled_guard: Option<Guard>) -> Duration {
     if disabled_guard == Some(Guard::BootClock) {
         asleep
@@ -146,7 +146,7 @@
 }
 
 impl NodeSlot {
-    /// Whether its machine is suspended.
+    /// Whether the node's machine is suspended.
     pub fn is_suspended(&self) -> bool {
         self.suspended_at.is_some()
     }
@@ -159,7 +159,7 @@
         let slot = &mut self.nodes[node];
         slot.run += 1;
         let run = slot.run;
-        // Runs of different nodes must differ too.
+        // Run numbers must also differ between nodes.
         let config = core_config(node, run * 1_000 + node as u64, self.config.disabled_guard);
         slot.core = Some(NodeCore::new(config, dialect));
         slot.frozen = false;
@@ -170,7 +170,7 @@
         self.schedule(TICK, Event::NodeTick { node, run });
     }
 
-    /// Ends a node's process without a word.
+    /// Kills a node's process.
     pub(super) fn kill_node(&mut self, node: usize) {
         let now = self.now;
         let slot = &mut self.nodes[node];
@@ -208,7 +208,7 @@
         self.schedule(duration, Event::Thaw { node, run });
     }
 
-    /// Suspends a node's machine: to its process it is as if no time passed.
+    /// Suspends a node's machine. To its process no time seems to have passed.
     pub(super) fn suspend(&mut self, node: usize, duration: Duration) {
         let now = self.now;
         if self.nodes[node].core.is_some() && !self.nodes[node].frozen {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Hands an input to a node's core, if that run is still there.
+    /// Passes an input to a node's core if that run still exists.
     pub(super) fn input(&mut self, node: usize, run: Run, input: Input) {
         let now = self.now;
         let slot = &mut self.nodes[node];
@@ -334,7 +334,7 @@
         }
     }
 
-    /// Notes how many suspected requests a node remembers.
+    /// Updates the maximum number of fingerprints remembered by a node.
     fn note_remembered(&mut self, node: usize) {
         let now = self.now;
         let Some(core) = &self.nodes[node].core else {
@@ -345,13 +345,13 @@
         self.suspicion.peak_fingerprints = self.suspicion.peak_fingerprints.max(suspected);
     }
 
-    /// A reading of a node's clock as the world's time.
+    /// Converts a reading of a node's clock to world time.
     fn by_world(&self, node: usize, time: Time) -> Time {
         time + clock_behind(self.nodes[node].asleep, self.config.disabled_guard)
     }
 
-    /// Sends an order once those before it were sent. One that is not sent while its answer
-    /// is waited for, or while the node may grant, is not sent at all.
+    /// Sends an order after the orders queued before it. An order whose response timeout or
+    /// grant deadline expires before it is sent is dropped.
     fn give_order(&mut self, node: usize, run: Run, task: OrderTask, epoch: u64) {
         let now = self.now;
         let slot = &mut self.nodes[node];
@@ -398,7 +398,7 @@
     }
 
     pub(super) fn datagram_arrives(&mut self, from: usize, to: usize, datagram: Datagram) {
-        // A process that stands still loses what does not fit its buffer.
+        // A paused process loses datagrams that do not fit into its receive buffer.
         if self.is_linked(from, to) && !self.nodes[to].frozen {
             let run = self.nodes[to].run;
             self.input(to, run, Input::Datagram(address(from), datagram));
@@ -422,7 +422,7 @@
         self.schedule(delay, Event::Deliver { node, run, input });
     }
 
-    /// The node that has the right to grant.
+    /// The node that is the granter.
     pub(super) fn granter(&self) -> Option<usize> {
         let now = self.now;
         self.nodes.iter().position(|slot| {
@@ -442,14 +442,15 @@
             .find(|node| *node != granter)
     }
 
-    /// Whether promises with a time bound hold for the node.
+    /// Whether invariants with a time bound apply to the node.
     pub(super) fn is_connected(&self, node: usize) -> bool {
         let slot = &self.nodes[node];
         let has_peers = !slot.peer_cut && self.now.since(slot.peers_regained) >= CONNECTED_AFTER;
         has_peers && self.reaches_store(node)
     }
 
-    /// The same for promises that hold for nodes cut off from each other, too.
+    /// Like `is_connected`, for invariants that also apply to nodes partitioned from each
+    /// other.
     pub(super) fn reaches_store(&self, node: usize) -> bool {
         let slot = &self.nodes[node];
         let undisturbed = self.now.since(slot.disturbed) >= CONNECTED_AFTER;
--- a/crates/routersim/src/world/orders.rs
+++ b/crates/routersim/src/world/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams and their answers.
+//! Orders to upstreams and the replies.
 
 use super::World;
 use super::network::{Event, Run};
@@ -8,12 +8,12 @@
 use beamtray_sharding::{CallId, GrantOrder, GrantReply, OrderKind};
 use std::time::Duration;
 
-/// How soon a connection is refused.
+/// Time until a connection is refused.
 const REFUSAL_DELAY: Duration = Duration::from_millis(2);
-/// How long it waits for the answer to a release.
+/// Time for which a node waits for the response to a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Part of the unanswered orders that are taken late, in percent; the others
-/// are taken at once.
+/// Percentage of unanswered orders that are carried out late; the others are carried out at
+/// once.
 const LATE_PERCENT: u32 = 50;
 
 impl World {
@@ -37,7 +37,8 @@
         };
         let is_up = self.upstreams[index].is_some();
         if !is_up && !self.upstream_state[index].dark {
-            // Nobody listens there: its kernel says so, on old connections and new ones.
+            // No process listens there: the kernel resets existing connections and refuses new
+            // ones.
             self.forget_connections(node, run, index);
             return self.order_answered(REFUSAL_DELAY, pending, GrantReply::Undelivered);
         }
@@ -72,7 +73,7 @@
         self.carry_out(index, pending, delivery, true);
     }
 
-    /// An upstream carries an order out and answers, where the answer is waited for.
+    /// Carries out an order at an upstream and replies if the sender still waits.
     pub(super) fn carry_out(
         &mut self,
         index: usize,
--- a/crates/routersim/src/world/owners.rs
+++ b/crates/routersim/src/world/owners.rs
@@ -1,4 +1,4 @@
-//! What the checkers are shown of keys that upstreams hold.
+//! Reports key ownership at upstreams to the checkers.
 
 use super::World;
 use crate::check::{AcceptedGrant, Holder, OVERLAP, OtherHolder};
@@ -20,11 +20,11 @@
             .filter_map(|(_, other)| other.as_ref())
     }
 
-    /// A request with a key begins to run.
+    /// Reports the start of a keyed request.
     pub(super) fn check_owner(&mut self, index: usize, key: ShardKey) {
         let now = self.now;
-        // Grants that came right after trouble don't count: their sender could not know
-        // what had become of the keys meanwhile.
+        // Grants that arrived right after a fault don't count, because their sender could not
+        // know what had happened to the keys meanwhile.
         let counted = |upstream: &UpstreamEmulator| {
             let grant = upstream.grant(now, key)?;
             (!grant.delivery.is_after_trouble).then_some(grant.since)
@@ -49,7 +49,7 @@
             .keyed_request_started(now, &id, key, since, &others);
     }
 
-    /// An upstream took a grant.
+    /// Reports that an upstream accepted a grant.
     pub(super) fn check_taken(&mut self, index: usize, order: &GrantOrder, delivery: Delivery) {
         let now = self.now;
         let Some(upstream) = &self.upstreams[index] else {
@@ -59,13 +59,13 @@
         let accepted_grant = AcceptedGrant {
             range: order.range,
             token: order.token.0,
-            // As above: the sender could not know. One that was held up or left lying
-            // counts here: its token tells how old it is.
+            // As above, the sender could not know. A delayed grant does count here, because its
+            // token shows its age.
             is_counted: !delivery.is_after_trouble,
         };
         self.checkers.grant_accepted(now, &holder, accepted_grant);
-        // What was held up or left lying lasts from its arrival, later than its sender can
-        // know by any clock.
+        // The hold of a delayed grant starts at its arrival, so it ends later than its sender
+        // can know from any clock.
         if delivery.is_late {
             return;
         }
--- a/crates/routersim/src/world/poison.rs
+++ b/crates/routersim/src/world/poison.rs
@@ -1,4 +1,4 @@
-//! A request that ends each upstream which begins to run it, and comes again.
+//! Poison requests: a repeated request that crashes each upstream that begins to run it.
 
 use super::clients::{CLIENT_TIMEOUT, request_head};
 use super::network::{DeferredInput, Event, Run};
@@ -12,13 +12,13 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Time after which an upstream that was ended is back.
+/// Delay until a crashed upstream is replaced.
 const RESTART_DELAY: Duration = Duration::from_secs(2);
-/// Sets the keys of such requests apart.
+/// Spreads the keys of poison requests.
 const KEY_SPREAD: u16 = 7_919;
 
 impl World {
-    /// Has each caller of a fault send its request to some node, and again after its pause.
+    /// Sends the request of each caller of a fault to some node and schedules the next round.
     pub(super) fn poison_clients(&mut self, fault: usize) {
         let (begun, duration) = (self.faults[fault].at, self.faults[fault].duration);
         let FaultKind::PoisonRequest {
@@ -68,8 +68,8 @@
         self.input(node, run, Input::Request { ticket, head });
     }
 
-    /// An upstream ends under a request that it runs. Each such request that it runs at
-    /// that moment ends with it, and counts.
+    /// Crashes an upstream that runs a poison request. Each poison request that it is running
+    /// at that moment counts.
     pub(super) fn poison_crashed(&mut self, index: usize, incarnation: u64) {
         let is_there = self.upstreams[index].is_some();
         if !is_there || self.upstream_state[index].incarnation != incarnation {
@@ -81,7 +81,7 @@
         self.crash(index, false, RESTART_DELAY);
     }
 
-    /// A request from a node that reaches the store comes to an upstream.
+    /// Reports that a request from a node that reaches the store arrives at an upstream.
     pub(super) fn check_poison(&mut self, asked: &ClientRequest) {
         if let Some(content) = asked.poison.as_deref().filter(|_| self.is_store_stable()) {
             self.checkers
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A node tries to connect to an upstream.
+    /// Handles a node's attempt to connect to an upstream.
     pub(super) fn probe(&mut self, node: usize, run: Run, doubted: ProbeTarget) {
         let Some(index) = index_of(doubted.address) else {
             return;
--- a/crates/routersim/src/world/popular.rs
+++ b/crates/routersim/src/world/popular.rs
@@ -1,4 +1,4 @@
-//! A request that many clients make and that harms nobody.
+//! A harmless request that many clients send.
 
 use super::clients::{CALLER, request_head};
 use super::network::Event;
@@ -10,11 +10,11 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Its key, when it is a read.
+/// Key of the request if it is a read.
 const KEY: ShardKey = ShardKey(30_000);
 
 impl World {
-    /// Sends the request of a fault to some node, and the next one after its pause.
+    /// Sends the request of a fault to some node and schedules the next one.
     pub(super) fn popular_client(&mut self, fault: usize) {
         let (begun, duration) = (self.faults[fault].at, self.faults[fault].duration);
         let FaultKind::PopularRequest {
--- a/crates/routersim/src/world/registrations.rs
+++ b/crates/routersim/src/world/registrations.rs
@@ -1,4 +1,4 @@
-//! Registrations of upstreams in the store.
+//! Registrations of upstreams in the store: heartbeats, expiry and removal.
 
 use super::network::Event;
 use super::upstreams::{MISSED_HEARTBEATS, key_of};
@@ -8,7 +8,7 @@
 use rand::RngExt;
 
 impl World {
-    /// Writes registrations that are due, removes those that were missed.
+    /// Writes registrations that are due and removes expired ones.
     pub(super) fn heartbeats(&mut self) {
         for index in 0..self.upstreams.len() {
             self.heartbeat(index);
@@ -41,15 +41,15 @@
         }
     }
 
-    /// Whose entry stands under a key.
+    /// Identity of the upstream registered under a key.
     fn registered_as(&self, key: &str) -> Option<UpstreamId> {
         let item = self.store.get(key)?;
         let record = self.dialect.decode_upstream(key, &item.value);
         Some(record.expect("the world wrote it").id)
     }
 
-    /// The store removes the entry of an upstream that has ended, unless another
-    /// incarnation has written its own under the same key.
+    /// Removes the registration of an upstream that has ended, unless another incarnation has
+    /// registered under the same key.
     pub(super) fn remove_registration(&mut self, id: &UpstreamId) {
         let key = key_of(id);
         if self.registered_as(&key).as_ref() == Some(id) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Registrations vanish in an outage in which leases run out.
+    /// Removes registrations whose leases expire during an outage.
     pub(super) fn lapse_registrations(&mut self) {
         for index in 0..self.upstreams.len() {
             if self.random.random_bool(0.2) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Upstreams that live write their entries again, those of others go.
+    /// Live upstreams repeat their registrations; those of others are removed.
     pub(super) fn write_registrations_again(&mut self) {
         let now = self.now;
         let mut living = Vec::new();
--- a/crates/routersim/src/world/restarts.rs
+++ b/crates/routersim/src/world/restarts.rs
@@ -1,18 +1,18 @@
-//! Upstreams that start again under their names.
+//! Upstreams that restart under the same name.
 
 use super::network::Event;
 use super::upstreams::{LATE_REGISTRATION_PERCENT, MISSED_HEARTBEATS};
 use super::{HEARTBEAT, World};
 use std::time::Duration;
 
-/// Whether the upstream of that number says when it was born, as most do.
+/// Whether the upstream with this index reports its birth, as most do.
 pub(super) fn reports_birth(index: usize) -> bool {
     index % 3 != 2
 }
 
 impl World {
-    /// An upstream ends without a word and starts again under its name, if it tells its
-    /// birth; else it comes back as another.
+    /// Crashes an upstream. It restarts under its name if it reports its birth, otherwise under
+    /// another name.
     pub(super) fn restart_upstream(&mut self, index: usize, dark: bool, duration: Duration) {
         if !reports_birth(index) {
             return self.crash(index, dark, duration);
@@ -28,7 +28,7 @@
         self.break_off(index);
         self.schedule(duration, Event::UpstreamStart { index });
         if self.chance(LATE_REGISTRATION_PERCENT) {
-            // A write of the dead one that was on its way for long.
+            // A delayed write of the crashed process.
             let delay = duration + self.millis(500, 4_000);
             self.schedule(delay, Event::LateRegistration { record });
         }
--- a/crates/routersim/src/world/stores.rs
+++ b/crates/routersim/src/world/stores.rs
@@ -1,4 +1,4 @@
-//! The store, its troubles, and the path to it.
+//! The store, its faults and the network path to it.
 
 use super::network::{Event, Run};
 use super::{CONNECTED_AFTER, HOUSEKEEPING, World};
@@ -11,11 +11,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a node waits for an answer.
+/// Time for which a node waits for a response.
 const TIMEOUT: Duration = Duration::from_millis(900);
-/// Between two copies of the store.
+/// Interval between snapshots of the store.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long copies are kept.
+/// Time for which snapshots are kept.
 const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug)]
@@ -26,27 +26,27 @@
     wait: WatchWait,
 }
 
-/// What is wrong with the store now.
+/// Current faults of the store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StoreState {
     pub down: bool,
     pub lost_percent: u32,
     pub late: bool,
     pub watches_silent_until: Time,
-    /// When something was last wrong.
+    /// Time of the last fault.
     pub disturbed: Option<Time>,
     watches: Vec<Waiting>,
-    /// Its era.
+    /// Era of the store.
     pub era: StoreEra,
-    /// Copies of it, the oldest first; none where it never goes back.
+    /// Snapshots, oldest first; empty if the history has no rollback.
     snapshots: VecDeque<(Time, StoreEmulator)>,
     next_snapshot: Time,
-    /// The copy from which it comes back, and when that was made.
+    /// Snapshot to be restored after the outage, with its time.
     kept: Option<(Time, StoreEmulator)>,
     rollback: Option<Rollback>,
 }
 
-/// The store came back from an older copy.
+/// A rollback of the store to an older snapshot.
 #[derive(Clone, Copy, Debug)]
 struct Rollback {
     copy_of: Time,
@@ -54,7 +54,7 @@
 }
 
 impl StoreState {
-    /// Notes how the store stands, so that it can go back to that.
+    /// Takes a snapshot of the store if one is due.
     fn copy(&mut self, now: Time, store: &StoreEmulator) {
         if now < self.next_snapshot || self.down {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Chooses the newest copy of that age from which the store comes back.
+    /// Selects the newest snapshot of at least the given age for the rollback.
     pub fn select_snapshot(&mut self, now: Time, age: Duration) {
         let mut snapshots = self.snapshots.iter().rev();
         let old = snapshots.find(|(at, _)| now.since(*at) >= age);
@@ -74,9 +74,9 @@
         self.kept = copy.cloned();
     }
 
-    /// Until when the store kept what it was told, for processes that start after `now`: it
-    /// may be about to come back from an older copy, or have done so that lately that nobody
-    /// has told it again.
+    /// Time up to which writes are retained for processes that start after `now`. The store may
+    /// be about to roll back, or may have rolled back so recently that the lost writes have not
+    /// been repeated.
     pub fn keeps_until(&self, now: Time) -> Time {
         let coming = self.kept.as_ref().map(|(copy_of, _)| *copy_of);
         let lately = self
@@ -85,7 +85,7 @@
         coming.or(lately.map(|gone| gone.copy_of)).unwrap_or(now)
     }
 
-    /// Drops the watches of a node whose process ended.
+    /// Drops the watches of a node whose process has ended.
     pub fn forget_node(&mut self, node: usize) {
         self.watches.retain(|waiting| waiting.node != node);
     }
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    /// Whether the store has been sound for the contact time.
+    /// Whether the store has been free of faults for [`CONNECTED_AFTER`].
     pub(super) fn is_store_stable(&self) -> bool {
         let disturbed = self.store_state.disturbed;
         !self.store_state.is_disturbed()
@@ -177,7 +177,7 @@
         self.store.call(self.now, call);
     }
 
-    /// Watches that wait on a path that falls silent never hear.
+    /// Drops watches whose network path fails; they never receive a response.
     pub(super) fn silence_watches(&mut self, concerns: impl Fn(usize) -> bool) {
         let watches = std::mem::take(&mut self.store_state.watches);
         for waiting in watches {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// The store comes back from an older copy, and what operators and upstreams wrote since
-    /// is soon written again.
+    /// Restores the store from the selected snapshot and schedules the repetition of later
+    /// writes by operators and upstreams.
     pub(super) fn roll_back_store(&mut self) {
         let now = self.now;
         self.store_state.down = false;
@@ -216,7 +216,7 @@
         self.write_registrations_again();
     }
 
-    /// Tells a node the store's era before what the store says, as answers do.
+    /// Passes the store's era to a node before the outcome, as real responses do.
     pub(super) fn store_answers(
         &mut self,
         node: usize,
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: registrations, orders and requests.
+//! Simulated upstreams: lifecycle, requests and responses.
 
 use super::network::{Event, Run};
 use super::restarts::reports_birth;
@@ -22,20 +22,19 @@
 use std::time::Duration;
 
 const PORT: u16 = 8000;
-/// How long it waits for a connection.
+/// Time for which a node waits for a connection.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Part of the crashes after which an old write of the dead upstream comes
-/// late, in percent.
+/// Percentage of crashes after which a delayed write of the crashed upstream arrives.
 pub(super) const LATE_REGISTRATION_PERCENT: u32 = 50;
-/// How long an upstream works on a request that ends it.
+/// Time for which an upstream runs a poison request before it crashes.
 const POISON_WORK: Duration = Duration::from_millis(20);
-/// Heartbeats without a write after which a registration vanishes.
+/// Missed heartbeats after which a registration expires.
 pub(super) const MISSED_HEARTBEATS: u32 = 3;
 
-/// How an attempt ends that an upstream turns away.
+/// Outcome of an attempt that an upstream rejects.
 const REJECTED: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
-/// An attempt that an upstream has taken.
+/// An attempt accepted by an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Taken {
     node: usize,
@@ -44,22 +43,22 @@
     attempt: u32,
     repeatable: bool,
     poison: Option<String>,
-    /// Whether the upstream began to run it.
+    /// Whether the upstream has begun to run it.
     begun: bool,
 }
 
-/// What an upstream's answer says besides.
+/// Status information in an upstream's response.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub upstream: UpstreamId,
     pub rate: AdvertisedRate,
-    /// Whether the upstream leaves.
+    /// Whether the upstream is leaving.
     pub leaves: bool,
-    /// The rest that it asks for.
+    /// The retry-after period that it requests.
     pub rest: Option<Duration>,
 }
 
-/// A release that waits for work to end.
+/// A release that waits for running work to end.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRelease {
     pub node: usize,
@@ -69,33 +68,33 @@
     pub epoch: u64,
 }
 
-/// What the world knows of an upstream's place.
+/// State of an upstream across its incarnations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamState {
     pub incarnation: u64,
-    /// The incarnation that first had its name.
+    /// First incarnation with its current name.
     named: u64,
-    /// Whether the next incarnation keeps the name.
+    /// Whether the next incarnation keeps its name.
     pub keeps_name: bool,
-    /// Whether the address answers nothing at all.
+    /// Whether connections to the address time out.
     pub dark: bool,
-    /// Since when the store is out of reach.
+    /// Time since which the store is unreachable.
     pub cut_since: Option<Time>,
-    /// The only node that reaches it, if it is cut off.
+    /// The only node that reaches it, if it is partitioned.
     pub reached_from: Option<usize>,
-    /// Who does not reach it.
+    /// Links that are down.
     pub unreached_from: Option<CutFrom>,
-    /// When its links were whole again.
+    /// Time at which its links were restored.
     pub healed_at: Option<Time>,
-    /// Until when it is cold.
+    /// End of its cold start.
     pub cold_until: Time,
-    /// The rate that its answers name.
+    /// Rate limit that its responses advertise.
     pub rate: Option<RequestRate>,
-    /// The rest that it asks for as it turns all requests away.
+    /// Retry-after period with which it rejects all requests.
     pub rest: Option<Duration>,
-    /// Whether its answers say that it leaves.
+    /// Whether its responses announce that it is leaving.
     pub leaves: bool,
-    /// Whether it took its registration back for good.
+    /// Whether it has permanently deleted its registration.
     pub withdrawn: bool,
     pub next_heartbeat: Time,
     taken: BTreeMap<String, Taken>,
@@ -103,8 +102,8 @@
 }
 
 impl UpstreamState {
-    /// What the requests say that end upstreams and that this one has begun to run, once
-    /// for each.
+    /// Contents of the poison requests that this upstream has begun to run, one entry per
+    /// request.
     pub(super) fn poison_under_way(&self) -> Vec<String> {
         let begun = self.taken.values().filter(|taken| taken.begun);
         begun.filter_map(|taken| taken.poison.clone()).collect()
@@ -169,7 +168,7 @@
         }));
     }
 
-    /// An upstream begins to leave.
+    /// Starts the departure of an upstream.
     pub(super) fn drain(&mut self, index: usize, abrupt: bool) {
         let now = self.now;
         let Some(upstream) = &mut self.upstreams[index] else {
@@ -220,7 +219,7 @@
         self.break_off(index);
     }
 
-    /// Connections of an upstream end.
+    /// Ends the connections of an upstream.
     pub(super) fn break_off(&mut self, index: usize) {
         let dark = self.upstream_state[index].dark;
         let taken = std::mem::take(&mut self.upstream_state[index].taken);
@@ -233,7 +232,7 @@
         }
     }
 
-    /// An upstream ends without a word and comes back as another.
+    /// Crashes an upstream, which comes back under another name.
     pub(super) fn crash(&mut self, index: usize, dark: bool, duration: Duration) {
         let Some(upstream) = self.upstreams[index].take() else {
             return;
@@ -246,19 +245,19 @@
         let back = duration.max(Duration::from_secs(2));
         self.schedule(back, Event::UpstreamStart { index });
         if self.chance(LATE_REGISTRATION_PERCENT) {
-            // A write of the dead one that was on its way for long.
+            // A delayed write of the crashed upstream.
             let delay = back + self.millis(1_500, 4_000);
             self.schedule(delay, Event::LateRegistration { record });
         }
-        // The store removes what is not written again.
+        // The store expires the registration, which is not renewed.
         let key = key_of(&id);
         if !self.store_state.down {
             self.store.delete(self.now, &key);
         }
     }
 
-    /// Sends a request to an upstream, as an attempt with a number of its own: an attempt
-    /// that did not arrive is not counted by the node, so its number comes again.
+    /// Sends a request to an upstream as an attempt with a unique number. The node does not
+    /// count an attempt that did not arrive, so the node would use the same number again.
     pub(super) fn forward(&mut self, node: usize, run: Run, ticket: Ticket, mut forward: Forward) {
         self.last_attempt += 1;
         forward.attempt = self.last_attempt;
@@ -291,7 +290,7 @@
         );
     }
 
-    /// A request of a node comes to an upstream.
+    /// Checks the rates at an upstream when a request arrives from a node.
     fn check_rate(&mut self, index: usize, node: usize, run: Run, upstream: &UpstreamId) {
         let present = self.upstreams[index].as_ref();
         if present.is_none_or(|present| present.config.id != *upstream) {
@@ -306,7 +305,7 @@
             .arrived_rate_limited(self.now, upstream, sender, is_excused);
     }
 
-    /// An answer comes to a node, with what its upstream says of itself.
+    /// Reports the status information in a response that reaches a node.
     fn note_told(&mut self, node: usize, run: Run, answer: &Answer) {
         if self.nodes[node].run != run {
             return;
@@ -322,12 +321,13 @@
         }
     }
 
-    /// An upstream begins to say in its answers that it leaves. Its entry says so later.
+    /// Makes an upstream announce in its responses that it is leaving. Its registration says so
+    /// later.
     pub(super) fn say_it_leaves(&mut self, index: usize) {
         self.upstream_state[index].leaves = self.upstreams[index].is_some();
     }
 
-    /// An upstream begins to name a rate, or ceases to.
+    /// Makes an upstream advertise a rate limit, or stop doing so.
     pub(super) fn set_rate(&mut self, index: usize, rate: Option<RequestRate>) {
         self.upstream_state[index].rate = rate;
         let Some(upstream) = &self.upstreams[index] else {
@@ -431,7 +431,7 @@
         self.arrived(index, asked.id, taken, arrival);
     }
 
-    /// An upstream turns a request away and asks the node for rest.
+    /// Rejects a request with a retry-after period.
     fn ask_for_rest(&mut self, index: usize, taken: &Taken, rest: Duration) {
         let Some(upstream) = &self.upstreams[index] else {
             return;
@@ -466,7 +466,7 @@
         }
     }
 
-    /// A request begins to run.
+    /// Starts running a request.
     fn begins(&mut self, index: usize, run: &WorkRun) {
         let incarnation = self.upstream_state[index].incarnation;
         self.schedule(
@@ -526,7 +526,7 @@
         for call in released {
             let pending = self.upstream_state[index].releases.get(&call);
             if pending.is_some_and(|pending| !self.reaches(pending.node, index)) {
-                // The answer is lost, and given up when its time is over.
+                // The response is lost; the attempt ends at its timeout.
                 continue;
             }
             if let Some(pending) = self.upstream_state[index].releases.remove(&call) {
@@ -541,15 +541,15 @@
         self.upstream_state[index].taken.remove(id)
     }
 
-    /// Ends an attempt at its node, unless the upstream's packets don't come there: its
-    /// time ends it then.
+    /// Ends an attempt at its node if the upstream's packets reach it; otherwise the attempt
+    /// times out.
     fn end_reached(&mut self, index: usize, taken: &Taken, outcome: AttemptOutcome) {
         if self.reaches(taken.node, index) {
             self.answer_attempt(Duration::from_millis(1), index, taken, outcome);
         }
     }
 
-    /// Ends an attempt with its upstream's answer, if the outcome is one.
+    /// Ends an attempt, with the upstream's status information if the outcome is a response.
     fn answer_attempt(
         &mut self,
         after: Duration,
@@ -595,7 +595,7 @@
         );
     }
 
-    /// The first end of an attempt that its node sees counts.
+    /// Ends an attempt at its node; only the first end counts.
     pub(super) fn attempt_ends(
         &mut self,
         node: usize,
--- a/crates/routersim/tests/checkers.rs
+++ b/crates/routersim/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! The checkers of keys object to bad histories, and to these alone.
+//! The ownership checkers report invalid histories and accept valid ones.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_routersim::{AcceptedGrant, Checkers, Holder, Invariant, OtherHolder, Violation};
@@ -18,7 +18,7 @@
     first: ShardKey(1_000),
     last: ShardKey(1_999),
 };
-/// After all troubles; nothing is asked then, so that recovery is no matter here.
+/// End of the history. No requests are sent, so the recovery invariant does not apply.
 const END: Time = Time(10_000_000);
 
 fn upstream(index: usize) -> UpstreamId {
@@ -91,7 +91,7 @@
     assert_eq!(invariants(checkers), [Invariant::RisingTokensOfRestarts]);
 }
 
-/// The highest token is the holder's own; one below it was another's.
+/// The highest token is the holder's own; another holder had a lower one.
 #[test]
 fn earlier_tokens_of_others_are_compared_too() {
     let mut checkers = Checkers::default();
@@ -101,7 +101,7 @@
     assert_eq!(invariants(checkers), [Invariant::RisingTokens]);
 }
 
-/// A grant that does not count is nevertheless one under which its holder had the keys.
+/// A grant that does not count as a violation is still recorded as held.
 #[test]
 fn grants_right_after_a_fault_are_recorded_but_not_reported() {
     let mut checkers = Checkers::default();
@@ -141,7 +141,7 @@
         since: Time(since),
     };
     checkers.keyed_request_started(Time(5), &upstream(0), key, Time(1), &[]);
-    // Before both held it the other one had begun none.
+    // The other upstream had begun no request before both held the key.
     checkers.keyed_request_started(Time(7), &upstream(1), key, Time(6), &[other(0, 1)]);
     assert!(checkers.violations().is_empty());
     checkers.keyed_request_started(Time(8), &upstream(0), key, Time(1), &[other(1, 6)]);
@@ -157,7 +157,8 @@
     assert_eq!(invariants(checkers), both);
 }
 
-/// A restart under the same name may take no key under a token that others had, either.
+/// A restart under the same name must not accept a key under a token that other upstreams have
+/// held.
 #[test]
 fn restart_is_compared_with_other_upstreams_too() {
     let mut checkers = Checkers::default();
@@ -167,7 +168,7 @@
     assert_eq!(invariants(checkers), [Invariant::RisingTokens]);
 }
 
-/// A request ended three upstreams at 1 s, and comes to four more from 5 s on.
+/// A request crashes three upstreams at 1 s and reaches four more from 5 s on.
 fn poison_after(forgotten: Option<Time>) -> Vec<Violation> {
     const CONTACT: Duration = Duration::from_secs(3);
     let mut checkers = Checkers::default();
@@ -188,7 +189,7 @@
     assert_eq!(poison_after(Some(Time(1_999_000))), []);
 }
 
-/// The store had the time to keep it: who starts reads it there.
+/// The store had time to persist the suspicion, so restarted processes read it there.
 #[test]
 fn poison_persisted_in_the_store_must_stay_quarantined() {
     for forgotten in [None, Some(Time(2_000_000)), Some(Time(4_000_000))] {
--- a/crates/routersim/tests/evacuations.rs
+++ b/crates/routersim/tests/evacuations.rs
@@ -1,8 +1,8 @@
-//! A zone is evacuated and readmitted.
+//! Evacuation and readmission of a zone.
 //!
-//! Seen: thousands of requests went to upstreams of a zone whose evacuation the store had
-//! acknowledged more than five seconds before. Cause: no node read evacuations. Proof: the
-//! promise breaks in each history below for nodes that take no notice of them.
+//! Guards against nodes that do not read evacuations: thousands of requests went to upstreams
+//! of a zone more than five seconds after the store had acknowledged its evacuation. Each
+//! history below violates the invariant for nodes that ignore evacuations.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 use beamtray_types::Time;
@@ -26,7 +26,7 @@
     }
 }
 
-/// What is broken, and the histories in which less than that part is served.
+/// Violations, and the histories in which less than `least_served_percent` is served.
 fn broken(faults: &[Fault], least_served_percent: usize) -> Vec<String> {
     let mut all = Vec::new();
     for seed in 0..SEEDS {
@@ -61,8 +61,8 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The granter is lost right when keys are to move, and the next one knows of the
-/// evacuation from its own copy.
+/// The granter is lost just as keys are to move, and its successor knows of the evacuation from
+/// its own replica.
 #[test]
 fn evacuation_survives_loss_of_the_granter() {
     let killed = Fault {
@@ -74,7 +74,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The entry stays while nodes lose the store and all that they knew.
+/// The evacuation entry stays while nodes lose the store and all their state.
 #[test]
 fn evacuation_survives_loss_of_all_nodes() {
     let killed = Fault {
--- a/crates/routersim/tests/explore.rs
+++ b/crates/routersim/tests/explore.rs
@@ -1,4 +1,4 @@
-//! Histories of fixed seeds keep every promise.
+//! Histories of fixed seeds satisfy all invariants.
 
 use beamtray_routersim::{WorldSize, run_seed, run_seed_extended};
 
@@ -16,8 +16,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same with upstreams that say that they leave or ask for rest, and a store that goes
-/// back.
+/// Adds upstreams that announce leaving or send retry-after periods, and store rollbacks.
 #[test]
 fn fixed_seeds_with_extended_faults_satisfy_all_invariants() {
     let mut broken = Vec::new();
@@ -30,7 +29,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Histories of many nodes that once broke a promise.
+/// Histories of many nodes that once violated an invariant.
 const ONCE_BROKEN_WITH_MANY: [u64; 2] = [5043, 29];
 
 #[test]
--- a/crates/routersim/tests/guards.rs
+++ b/crates/routersim/tests/guards.rs
@@ -1,5 +1,5 @@
-//! Without any one protection a history breaks its promise, which it keeps
-//! with all of them.
+//! For each guard, a history violates its invariant without the guard and satisfies it with all
+//! guards.
 
 use beamtray_routersim::{
     CutFrom, Fault, FaultKind, FaultPlan, Guard, Invariant, WorldConfig, run_plan,
@@ -16,7 +16,7 @@
     }
 }
 
-/// An upstream takes its registration back and serves on for a while.
+/// An upstream deletes its registration and keeps serving for a while.
 fn leave(at_ms: u64, upstream: usize) -> Fault {
     let abrupt = true;
     fault(at_ms, 0, FaultKind::UpstreamDrain { upstream, abrupt })
@@ -37,8 +37,7 @@
         .any(|violation| violation.invariant == invariant)
 }
 
-/// Some of the first seeds break the promise without the protection, none with
-/// it.
+/// Some of the first seeds violate the invariant without the guard, none with it.
 fn matters(guard: Guard, faults: &[Fault]) {
     matters_in(guard, faults, 0..12);
 }
@@ -55,7 +54,7 @@
 
 #[test]
 fn record_first() {
-    // The granter loses the store while a hot key makes it move slices.
+    // The granter loses the store while a hot key causes it to move slices.
     let faults = [
         fault(8_000, 9_000, FaultKind::HotKey),
         fault(8_500, 6_000, FaultKind::StoreCut { node: None }),
@@ -65,7 +64,7 @@
 
 #[test]
 fn lapse_wait() {
-    // Holders do not answer, but still hold.
+    // Holders do not answer but still hold their keys.
     let faults = [fault(8_000, 6_000, FaultKind::OrdersLate { percent: 95 })];
     matters(Guard::LapseWait, &faults);
 }
@@ -73,15 +72,15 @@
 #[test]
 fn unanswered_counts() {
     let faults = [fault(8_000, 9_000, FaultKind::OrdersLate { percent: 95 })];
-    // A fresh token after each order without an answer covers part of this: it is missed in
-    // 27 of the first 300 histories, 19 and 24 among them, and in none of the first 12.
+    // A new token after each unanswered order covers part of this guard: 27 of the first 300
+    // histories violate the invariant without it, including 19 and 24, but none of the first
+    // 12.
     matters_in(Guard::UnansweredCounts, &faults, 0..30);
 }
 
 #[test]
 fn predecessor_wait() {
-    // The granter gives its place up, and leaves holders behind that its
-    // successor can't reach.
+    // The granter resigns and leaves holders that its successor cannot reach.
     let faults = [
         fault(8_000, 9_000, FaultKind::OrdersLate { percent: 95 }),
         fault(8_250, 6_000, FaultKind::Stop { node: 0 }),
@@ -90,20 +89,21 @@
         leave(8_300, 1),
         leave(8_300, 2),
     ];
-    // Where a granter has standbys, waiting for them covers most of this.
+    // If a granter has standbys, waiting for them covers most of this guard.
     matters_in(Guard::PredecessorWait, &faults, 28..40);
 }
 
 #[test]
 fn standby_wait() {
-    // A standby keeps a holder alive that the granter can't reach.
+    // A standby renews the grants of a holder that the granter cannot reach.
     let upstream = |upstream| fault(8_000, 15_000, FaultKind::StandbyIsland { upstream });
     matters(Guard::StandbyWait, &[upstream(0)]);
 }
 
 #[test]
 fn lost_holder_fence() {
-    // What was written to a holder as it was cut off comes when its keys are another's.
+    // An order written to a holder during its partition arrives after its keys have moved to
+    // another upstream.
     let unreachable = FaultKind::UpstreamUnreachable {
         upstream: 0,
         from: CutFrom::Everything,
@@ -119,7 +119,7 @@
 
 #[test]
 fn short_doubt() {
-    // A node is cut off from the store while an upstream leaves unsaid.
+    // A node is partitioned from the store while an upstream leaves unannounced.
     let cut = |node| fault(7_900, 4_000, FaultKind::StoreCut { node: Some(node) });
     let faults = [
         cut(0),
@@ -133,8 +133,8 @@
 
 #[test]
 fn boot_clock() {
-    // The granter's machine is suspended and cut off together with a holder. When it wakes
-    // it reaches that holder alone, whose keys have gone to another since.
+    // The granter's machine is suspended and partitioned together with a holder. When it
+    // resumes, it reaches only that holder, whose keys have moved to another upstream.
     let faults = [
         fault(8_000, 15_000, FaultKind::GranterIsland { upstream: 0 }),
         fault(8_001, 9_000, FaultKind::NodeSuspend { node: None }),
@@ -162,7 +162,7 @@
 
 #[test]
 fn rests() {
-    // So many holders rest that their keys stay.
+    // So many holders have a retry-after period that their keys are not moved.
     let rests = |upstream| {
         let rest_ms = 4_000;
         fault(8_000, 9_000, FaultKind::UpstreamRests { upstream, rest_ms })
@@ -172,7 +172,8 @@
 
 #[test]
 fn record_doubt() {
-    // All nodes go while the store does, so that nobody knows newer records than it.
+    // All nodes are killed during the store outage, so no process knows newer records than the
+    // store.
     let faults = [
         fault(7_000, 6_000, FaultKind::HotKey),
         fault(12_000, 2_500, FaultKind::StoreGoesBack { back_ms: 5_000 }),
@@ -183,7 +184,7 @@
 
 #[test]
 fn doubt_wait() {
-    // A holder leaves renewals lying and is cut off before it answers others.
+    // A holder delays renewals and is partitioned before it answers others.
     let unreachable = FaultKind::UpstreamUnreachable {
         upstream: 0,
         from: CutFrom::Everything,
--- a/crates/routersim/tests/large.rs
+++ b/crates/routersim/tests/large.rs
@@ -1,8 +1,8 @@
-//! A deployment of hundreds of nodes keeps every promise.
+//! A deployment of hundreds of nodes satisfies all invariants.
 
 use beamtray_routersim::{WorldSize, run_seed};
 
-/// Seeds whose faults strike the granter, nodes, the store and upstreams.
+/// Seeds whose faults affect the granter, other nodes, the store and upstreams.
 const SEEDS: [u64; 1] = [1];
 
 #[test]
--- a/crates/routersim/tests/leaving.rs
+++ b/crates/routersim/tests/leaving.rs
@@ -1,9 +1,10 @@
-//! Upstreams say in their answers that they leave, while the store can't be told.
+//! Upstreams announce in their responses that they are leaving while they cannot update the
+//! store.
 //!
-//! Seen: two of eleven nodes sent requests to an upstream 2.6 and 3.2 s after they had passed
-//! on an answer of it that said so; all of them went on at their usual pace until the store
-//! was back, 12 s later. Cause: leaving was learned from entries of the store only. Proof: the
-//! promise breaks in each history below for nodes that take no notice of answers.
+//! Guards against nodes that learn of leaving upstreams only from the store: two of eleven
+//! nodes sent requests to an upstream 2.6 and 3.2 s after they had forwarded a response that
+//! announced its departure, and all went on at their usual rate until the store was back, 12 s
+//! later. Each history below violates the invariant for nodes that ignore such responses.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 
@@ -18,7 +19,7 @@
     }
 }
 
-/// What is broken, and the histories in which less than that part is served.
+/// Violations, and the histories in which less than `least_served_percent` is served.
 fn broken(faults: &[Fault], least_served_percent: usize) -> Vec<String> {
     let mut all = Vec::new();
     for seed in 0..SEEDS {
@@ -36,8 +37,8 @@
     all
 }
 
-/// Guards against requests to an upstream whose answers said that it leaves, while the store
-/// knows nothing of it.
+/// Guards against requests to an upstream that has announced its departure in responses but not
+/// in the store.
 #[test]
 fn upstream_announcing_departure_gets_no_more_requests() {
     let faults = [
@@ -48,7 +49,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same while the store is away, so that its keys can't go to others: they are refused.
+/// During a store outage the upstream's keys cannot move, so their requests are refused.
 #[test]
 fn leaving_upstreams_get_no_more_requests_during_store_outage() {
     let faults = [
@@ -60,7 +61,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same while nodes are killed, cut off from the others, and start again.
+/// Nodes are killed, partitioned and restarted meanwhile.
 #[test]
 fn leaving_upstreams_get_no_more_requests_while_nodes_are_lost() {
     let faults = [
--- a/crates/routersim/tests/lying_order_before_cut.rs
+++ b/crates/routersim/tests/lying_order_before_cut.rs
@@ -1,4 +1,4 @@
-//! An order that is left lying right before its upstream is cut off.
+//! An order that is delayed just before its upstream is partitioned.
 
 use beamtray_routersim::{CutFrom, Fault, FaultKind, FaultPlan, Invariant, WorldConfig, run_plan};
 use beamtray_types::Time;
@@ -14,8 +14,9 @@
     }
 }
 
-/// An upstream left a renewal lying, was cut off before it answered the next one, and took it
-/// after its keys had gone to another. The moments are those of the drawn history 1312.
+/// An upstream delayed a renewal, was partitioned before it answered the next one, and accepted
+/// the renewal after its keys had moved to another upstream. The times are those of drawn
+/// history 1312.
 #[test]
 fn partitioned_upstream_with_a_delayed_grant_accepts_no_moved_keys() {
     let mut broken = Vec::new();
--- a/crates/routersim/tests/named_rates.rs
+++ b/crates/routersim/tests/named_rates.rs
@@ -1,18 +1,19 @@
-//! Upstreams in need name the requests a second that they take from all nodes together.
+//! Overloaded upstreams advertise a rate limit that applies to all nodes together.
 //!
-//! Seen: two holders of keys named 4.5 a second each and went on getting 12, from all of
-//! eleven nodes that had passed such an answer on, each of which sent 1 to 8 in four seconds.
-//! Cause: nobody read what the answers named; and had each node kept to it alone, eleven would
-//! have sent eleven times as much. Proof: 41 of the 48 histories below break the promise
-//! without permits, up to 84 requests where 26 are allowed, and none with them.
+//! Guards against nodes that ignore advertised rates or apply them individually: two holders of
+//! keys advertised 4.5 requests per second each and kept receiving 12, from all of eleven nodes
+//! that had forwarded such a response, each of which sent 1 to 8 in four seconds. If each node
+//! applied the limit alone, eleven nodes would send eleven times as much. Without permits 41 of
+//! the 48 histories below violate the invariant, with up to 84 requests where 26 are allowed;
+//! with permits none does.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, WorldSize, run_plan, run_seed};
 use beamtray_types::Time;
 use std::time::Duration;
 
 const SEEDS: u64 = 12;
-/// Requests in a thousand seconds that an upstream in need takes; it gets three times as
-/// many.
+/// Rate limit of an overloaded upstream in requests per 1,000 seconds; the offered load is
+/// three times as high.
 const RATE_MILLI: u32 = 3_500;
 
 fn config(seed: u64) -> WorldConfig {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Histories in which a promise is broken.
+/// Histories in which an invariant is violated.
 fn broken(faults: &[Fault]) -> Vec<String> {
     let mut all = Vec::new();
     for seed in 0..SEEDS {
@@ -69,7 +70,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Nodes that are killed, or cut off from the others, are excused; the others are not.
+/// Requests of killed or partitioned nodes are not counted; those of other nodes are.
 #[test]
 fn advertised_rate_is_respected_while_nodes_are_lost() {
     let broken = broken(&[
@@ -83,7 +84,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The promise is about need that comes and goes, too.
+/// The invariant also holds for repeated overload.
 #[test]
 fn advertised_rate_is_respected_in_repeated_overload() {
     let again: Vec<Fault> = (0..3)
@@ -93,8 +94,8 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// A holder in need takes a third of what its keys get: they go on to holders with room,
-/// sooner than their requests are refused for want of permits.
+/// An overloaded holder accepts a third of the requests for its keys. The keys move to holders
+/// with spare capacity before requests are refused for lack of permits.
 #[test]
 fn keys_of_an_overloaded_holder_move() {
     let (mut served, mut asked) = (0, 0);
@@ -109,8 +110,8 @@
     assert!(served * 100 >= asked * 97, "{served} of {asked} served");
 }
 
-/// Guards against a check that goes on by the first rate of an upstream that names a higher
-/// one by now: it objected to 19 requests in four seconds, of 27 that are allowed.
+/// Guards against a checker that keeps using an upstream's first rate after it has advertised a
+/// higher one: it reported 19 requests in four seconds although 27 are allowed.
 #[test]
 fn checker_uses_a_raised_rate() {
     let outcome = run_seed(WorldSize::Drawn, 40_047);
--- a/crates/routersim/tests/old_grants.rs
+++ b/crates/routersim/tests/old_grants.rs
@@ -1,15 +1,14 @@
-//! Old grants that come after their keys went to others.
+//! Old grants that arrive after their keys have moved to other upstreams.
 //!
-//! Seen: two upstreams held the same keys and both ran requests on them, one of them under
-//! a token lower than the other's. How: an upstream was unreachable for five seconds. The
-//! granter had just written renewals to it; it gave them up after half a second and closed
-//! the connections, waited until the holds were over, and gave the keys to others. A second
-//! after the cut the upstream took the old renewals. Cause: a wait that ends at the sender
-//! does not end the message. What was written to a connection that is then closed in the
-//! ordinary way is sent again, at doubling pauses, until it is acknowledged; nothing tells
-//! the upstream of a higher token before. Proof: the pauses add up to the moment at which
-//! the renewals were taken, 6.2 s after they were written (0.2 + 0.4 + 0.8 + 1.6 + 3.2), and
-//! below, where nothing else goes wrong, the promise breaks.
+//! Guards against a granter that assumes an order is void once its timeout has passed: two
+//! upstreams held the same keys and both ran requests on them, one under a lower token. An
+//! upstream was unreachable for five seconds. The granter had just written renewals to it, gave
+//! up on them after half a second, closed the connections, waited until the holds had expired
+//! and granted the keys to others. A second after the partition the upstream accepted the old
+//! renewals. Data written to a connection that is closed normally is retransmitted with
+//! doubling delays until it is acknowledged, and the upstream learns of no higher token before.
+//! The delays add up to 6.2 s after the write, when the renewals were accepted (0.2 + 0.4 + 0.8
+//! + 1.6 + 3.2). Below, this fault alone violates the invariant.
 
 use beamtray_routersim::{
     CloseMode, CutFrom, Fault, FaultKind, FaultPlan, Invariant, Violation, WorldConfig, run_plan,
@@ -18,12 +17,12 @@
 use std::time::Duration;
 
 const SEEDS: u64 = 12;
-/// Longer than a hold and its transit.
+/// Longer than a hold plus its transit time.
 const CUT: Duration = Duration::from_secs(5);
-/// The same, and the time in which a successor finds the granter gone.
+/// `CUT` plus the time in which a successor detects the loss of the granter.
 const CUT_WITH_SUCCESSION: Duration = Duration::from_millis(7_000);
 
-/// The first upstream can't be reached from 8 s on.
+/// The first upstream is unreachable from 8 s on.
 fn unreachable(duration: Duration) -> Fault {
     Fault {
         at: Time(8_000_000),
@@ -53,8 +52,8 @@
     violations
 }
 
-/// However connections of orders that are given up are closed: the promise does not rest on
-/// a transport that drops what was written.
+/// The invariant must not depend on a transport that drops written data, so both ways to close
+/// the connection of a timed-out order are tested.
 fn keeps_sole_owners(faults: &[Fault]) {
     let mut broken = Vec::new();
     for close_mode in [CloseMode::Close, CloseMode::Reset] {
@@ -71,7 +70,7 @@
     keeps_sole_owners(&[unreachable(CUT)]);
 }
 
-/// A process that stands still gives nothing up, and its kernel goes on sending.
+/// A paused process does not time out its orders, and its kernel keeps retransmitting.
 #[test]
 fn old_grants_of_a_paused_granter_are_harmless() {
     let stands_still = Fault {
@@ -82,7 +81,7 @@
     keeps_sole_owners(&[unreachable(CUT_WITH_SUCCESSION), stands_still]);
 }
 
-/// Nobody is left to close the connection, or to know of the order.
+/// No process is left that could close the connection or knows of the order.
 #[test]
 fn old_grants_of_a_killed_granter_are_harmless() {
     let killed = Fault {
@@ -93,11 +92,10 @@
     keeps_sole_owners(&[unreachable(CUT_WITH_SUCCESSION), killed]);
 }
 
-/// A drawn history in which a slow granter stands still and is killed while the path to a
-/// lost holder is whole again, so that nobody tells it in time. Resets were missed here until
-/// an order without an answer was the last one under its token; that they are missed at all
-/// is shown by the search (`grantsearch/tests/transport.rs`), which takes every history of
-/// a small world.
+/// A drawn history in which a slow granter is paused and killed while the path to a lost holder
+/// is restored, so that the holder is not told in time. Resets were missed here until an
+/// unanswered order became the last one under its token. `grantsearch/tests/transport.rs`
+/// searches every history of a small world and shows that resets matter.
 const GRANTER_LOST_AS_A_PATH_HEALS: u64 = 823;
 
 #[test]
--- a/crates/routersim/tests/poison_request.rs
+++ b/crates/routersim/tests/poison_request.rs
@@ -1,11 +1,11 @@
-//! A request that ends each upstream which runs it.
+//! A poison request, which crashes each upstream that runs it.
 //!
-//! Seen: one client asked the same thing again every few seconds, at any node, and seven
-//! upstreams ended, one after the other. How: no two of its requests came to the same
-//! node, and each node saw a connection break off once or twice. Cause: what a request
-//! did to an upstream was known to that one request and forgotten with its answer; the
-//! next one with the same content was new to every node. Proof: below, the same request
-//! ends upstreams for as long as it comes, with one node as with eight.
+//! Guards against nodes that forget what a request did to upstreams: one client repeated a
+//! request every few seconds at arbitrary nodes, and seven upstreams crashed in turn. No two of
+//! its requests reached the same node, and each node saw a connection break once or twice. The
+//! state was kept per request and dropped with its response, so the next request with the same
+//! content was new to every node. Without shared suspicions the request crashes upstreams for
+//! as long as it is repeated, with one node as with eight.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Guard, Invariant, WorldConfig, run_plan};
 use beamtray_types::Time;
@@ -17,7 +17,7 @@
     poison_of(is_read, pause_ms, 1)
 }
 
-/// The same from several callers at the same moment.
+/// The same request from several callers at the same moment.
 fn poison_of(is_read: bool, pause_ms: u64, callers: u8) -> Fault {
     Fault {
         at: Time(7_000_000),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Where histories of those faults break the promise.
+/// Violations of the invariant in histories with the given faults.
 fn broken(nodes: usize, faults: &[Fault], disabled_guard: Option<Guard>) -> Vec<String> {
     let mut broken = Vec::new();
     for seed in 0..SEEDS {
@@ -79,7 +79,7 @@
     keeps_it_off(8, &[poison(false, 2_500)]);
 }
 
-/// They tell each other through relays.
+/// The nodes share suspicions through relays.
 #[test]
 fn poison_read_is_quarantined_by_many_nodes() {
     keeps_it_off(24, &[poison(true, 900), poison(false, 2_500)]);
@@ -91,10 +91,10 @@
     keeps_it_off(6, &faults);
 }
 
-/// Seen: three requests that say the same ended with one upstream, three with the next
-/// and four with a third one. How: several callers sent it at the same moment to several
-/// nodes. Cause: upstreams that ended were counted, not runs that ended with them, and
-/// until the third upstream had ended any number of nodes sent it at once.
+/// Guards against counting crashed upstreams instead of crashed runs: several callers sent the
+/// same request to several nodes at once, and three runs ended with one upstream, three with
+/// the next and four with a third. Until the third upstream had crashed, any number of nodes
+/// could send the request at once.
 #[test]
 fn concurrent_poison_reads_are_quarantined() {
     keeps_it_off(8, &[poison_of(true, 900, 6)]);
@@ -105,20 +105,21 @@
     keeps_it_off(8, &[poison_of(false, 2_500, 6)]);
 }
 
-/// They tell each other through relays.
+/// The nodes share suspicions through relays.
 #[test]
 fn concurrent_poison_requests_are_quarantined_by_many_nodes() {
     keeps_it_off(24, &[poison_of(true, 900, 6), poison_of(false, 2_500, 6)]);
 }
 
-/// What the first ends told is lost with the processes, but for the store's record.
+/// Suspicions from the first crashes are lost with the processes, except for the record in the
+/// store.
 #[test]
 fn concurrent_poison_requests_stay_quarantined_after_loss_of_all_nodes() {
     let faults = [poison_of(true, 900, 6), kill_all(14_000), kill_all(21_000)];
     keeps_it_off(6, &faults);
 }
 
-/// Some of them can't reach the node that lends permits, and send nothing of the kind.
+/// Some nodes cannot reach the node that issues permits, and send no such requests.
 #[test]
 fn concurrent_poison_requests_are_quarantined_during_a_partition() {
     let cut = |node, at_ms: u64| Fault {
@@ -131,7 +132,7 @@
     keeps_it_off(8, &faults);
 }
 
-/// Each node counts for itself what it saw.
+/// Without sharing, each node counts only the crashes that it has seen.
 #[test]
 fn nodes_without_shared_suspicions_violate_the_invariant() {
     let faults = [poison(false, 2_500)];
--- a/crates/routersim/tests/popular_request.rs
+++ b/crates/routersim/tests/popular_request.rs
@@ -1,23 +1,23 @@
-//! What it costs a request that many make when upstreams end under it.
+//! The cost of upstream crashes to a harmless request that many clients send.
 //!
-//! It was merely there when they ended. From then on it is tried by one run at a time, and
-//! those that say the same wait for that one; some are refused. Requests for the same key
-//! that all say something else show what the ends themselves cost.
+//! The request is merely in flight when upstreams crash. From then on one run at a time tries
+//! it, requests with the same content wait for that run, and some are refused. Requests for the
+//! same key with different contents show the cost of the crashes alone.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
 const SEEDS: u64 = 12;
-/// Between two requests: less than one takes, so that one or two are under way at any
-/// moment, and no more than one upstream can run.
+/// Interval between requests. It is shorter than a request takes, so that one or two are in
+/// flight at any moment, and no more than one upstream can run.
 const PAUSE_MS: u64 = 25;
-/// Upstreams that end.
+/// Number of upstreams that crash.
 const ENDS: usize = 5;
-/// Most that may be refused on suspicion, in percent of all.
+/// Maximum percentage of requests that may be refused on suspicion.
 const MOST_REFUSED_PERCENT: f64 = 1.0;
 
-/// The upstreams end one after the other, each once.
+/// The upstreams crash one after the other, each once.
 fn plan(config: &WorldConfig, is_read: bool, says_the_same: bool) -> FaultPlan {
     let popular = Fault {
         at: Time(7_000_000),
@@ -41,8 +41,8 @@
     }
 }
 
-/// Percent of the requests that were answered, and that were refused on suspicion, over
-/// all histories.
+/// Percentages of requests that were answered and that were refused on suspicion, over all
+/// histories.
 fn percents(nodes: usize, is_read: bool, says_the_same: bool) -> (f64, f64) {
     let (mut asked, mut served, mut refused) = (0, 0, 0);
     for seed in 0..SEEDS {
--- a/crates/routersim/tests/relay_cut_off.rs
+++ b/crates/routersim/tests/relay_cut_off.rs
@@ -1,12 +1,11 @@
-//! A relay loses the store while an upstream leaves.
+//! Relays lose the store while an upstream leaves.
 //!
-//! Seen: nodes in touch sent a request to an upstream 2.02 s after its registration was
-//! gone, 20 ms too late. How: the store turned the first relays of two zones away; their
-//! nodes heard of the registration from the relay of a third zone, 0.4 s late, and then
-//! gave the upstream the time to register again that an outage of the store calls for.
-//! Cause: the trouble of one relay counted as trouble of the store, at every node, also
-//! while another relay's calls were all answered. Proof: below, the promise breaks where
-//! relays lose the store at the time.
+//! Guards against treating the loss of one relay's connection as a store outage: connected
+//! nodes sent a request to an upstream 2.02 s after its registration was gone, 20 ms too late.
+//! The store rejected the first relays of two zones. Their nodes learned of the removal from
+//! the relay of a third zone, 0.4 s late, and then applied the grace period for re-registration
+//! after a store outage, although another relay's calls were all answered. The histories below
+//! violate the invariant if one relay's fault counts as a store outage.
 
 use beamtray_router::core::{NodeRecord, Relays};
 use beamtray_routersim::{
@@ -19,7 +18,7 @@
 const NODES: usize = 9;
 const UPSTREAM: usize = 1;
 
-/// The relays of the first two zones.
+/// Relays of the first two zones.
 fn relays() -> Vec<usize> {
     let record = |node| {
         let settings = default_settings(node);
@@ -32,8 +31,8 @@
     (0..NODES).filter(is_relay).take(2).collect()
 }
 
-/// Two relays lose the store at 8 s for 6 s, and an upstream takes its registration back
-/// that much later.
+/// Two relays lose the store at 8 s for 6 s, and an upstream deletes its registration
+/// `leaves_after_ms` later.
 fn faults(leaves_after_ms: u64) -> Vec<Fault> {
     let cut = relays().into_iter().map(|node| Fault {
         at: Time(8_000_000),
--- a/crates/routersim/tests/restarts.rs
+++ b/crates/routersim/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams start again under their names, which their callers tell from the births only.
+//! Upstreams restart under the same name and can be told apart only by their births.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Invariant, WorldConfig, run_plan};
 use beamtray_types::Time;
@@ -6,7 +6,7 @@
 
 const SEEDS: u64 = 24;
 
-/// Two keyed upstreams that tell their births.
+/// Two keyed upstreams that report their births.
 const RESTARTING: [usize; 2] = [0, 1];
 
 fn config(seed: u64) -> WorldConfig {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Each restarts four times, down for less than the holds last and for longer.
+/// Each restarts four times, with downtimes both shorter and longer than a hold.
 fn restarts(seed: u64) -> Vec<Fault> {
     let downtimes = [150, 900, 2_500, 5_500];
     let upstreams = RESTARTING.into_iter();
@@ -45,12 +45,12 @@
         .collect()
 }
 
-/// What is broken of the promises that are asked for.
+/// Violations of the selected invariants.
 fn broken(plan: impl Fn(u64) -> Vec<Fault>, is_asked: fn(Invariant) -> bool) -> Vec<String> {
     broken_in(0..SEEDS, plan, is_asked)
 }
 
-/// The same in the histories of some seeds.
+/// Violations of the selected invariants in the histories of the given seeds.
 fn broken_in(
     seeds: impl IntoIterator<Item = u64>,
     plan: impl Fn(u64) -> Vec<Fault>,
@@ -67,7 +67,7 @@
     all
 }
 
-/// All but the one that has a test of its own.
+/// Asserts all invariants except the one with its own test.
 fn keeps_every_promise(plan: impl Fn(u64) -> Vec<Fault>) {
     let broken = broken(plan, |invariant| {
         invariant != Invariant::RisingTokensOfRestarts
@@ -75,14 +75,14 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Renewals go on under the token of the one before until somebody knows of the restart.
+/// Renewals continue under the token of the previous process until a node detects the restart.
 ///
-/// Seen (history 12): a restart took three ranges 7 ms after its start, under the tokens of
-/// the process before. How: the granter gave four renewals in one moment. The first found
-/// that its connection had ended and was not sent, and the granter took fresh tokens; the
-/// other three, given before it knew, found no connection, opened new ones and came to the
-/// restart. Cause: what a connection tells of a restart was used up by the first order that
-/// met it. The simulator's lines show it: `Undelivered after 0ns` for one of the four.
+/// In history 12 a restarted process accepted three ranges 7 ms after its start, under the
+/// tokens of its predecessor. The granter sent four renewals at once. The first found its
+/// connection closed and was not sent (`Undelivered after 0ns`), and the granter issued new
+/// tokens. The other three had been sent before it knew, opened new connections and reached the
+/// new process: the closed connection had revealed the restart only to the first order that
+/// used it.
 #[test]
 fn restarts_accept_keys_under_higher_tokens_than_predecessors() {
     let of_restarts = |invariant| invariant == Invariant::RisingTokensOfRestarts;
@@ -90,10 +90,10 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Upstreams that end without a word and are up again after 150 ms, while orders
-/// wait on every connection to them, so that none rests that could tell of it. The renewals
-/// that follow open new ones, 1 to 125 ms after the start, under the tokens of the process
-/// before. 3 of the first 240 histories, 23 before connections that ended stopped them.
+/// Upstreams crash and are up again after 150 ms while orders wait on every connection to them,
+/// so that no idle connection reveals the restart. The following renewals open new connections,
+/// 1 to 125 ms after the start, under the tokens of the previous process. 3 of the first 240
+/// histories violate the invariant; 23 did before closed connections stopped the renewals.
 #[test]
 fn restarts_without_idle_connections_accept_higher_tokens() {
     let of_restarts = |invariant| invariant == Invariant::RisingTokensOfRestarts;
@@ -110,15 +110,15 @@
     vec![fault(6_000, 20_000, FaultKind::OrdersLate { percent: 40 })]
 }
 
-/// A restart has forgotten every token and may take an order that was left lying for the
-/// one before, after its keys went to others.
+/// A restarted process has lost all tokens and may accept an order that was delayed for its
+/// predecessor after its keys have moved.
 #[test]
 fn restarts_with_late_orders_satisfy_invariants() {
     keeps_every_promise(late_orders);
 }
 
-/// Each grant that broke the promise was given to one process and left lying, and was taken
-/// by a later one that had not answered its first release.
+/// Each violating grant was sent to one process, delayed, and accepted by a later one that had
+/// not answered its first release.
 #[test]
 fn restarts_with_late_orders_satisfy_invariants_in_other_histories() {
     let is_asked = |invariant| invariant != Invariant::RisingTokensOfRestarts;
@@ -137,7 +137,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The new granter reads a record that names incarnations which have ended.
+/// The new granter reads a record with incarnations that have ended.
 #[test]
 fn restarts_during_granter_loss_satisfy_invariants() {
     keeps_every_promise(|seed| {
@@ -152,7 +152,7 @@
     });
 }
 
-/// Orders come late, and the store does writes seconds after they were given up on.
+/// Orders arrive late, and the store applies writes seconds after they timed out.
 #[test]
 fn restarts_with_a_lossy_store_satisfy_invariants() {
     let lost = FaultKind::StoreLost {
@@ -162,7 +162,7 @@
     keeps_every_promise(|_| vec![fault(7_000, 15_000, lost.clone())]);
 }
 
-/// All that drawn histories have, and restarts.
+/// Adds restarts to the faults of drawn histories.
 #[test]
 fn restarts_among_drawn_faults_satisfy_invariants() {
     let drawn = |seed| FaultPlan::draw(seed + 1_000, &config(seed)).faults;
--- a/crates/routersim/tests/rests.rs
+++ b/crates/routersim/tests/rests.rs
@@ -1,9 +1,9 @@
-//! Upstreams turn all requests away and ask for rest.
+//! Upstreams reject all requests with a retry-after period.
 //!
-//! Seen: holders of keys that had asked nodes for three seconds of rest got 20 requests and
-//! more from single nodes in that time, second attempts 34 ms after first ones, and callers
-//! were told to come back in 0.1 to 0.3 s. Cause: nobody read how long was asked for. Proof:
-//! the promise breaks in each history below for nodes that take no notice of it.
+//! Guards against nodes that ignore the retry-after period: holders of keys that had requested
+//! three seconds got 20 and more requests from single nodes in that time, second attempts came
+//! 34 ms after first ones, and callers were told to retry after 0.1 to 0.3 s. Each history
+//! below violates the invariant for nodes that ignore the period.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Outcome, WorldConfig, run_plan};
 
@@ -36,7 +36,7 @@
     })
 }
 
-/// What is broken first in each history.
+/// First violation in each history.
 fn broken(faults: &[Fault]) -> Vec<String> {
     let first = |(seed, outcome): (u64, Outcome)| {
         let violation = outcome.violations.first()?;
@@ -45,14 +45,15 @@
     outcomes(faults).filter_map(first).collect()
 }
 
-/// Guards against requests to a holder of keys that asked for rest.
+/// Guards against requests to a holder of keys during its retry-after period.
 #[test]
 fn retry_after_of_a_key_holder_is_respected() {
     let broken = broken(&[rests(0, 8_000, 9_000), rests(1, 8_200, 9_000)]);
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same where another upstream could take each request, and where none can.
+/// Covers upstreams without keys, where another upstream can serve each request and where none
+/// can.
 #[test]
 fn retry_after_of_unsharded_upstreams_is_respected() {
     let some: Vec<Fault> = (6..8)
@@ -66,8 +67,8 @@
     assert!(broken_in.is_empty(), "{}", broken_in.join("\n"));
 }
 
-/// The same while nodes are killed and cut off, and while an upstream rests that leaves and
-/// names a rate.
+/// Nodes are killed and partitioned, and one upstream with a retry-after period also leaves and
+/// advertises a rate.
 #[test]
 fn retry_after_is_respected_while_nodes_are_lost() {
     let in_need = FaultKind::UpstreamInNeed {
@@ -87,8 +88,8 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Holders that rest lose their keys to others, sooner than their requests are refused for
-/// the rest's whole length.
+/// The keys of holders with a retry-after period move to others before requests have been
+/// refused for the whole period.
 #[test]
 fn keys_of_holders_with_retry_after_move() {
     let faults = [rests(0, 8_000, 9_000), rests(1, 8_200, 9_000)];
--- a/crates/routersim/tests/slow_granter.rs
+++ b/crates/routersim/tests/slow_granter.rs
@@ -1,11 +1,11 @@
-//! Nodes that take long for each order they give still grant all keys.
+//! Nodes that send orders slowly still grant all keys.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Invariant, Outcome, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// All nodes take so long for an order, and are all killed at 9 s: the next granter has
-/// every key to renew at once.
+/// All nodes need `order_ms` per order and are killed at 9 s, so the next granter has to renew
+/// every key at once.
 fn run(seed: u64, order_ms: u64) -> Outcome {
     let config = WorldConfig {
         keyed: 6,
@@ -32,7 +32,7 @@
 
 const SEEDS: u64 = 6;
 
-/// 48 slices take 720 ms, longer than an answer is waited for.
+/// 48 slices take 720 ms, longer than the response timeout.
 #[test]
 fn all_keys_are_granted_again_after_loss_of_all_nodes() {
     for seed in 0..SEEDS {
@@ -47,8 +47,8 @@
     }
 }
 
-/// They take 1.4 s, half of a hold. Less than half was served while the granter took its
-/// lateness for its holders' silence.
+/// 48 slices take 1.4 s, half of a hold. Less than half of the requests was served when the
+/// granter mistook its own delay for unresponsive holders.
 #[test]
 fn delayed_granter_serves_most_requests() {
     let (mut asked, mut served) = (0, 0);
--- a/crates/routersim/tests/store_goes_back.rs
+++ b/crates/routersim/tests/store_goes_back.rs
@@ -1,10 +1,10 @@
-//! The store is away for a moment and comes back from an older copy of itself.
+//! The store has a short outage and resumes from an older snapshot.
 //!
-//! Seen: nodes acted by a configuration that was two versions old, since their copies refused
-//! every reading of the new store, whose revisions were lower; and after all nodes had been
-//! killed, holders that had given keys back got them again beside those who had them, since
-//! the record of the grants had gone back and nobody had written it again. Proof: histories
-//! below break their promises for nodes that take no notice of the store's era.
+//! Guards against nodes that ignore the store's era. Nodes used a configuration two versions
+//! old, because their replicas rejected every reading of the restored store, whose revisions
+//! were lower. After all nodes had been killed, holders that had released keys got them again
+//! beside the current holders, because the record of the grants had been rolled back and not
+//! rewritten. Histories below violate their invariants for nodes that ignore the era.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Invariant, WorldConfig, run_plan};
 
@@ -22,7 +22,7 @@
     Fault::new(millis, duration, FaultKind::StoreGoesBack { back_ms })
 }
 
-/// What is broken first of each promise in each history.
+/// First violation of each invariant in each history.
 fn broken(faults: &[Fault]) -> Vec<String> {
     let mut all = Vec::new();
     for seed in 0..SEEDS {
@@ -41,7 +41,7 @@
     all
 }
 
-/// Guards against copies that refuse what a store says which came back from an older copy.
+/// Guards against replicas that reject readings of a store that has been rolled back.
 #[test]
 fn configuration_is_in_force_in_time_after_a_store_rollback() {
     let broken = broken(&[
@@ -54,7 +54,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// Guards against a granter that trusts a record which went back with the store.
+/// Guards against a granter that trusts a record that was rolled back with the store.
 #[test]
 fn keys_have_one_owner_after_store_rollback_and_loss_of_all_nodes() {
     let broken = broken(&[
@@ -65,7 +65,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same where the granter, or all nodes, go while the store is away.
+/// The granter, or all nodes, are killed during the store outage.
 #[test]
 fn keys_have_one_owner_after_granter_loss_during_store_rollback() {
     let faults = [
@@ -83,7 +83,7 @@
     assert!(broken_in.is_empty(), "{}", broken_in.join("\n"));
 }
 
-/// The same where another node became the granter after the copy was made.
+/// Another node has become the granter since the snapshot.
 #[test]
 fn tokens_rise_if_a_granter_began_after_the_snapshot() {
     let broken = broken(&[
@@ -95,7 +95,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The same where the store goes back twice, the second time behind the first.
+/// The store rolls back twice, the second time to before the first snapshot.
 #[test]
 fn invariants_hold_after_two_store_rollbacks() {
     let broken = broken(&[
--- a/crates/routersim/tests/zone_ends.rs
+++ b/crates/routersim/tests/zone_ends.rs
@@ -1,12 +1,12 @@
-//! A zone of upstreams ends at once, under ordinary load, and comes back cold.
+//! All upstreams of a zone crash at once under ordinary load and restart cold.
 //!
-//! Seen: 156 ends of one service's upstreams within half a minute left 5,632 suspected
-//! requests, told by all nodes to all, and a dozen of 79 nodes wrote 62,000 lines about
-//! them; it went on to the end of the day. How: each request that is under way when its
-//! upstream ends is suspected, and nearly all of them are bystanders; each node wrote of
-//! each that it heard of, and told it at once, in a datagram of its own. Cause: what
-//! suspicion costs grew with the load. Proof: the counts below, of the same ends at two
-//! loads: at the higher one all nodes would have written 5,328 lines, and write 210 now.
+//! Guards against a suspicion cost that grows with the load: 156 crashes of one service's
+//! upstreams within half a minute left 5,632 suspected requests, which all nodes sent to all
+//! others, and a dozen of 79 nodes wrote 62,000 log lines about them until the end of the day.
+//! Each request in flight during a crash is suspected, although nearly all are harmless, and
+//! each node logged each suspicion and sent it at once in its own datagram. At the higher of
+//! the two loads below, all nodes would have written 5,328 lines; with the bounds they write
+//! 210.
 
 use beamtray_routersim::{Fault, FaultKind, FaultPlan, Outcome, WorldConfig, run_plan};
 use beamtray_types::Time;
@@ -14,15 +14,15 @@
 
 const NODES: usize = 24;
 const SEEDS: u64 = 2;
-/// How often the zone's upstreams end.
+/// Number of crashes of the zone.
 const ENDS: u64 = 4;
 const PAUSE_MS: u64 = 3_500;
-/// Lines that one node may write for each end of the zone.
+/// Maximum log lines per node for each crash of the zone.
 const NOTICES_A_NODE: usize = 20;
-/// Suspicions that one node may be told for each end of the zone: twenty datagrams of them.
+/// Maximum suspicions that one node may receive for each crash of the zone: twenty datagrams.
 const TOLD_A_NODE: usize = 1_200;
 
-/// Fingerprints that one node may remember.
+/// Maximum fingerprints that one node may remember.
 const MOST_REMEMBERED: usize = 1_024;
 
 fn world(seed: u64, rate: u64) -> WorldConfig {
@@ -35,7 +35,7 @@
     }
 }
 
-/// All upstreams of the third zone end at the same moment, and are back after 0.6 s.
+/// All upstreams of the third zone crash at the same moment and are back after 0.6 s.
 fn zone_ends(config: &WorldConfig) -> FaultPlan {
     let ends = (0..ENDS).flat_map(|end| {
         let of_zone = (2..config.upstreams()).step_by(3);
