--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -20,8 +20,8 @@
 
 const KEYS: u64 = 2_000;
 const TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_ANSWER_BYTES: u64 = 1024 * 1024;
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Kernel clock ticks a second, as `/proc` counts processor time.
 const CLOCK_TICKS: f64 = 100.0;
 const PAGE_KIB: u64 = 4;
@@ -57,7 +57,7 @@
 }
 
 /// What a part of the run found.
-struct Outcome {
+struct RunResult {
     latency: Histogram<u64>,
     failures: u64,
     elapsed: Duration,
@@ -82,22 +82,27 @@
         .collect();
     let direct = direct_targets(&declaration, &keyed.name, operators)?;
 
-    let idle = usage(arguments.pid);
+    let idle = process_usage(arguments.pid);
     thread::sleep(Duration::from_secs(arguments.seconds));
-    report_usage("idle node", idle, usage(arguments.pid), arguments.seconds);
-    let before = usage(arguments.pid);
+    report_usage(
+        "idle node",
+        idle,
+        process_usage(arguments.pid),
+        arguments.seconds,
+    );
+    let before = process_usage(arguments.pid);
     let routed = run(&arguments, &routed)?;
     report_usage(
         "loaded node",
         before,
-        usage(arguments.pid),
+        process_usage(arguments.pid),
         arguments.seconds,
     );
     let direct = run(&arguments, &direct)?;
     report("routed", &routed);
     report("direct", &direct);
     let ratio = |quantile| {
-        let of = |outcome: &Outcome| outcome.latency.value_at_quantile(quantile) as f64;
+        let of = |outcome: &RunResult| outcome.latency.value_at_quantile(quantile) as f64;
         of(&routed) / of(&direct).max(1.0)
     };
     println!(
@@ -145,10 +150,10 @@
         .collect()
 }
 
-fn run(arguments: &Arguments, targets: &[Target]) -> Result<Outcome> {
+fn run(arguments: &Arguments, targets: &[Target]) -> Result<RunResult> {
     let client = HttpClient::new(ClientConfig {
         idle_connections: arguments.threads as usize,
-        max_body_bytes: MAX_ANSWER_BYTES,
+        max_body_bytes: MAX_RESPONSE_BYTES,
         connect_timeout: Duration::from_secs(1),
     });
     let total = arguments.rate * arguments.seconds;
@@ -156,7 +161,7 @@
     let next = AtomicU64::new(0);
     let start = Instant::now();
     let work = || -> Result<(Histogram<u64>, u64)> {
-        let mut latency = Histogram::new_with_bounds(1, LONGEST_MICROS, 3)?;
+        let mut latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)?;
         let mut failures = 0;
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
@@ -171,7 +176,7 @@
             latency.saturating_record(elapsed.max(1));
         }
     };
-    let mut all = Histogram::new_with_bounds(1, LONGEST_MICROS, 3)?;
+    let mut all = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)?;
     let mut failures = 0;
     thread::scope(|scope| -> Result<()> {
         let workers: Vec<_> = (0..arguments.threads).map(|_| scope.spawn(work)).collect();
@@ -182,7 +187,7 @@
         }
         Ok(())
     })?;
-    Ok(Outcome {
+    Ok(RunResult {
         latency: all,
         failures,
         elapsed: start.elapsed(),
@@ -206,7 +211,7 @@
     client.call(&call).is_ok_and(|reply| reply.status == 200)
 }
 
-fn report(name: &str, outcome: &Outcome) {
+fn report(name: &str, outcome: &RunResult) {
     let millis = |quantile| outcome.latency.value_at_quantile(quantile) as f64 / 1_000.0;
     println!(
         "{name}: {:.0} requests/s, {} failed, p50 {:.2} ms p99 {:.2} ms p99.9 {:.2} ms max {:.2} ms",
@@ -220,7 +225,7 @@
 }
 
 /// Processor seconds and resident KiB of a process.
-fn usage(pid: Option<u32>) -> Option<(f64, u64)> {
+fn process_usage(pid: Option<u32>) -> Option<(f64, u64)> {
     let pid = pid?;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(") ").next()?.split(' ').collect();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use store::{StoreEmulator, StoreReply, WatchWait};
 pub use upstream::{
-    Arrival, Delivery, FullPolicy, GrantTaken, Run, RunId, UpstreamConfig, UpstreamEmulator,
+    AcceptedGrant, Arrival, Delivery, FullPolicy, Run, RunId, UpstreamConfig, UpstreamEmulator,
     WorkRequest,
 };
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// Keys in one page of a range.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredValue {
     value: Vec<u8>,
     revision: Revision,
     lease: Option<LeaseId>,
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl: Duration,
-    ends: Time,
+    expires: Time,
 }
 
 #[derive(Clone, Debug)]
@@ -53,88 +53,88 @@
 /// The metadata store.
 #[derive(Clone, Debug)]
 pub struct StoreEmulator {
-    items: BTreeMap<String, Stored>,
+    items: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
     revision: Revision,
     history: Vec<Change>,
     /// Changes up to this revision are forgotten.
-    forgotten: Revision,
-    history_span: Duration,
+    compacted: Revision,
+    retention: Duration,
     next_lease: u64,
     /// Whether leases run out; an outage may stop them.
-    pub leases_run: bool,
+    pub lease_expiry_enabled: bool,
 }
 
 impl StoreEmulator {
-    /// An empty store that remembers changes for `history_span`.
-    pub fn new(history_span: Duration) -> Self {
+    /// An empty store that remembers changes for `retention`.
+    pub fn new(retention: Duration) -> Self {
         Self {
             items: BTreeMap::new(),
             leases: BTreeMap::new(),
             revision: Revision::ABSENT,
             history: Vec::new(),
-            forgotten: Revision::ABSENT,
-            history_span,
+            compacted: Revision::ABSENT,
+            retention,
             next_lease: 1,
-            leases_run: true,
+            lease_expiry_enabled: true,
         }
     }
 
     /// Lets time pass: leases end, old history goes.
     pub fn advance(&mut self, now: Time) {
-        if self.leases_run {
+        if self.lease_expiry_enabled {
             let ended: Vec<u64> = self
                 .leases
                 .iter()
-                .filter(|(_, lease)| lease.ends <= now)
+                .filter(|(_, lease)| lease.expires <= now)
                 .map(|(id, _)| *id)
                 .collect();
             for id in ended {
-                self.end_lease(now, LeaseId(id));
+                self.remove_lease(now, LeaseId(id));
             }
         }
-        let span = self.history_span;
+        let span = self.retention;
         let old = self
             .history
             .iter()
             .take_while(|change| now.since(change.at) > span)
             .count();
-        self.forget(old);
+        self.compact_oldest(old);
     }
 
-    fn forget(&mut self, changes: usize) {
+    fn compact_oldest(&mut self, changes: usize) {
         for change in self.history.drain(..changes) {
-            self.forgotten = self.forgotten.max(change.event.revision());
+            self.compacted = self.compacted.max(change.event.revision());
         }
     }
 
     /// Drops the whole history.
     pub fn compact(&mut self) {
         let all = self.history.len();
-        self.forget(all);
-        self.forgotten = self.revision;
+        self.compact_oldest(all);
+        self.compacted = self.revision;
     }
 
     /// Lets every lease begin anew, as after an outage in which they waited.
-    pub fn renew_all(&mut self, now: Time) {
+    pub fn renew_all_leases(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
-            lease.ends = now + lease.ttl;
+            lease.expires = now + lease.ttl;
         }
     }
 
     /// Comes back from an older copy: what was done since is gone, and revisions are given
     /// out again.
-    pub fn go_back_to(&mut self, copy: StoreEmulator) {
+    pub fn restore(&mut self, copy: StoreEmulator) {
         *self = copy;
     }
 
     /// The keys below a prefix.
-    pub fn keys_below(&self, prefix: &str) -> Vec<String> {
+    pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         let below = self.items.keys().filter(|key| key.starts_with(prefix));
         below.cloned().collect()
     }
 
-    fn end_lease(&mut self, now: Time, lease: LeaseId) -> bool {
+    fn remove_lease(&mut self, now: Time, lease: LeaseId) -> bool {
         if self.leases.remove(&lease.0).is_none() {
             return false;
         }
@@ -161,10 +161,10 @@
             key: key.to_owned(),
             revision: self.revision,
         };
-        self.log(now, key, event);
+        self.record_change(now, key, event);
     }
 
-    fn log(&mut self, now: Time, key: &str, event: StoreEvent) {
+    fn record_change(&mut self, now: Time, key: &str, event: StoreEvent) {
         self.history.push(Change {
             at: now,
             key: key.to_owned(),
@@ -186,14 +186,14 @@
     }
 
     fn write(&mut self, now: Time, key: &str, value: Vec<u8>, lease: Option<LeaseId>) {
-        let stored = Stored {
+        let stored = StoredValue {
             value,
             revision: self.revision,
             lease,
         };
         let event = StoreEvent::Put(item(key, &stored));
         self.items.insert(key.to_owned(), stored);
-        self.log(now, key, event);
+        self.record_change(now, key, event);
     }
 
     /// The key as it stands.
@@ -230,7 +230,7 @@
             StoreCall::GrantLease { ttl } => self.grant(now, *ttl),
             StoreCall::KeepLease { lease } => match self.leases.get_mut(&lease.0) {
                 Some(held) => {
-                    held.ends = now + held.ttl;
+                    held.expires = now + held.ttl;
                     StoreOutcome::Leased {
                         lease: None,
                         ttl: held.ttl,
@@ -239,7 +239,7 @@
                 None => StoreOutcome::Absent,
             },
             StoreCall::RevokeLease { lease } => {
-                if self.end_lease(now, *lease) {
+                if self.remove_lease(now, *lease) {
                     StoreOutcome::Revoked
                 } else {
                     StoreOutcome::Absent
@@ -255,8 +255,8 @@
             .filter(|(key, _)| key.starts_with(prefix))
             .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after));
         let mut items: Vec<Item> = below.map(|(key, stored)| item(key, stored)).collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let more = items.len() > PAGE_SIZE;
+        items.truncate(PAGE_SIZE);
         StoreOutcome::Page {
             items,
             more,
@@ -266,7 +266,7 @@
 
     /// The outcome of a waiting watch, once there is one.
     pub fn watch(&self, now: Time, wait: &WatchWait) -> Option<StoreOutcome> {
-        if wait.after < self.forgotten || wait.after > self.revision {
+        if wait.after < self.compacted || wait.after > self.revision {
             return Some(StoreOutcome::Compacted);
         }
         let events: Vec<StoreEvent> = self
@@ -294,7 +294,11 @@
         if missing {
             return StoreOutcome::Absent;
         }
-        if !transaction.conditions.iter().all(|one| self.holds(one)) {
+        if !transaction
+            .conditions
+            .iter()
+            .all(|one| self.condition_holds(one))
+        {
             let keys = transaction.conditions.iter();
             return StoreOutcome::Conflict {
                 items: keys.filter_map(|one| self.get(&one.key)).collect(),
@@ -312,7 +316,7 @@
         }
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
+    fn condition_holds(&self, condition: &Condition) -> bool {
         let stored = self.items.get(&condition.key);
         let revision = stored.map_or(Revision::ABSENT, |stored| stored.revision);
         revision.number == condition.revision.number
@@ -321,8 +325,8 @@
     fn grant(&mut self, now: Time, ttl: Duration) -> StoreOutcome {
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
-        let ends = now + ttl;
-        self.leases.insert(lease.0, Lease { ttl, ends });
+        let expires = now + ttl;
+        self.leases.insert(lease.0, Lease { ttl, expires });
         StoreOutcome::Leased {
             lease: Some(lease),
             ttl,
@@ -330,7 +334,7 @@
     }
 }
 
-fn item(key: &str, stored: &Stored) -> Item {
+fn item(key: &str, stored: &StoredValue) -> Item {
     Item {
         key: key.to_owned(),
         value: stored.value.clone(),
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -34,7 +34,7 @@
     /// Requests that wait for a slot.
     pub queue: usize,
     /// Whether it runs only requests whose key it holds.
-    pub divided: bool,
+    pub is_sharded: bool,
     /// What it does with more.
     pub full: FullPolicy,
     /// Its time for a request, in percent of the request's work.
@@ -86,7 +86,7 @@
 
 /// A grant in force, for checkers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GrantTaken {
+pub struct AcceptedGrant {
     /// The keys.
     pub range: KeyRange,
     /// The token.
@@ -105,7 +105,7 @@
     /// Long after it was sent: held up on its way, or left lying by the upstream.
     pub is_late: bool,
     /// Right after its sender ran again or its link was whole again.
-    pub is_after_trouble: bool,
+    pub is_after_recovery: bool,
 }
 
 /// An upstream.
@@ -115,10 +115,10 @@
     pub config: UpstreamConfig,
     /// What it says of itself.
     pub state: UpstreamState,
-    grants: Vec<GrantTaken>,
+    grants: Vec<AcceptedGrant>,
     /// Grants that were given back while work on their keys went on.
-    given_back: Vec<GrantTaken>,
-    floors: Vec<u64>,
+    released_in_use: Vec<AcceptedGrant>,
+    min_tokens: Vec<u64>,
     running: Vec<Run>,
     queue: VecDeque<WorkRequest>,
     next_run: u64,
@@ -133,8 +133,8 @@
             config,
             state: UpstreamState::Ready,
             grants: Vec::new(),
-            given_back: Vec::new(),
-            floors: vec![0; KeyRange::ALL.len() as usize],
+            released_in_use: Vec::new(),
+            min_tokens: vec![0; KeyRange::ALL.len() as usize],
             running: Vec::new(),
             queue: VecDeque::new(),
             next_run: 0,
@@ -156,25 +156,25 @@
     }
 
     /// The grant under which it may run a request for a key.
-    pub fn grant(&self, now: Time, key: ShardKey) -> Option<&GrantTaken> {
+    pub fn grant(&self, now: Time, key: ShardKey) -> Option<&AcceptedGrant> {
         self.grants
             .iter()
             .find(|grant| grant.range.contains(key) && now < grant.ends)
     }
 
     /// The grants in force.
-    pub fn grants(&self, now: Time) -> impl Iterator<Item = &GrantTaken> {
+    pub fn grants(&self, now: Time) -> impl Iterator<Item = &AcceptedGrant> {
         self.grants.iter().filter(move |grant| now < grant.ends)
     }
 
     /// Takes an order. A release that must wait for work is answered by
-    /// [`UpstreamEmulator::released`].
+    /// [`UpstreamEmulator::take_completed_releases`].
     pub fn order(&mut self, now: Time, order: &GrantOrder) -> Option<GrantReply> {
-        self.delivered(now, order, Delivery::default())
+        self.deliver_order(now, order, Delivery::default())
     }
 
     /// Takes an order that came in that way.
-    pub fn delivered(
+    pub fn deliver_order(
         &mut self,
         now: Time,
         order: &GrantOrder,
@@ -184,16 +184,16 @@
             return Some(GrantReply::Replaced);
         }
         match &order.kind {
-            OrderKind::Grant { hold, .. } => Some(self.take(now, order, *hold, delivery)),
+            OrderKind::Grant { hold, .. } => Some(self.accept_grant(now, order, *hold, delivery)),
             OrderKind::Release => self.release(order),
         }
     }
 
-    fn floor(&mut self, range: KeyRange) -> &mut [u64] {
-        &mut self.floors[usize::from(range.first.0)..=usize::from(range.last.0)]
+    fn min_tokens_of(&mut self, range: KeyRange) -> &mut [u64] {
+        &mut self.min_tokens[usize::from(range.first.0)..=usize::from(range.last.0)]
     }
 
-    fn take(
+    fn accept_grant(
         &mut self,
         now: Time,
         order: &GrantOrder,
@@ -201,21 +201,26 @@
         delivery: Delivery,
     ) -> GrantReply {
         let token = order.token.0;
-        if self.floor(order.range).iter().any(|floor| *floor > token) {
+        if self
+            .min_tokens_of(order.range)
+            .iter()
+            .any(|min_token| *min_token > token)
+        {
             return GrantReply::Outdated;
         }
-        self.floor(order.range).fill(token);
-        let standing = self.grant(now, order.range.first);
+        self.min_tokens_of(order.range).fill(token);
+        let current = self.grant(now, order.range.first);
         // What came right after trouble is first taken when it is taken again.
-        let is_first =
-            |grant: &&GrantTaken| grant.delivery.is_after_trouble && !delivery.is_after_trouble;
-        let since = standing
-            .filter(|grant| !is_first(grant))
+        let restarts_hold = |grant: &&AcceptedGrant| {
+            grant.delivery.is_after_recovery && !delivery.is_after_recovery
+        };
+        let since = current
+            .filter(|grant| !restarts_hold(grant))
             .map_or(now, |grant| grant.since);
         // A shorter grant does not end a longer one that stands.
-        let ends = standing.map_or(now, |grant| grant.ends).max(now + hold);
-        self.cut(order.range);
-        self.grants.push(GrantTaken {
+        let ends = current.map_or(now, |grant| grant.ends).max(now + hold);
+        self.remove_range(order.range);
+        self.grants.push(AcceptedGrant {
             range: order.range,
             token: order.token,
             since,
@@ -226,7 +231,7 @@
     }
 
     /// Removes a range from all grants.
-    fn cut(&mut self, range: KeyRange) {
+    fn remove_range(&mut self, range: KeyRange) {
         let mut rest = Vec::new();
         for grant in self.grants.drain(..) {
             if !grant.range.overlaps(range) {
@@ -239,7 +244,7 @@
                     last,
                     ..grant.range
                 };
-                rest.push(GrantTaken { range, ..grant });
+                rest.push(AcceptedGrant { range, ..grant });
             }
             if grant.range.last > range.last {
                 let first = ShardKey(range.last.0 + 1);
@@ -247,7 +252,7 @@
                     first,
                     ..grant.range
                 };
-                rest.push(GrantTaken { range, ..grant });
+                rest.push(AcceptedGrant { range, ..grant });
             }
         }
         self.grants = rest;
@@ -255,16 +260,17 @@
 
     fn release(&mut self, order: &GrantOrder) -> Option<GrantReply> {
         let token = order.token.0;
-        for floor in self.floor(order.range) {
-            *floor = (*floor).max(token);
+        for min_token in self.min_tokens_of(order.range) {
+            *min_token = (*min_token).max(token);
         }
-        let at_work = self.is_at_work(order.range);
-        if at_work {
-            let of_range = |grant: &&GrantTaken| grant.range.overlaps(order.range);
-            self.given_back.extend(self.grants.iter().filter(of_range));
+        let has_running_work = self.has_running_work(order.range);
+        if has_running_work {
+            let of_range = |grant: &&AcceptedGrant| grant.range.overlaps(order.range);
+            self.released_in_use
+                .extend(self.grants.iter().filter(of_range));
         }
-        self.cut(order.range);
-        if at_work {
+        self.remove_range(order.range);
+        if has_running_work {
             self.releases.push((order.range, order.call.0));
             return None;
         }
@@ -273,16 +279,16 @@
         ))))
     }
 
-    fn is_at_work(&self, range: KeyRange) -> bool {
+    fn has_running_work(&self, range: KeyRange) -> bool {
         let mut keys = self.running.iter().filter_map(|run| run.request.key);
         keys.any(|key| range.contains(key))
     }
 
     /// Whether it is at work on a key of a range, under a lease that has not run out or
     /// would not have if the key had not been given back.
-    pub fn works_under_lease(&self, now: Time, range: KeyRange) -> bool {
+    pub fn is_working_under_lease(&self, now: Time, range: KeyRange) -> bool {
         let leases = || {
-            let all = self.grants.iter().chain(&self.given_back);
+            let all = self.grants.iter().chain(&self.released_in_use);
             all.filter(|one| !one.delivery.is_late)
         };
         let is_leased = |key| leases().any(|one| one.range.contains(key) && now < one.ends);
@@ -291,25 +297,25 @@
     }
 
     /// Calls whose release has been waiting and is complete now.
-    pub fn released(&mut self) -> Vec<u64> {
+    pub fn take_completed_releases(&mut self) -> Vec<u64> {
         let releases = std::mem::take(&mut self.releases);
         let (waiting, done): (Vec<_>, Vec<_>) = releases
             .into_iter()
-            .partition(|(range, _)| self.is_at_work(*range));
+            .partition(|(range, _)| self.has_running_work(*range));
         self.releases = waiting;
         if self.releases.is_empty() {
-            self.given_back.clear();
+            self.released_in_use.clear();
         }
         done.into_iter().map(|(_, call)| call).collect()
     }
 
     /// Takes a request.
     pub fn arrive(&mut self, now: Time, request: WorkRequest) -> Arrival {
-        if request.target.name != self.config.id.name || !self.may_run(now, &request) {
+        if request.target.name != self.config.id.name || !self.can_run(now, &request) {
             return Arrival::Misdirected;
         }
         if self.running.len() < self.config.slots {
-            return Arrival::Runs(self.begin(now, request));
+            return Arrival::Runs(self.start_run(now, request));
         }
         if self.queue.len() < self.config.queue {
             self.queue.push_back(request);
@@ -321,8 +327,8 @@
         }
     }
 
-    fn may_run(&self, now: Time, request: &WorkRequest) -> bool {
-        if !self.config.divided {
+    fn can_run(&self, now: Time, request: &WorkRequest) -> bool {
+        if !self.config.is_sharded {
             return true;
         }
         request
@@ -330,7 +336,7 @@
             .is_some_and(|key| self.grant(now, key).is_some())
     }
 
-    fn begin(&mut self, now: Time, request: WorkRequest) -> Run {
+    fn start_run(&mut self, now: Time, request: WorkRequest) -> Run {
         let id = RunId(self.next_run);
         self.next_run += 1;
         let work = request.work * self.config.slowness_percent / 100;
@@ -352,19 +358,19 @@
     ) -> (Option<WorkRequest>, Vec<Run>, Vec<WorkRequest>) {
         let index = self.running.iter().position(|other| other.id == run);
         let ended = index.map(|index| self.running.swap_remove(index).request);
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         let mut refused = Vec::new();
         while self.running.len() < self.config.slots {
             let Some(request) = self.queue.pop_front() else {
                 break;
             };
-            if self.may_run(now, &request) {
-                begun.push(self.begin(now, request));
+            if self.can_run(now, &request) {
+                started.push(self.start_run(now, request));
             } else {
                 refused.push(request);
             }
         }
-        (ended, begun, refused)
+        (ended, started, refused)
     }
 
     /// Drops a request whose caller left.
--- a/crates/emulator/tests/leases.rs
+++ b/crates/emulator/tests/leases.rs
@@ -13,8 +13,8 @@
 
 const KEY: ShardKey = ShardKey(40);
 const HOLD: Duration = Duration::from_secs(3);
-const IN_TIME: Time = Time(2_000_000);
-const RUN_OUT: Time = Time(4_000_000);
+const BEFORE_EXPIRY: Time = Time(2_000_000);
+const AFTER_EXPIRY: Time = Time(4_000_000);
 
 fn id() -> UpstreamId {
     UpstreamId::from("u".to_owned())
@@ -28,7 +28,7 @@
         zone: "a".into(),
         slots: 2,
         queue: 2,
-        divided: true,
+        is_sharded: true,
         full: FullPolicy::Shed,
         slowness_percent: 100,
     })
@@ -56,9 +56,9 @@
 }
 
 /// An upstream that took that grant at the start and works on a key.
-fn at_work(delivery: Delivery) -> (UpstreamEmulator, RunId) {
+fn upstream_with_running_request(delivery: Delivery) -> (UpstreamEmulator, RunId) {
     let mut upstream = upstream();
-    let reply = upstream.delivered(Time::ZERO, &grant(1), delivery);
+    let reply = upstream.deliver_order(Time::ZERO, &grant(1), delivery);
     assert_eq!(reply, Some(GrantReply::Granted));
     let request = WorkRequest {
         id: "request".to_owned(),
@@ -74,35 +74,35 @@
 
 #[test]
 fn work_counts_while_its_lease_runs() {
-    let (upstream, _) = at_work(Delivery::default());
-    assert!(upstream.works_under_lease(IN_TIME, KeyRange::ALL));
-    assert!(!upstream.works_under_lease(RUN_OUT, KeyRange::ALL));
+    let (upstream, _) = upstream_with_running_request(Delivery::default());
+    assert!(upstream.is_working_under_lease(BEFORE_EXPIRY, KeyRange::ALL));
+    assert!(!upstream.is_working_under_lease(AFTER_EXPIRY, KeyRange::ALL));
     let elsewhere = KeyRange {
         first: ShardKey(KEY.0 + 1),
         ..KeyRange::ALL
     };
-    assert!(!upstream.works_under_lease(IN_TIME, elsewhere));
+    assert!(!upstream.is_working_under_lease(BEFORE_EXPIRY, elsewhere));
 }
 
 #[test]
 fn work_counts_after_its_keys_were_given_back() {
-    let (mut upstream, run) = at_work(Delivery::default());
+    let (mut upstream, run) = upstream_with_running_request(Delivery::default());
     let reply = upstream.order(Time(1_500_000), &order(2, OrderKind::Release));
     assert_eq!(reply, None, "answered when the work is over");
-    assert!(upstream.works_under_lease(IN_TIME, KeyRange::ALL));
-    assert!(!upstream.works_under_lease(RUN_OUT, KeyRange::ALL));
-    upstream.end(IN_TIME, run);
-    assert_eq!(upstream.released(), [2]);
-    assert!(!upstream.works_under_lease(IN_TIME, KeyRange::ALL));
+    assert!(upstream.is_working_under_lease(BEFORE_EXPIRY, KeyRange::ALL));
+    assert!(!upstream.is_working_under_lease(AFTER_EXPIRY, KeyRange::ALL));
+    upstream.end(BEFORE_EXPIRY, run);
+    assert_eq!(upstream.take_completed_releases(), [2]);
+    assert!(!upstream.is_working_under_lease(BEFORE_EXPIRY, KeyRange::ALL));
 }
 
 #[test]
 fn leases_of_grants_that_came_late_do_not_count() {
-    let (upstream, _) = at_work(Delivery {
+    let (upstream, _) = upstream_with_running_request(Delivery {
         is_late: true,
-        is_after_trouble: false,
+        is_after_recovery: false,
     });
-    assert!(!upstream.works_under_lease(IN_TIME, KeyRange::ALL));
+    assert!(!upstream.is_working_under_lease(BEFORE_EXPIRY, KeyRange::ALL));
 }
 
 /// One that came right after trouble is held from when it is renewed.
@@ -111,9 +111,9 @@
     let mut upstream = upstream();
     let after_trouble = Delivery {
         is_late: false,
-        is_after_trouble: true,
+        is_after_recovery: true,
     };
-    upstream.delivered(Time(1), &grant(1), after_trouble);
+    upstream.deliver_order(Time(1), &grant(1), after_trouble);
     upstream.order(Time(2), &grant(1));
     upstream.order(Time(3), &grant(1));
     let since = upstream.grant(Time(3), KEY).map(|grant| grant.since);
--- a/crates/grantsearch/tests/upstream.rs
+++ b/crates/grantsearch/tests/upstream.rs
@@ -49,7 +49,7 @@
         zone: "lhr-a".into(),
         slots: 1,
         queue: 0,
-        divided: true,
+        is_sharded: true,
         full: FullPolicy::Shed,
         slowness_percent: 100,
     })
--- a/crates/routersim/src/world/faults.rs
+++ b/crates/routersim/src/world/faults.rs
@@ -69,14 +69,14 @@
             }
             Trouble::StoreDown { lapse } => {
                 self.store_state.down = true;
-                self.store.leases_run = *lapse;
+                self.store.lease_expiry_enabled = *lapse;
                 self.silence_watches(|_| true);
             }
             Trouble::StoreGoesBack { back_ms } => {
                 self.store_state.down = true;
                 self.store_state
                     .keep_copy(self.now, Duration::from_millis(*back_ms));
-                self.store.leases_run = false;
+                self.store.lease_expiry_enabled = false;
                 self.silence_watches(|_| true);
             }
             Trouble::StoreLost { percent, late } => {
@@ -231,8 +231,8 @@
                 if *lapse {
                     self.lapse_registrations();
                 } else {
-                    self.store.renew_all(self.now);
-                    self.store.leases_run = true;
+                    self.store.renew_all_leases(self.now);
+                    self.store.lease_expiry_enabled = true;
                 }
             }
             Trouble::StoreLost { .. } => {
--- a/crates/routersim/src/world/links.rs
+++ b/crates/routersim/src/world/links.rs
@@ -218,7 +218,7 @@
         let ran_again = just(self.nodes[node].thawed_at);
         Delivery {
             is_late: false,
-            is_after_trouble: ran_again || just(self.upstream_state[index].healed_at),
+            is_after_recovery: ran_again || just(self.upstream_state[index].healed_at),
         }
     }
 }
--- a/crates/routersim/src/world/orders.rs
+++ b/crates/routersim/src/world/orders.rs
@@ -102,7 +102,7 @@
     ) -> Option<GrantReply> {
         let now = self.now;
         let upstream = self.upstreams[index].as_mut()?;
-        let reply = upstream.delivered(now, order, delivery);
+        let reply = upstream.deliver_order(now, order, delivery);
         if reply == Some(GrantReply::Granted) {
             self.check_taken(index, order, delivery);
         }
--- a/crates/routersim/src/world/owners.rs
+++ b/crates/routersim/src/world/owners.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use crate::check::{Holder, OVERLAP, OtherHolder, Taking};
-use beamtray_emulator::{Delivery, GrantTaken, UpstreamEmulator};
+use beamtray_emulator::{AcceptedGrant, Delivery, UpstreamEmulator};
 use beamtray_sharding::{GrantOrder, ShardKey};
 
 impl World {
@@ -27,7 +27,7 @@
         // what had become of the keys meanwhile.
         let counted = |upstream: &UpstreamEmulator| {
             let grant = upstream.grant(now, key)?;
-            (!grant.delivery.is_after_trouble).then_some(grant.since)
+            (!grant.delivery.is_after_recovery).then_some(grant.since)
         };
         let Some(upstream) = &self.upstreams[index] else {
             return;
@@ -60,7 +60,7 @@
             token: order.token.0,
             // As above: the sender could not know. One that was held up or left lying
             // counts here: its token tells how old it is.
-            is_counted: !delivery.is_after_trouble,
+            is_counted: !delivery.is_after_recovery,
         };
         self.checkers.takes(now, &holder, taking);
         // What was held up or left lying lasts from its arrival, later than its sender can
@@ -69,7 +69,7 @@
             return;
         }
         let ends = upstream.grant(now, order.range.first).map(|own| own.ends);
-        let overlaps = |grant: &GrantTaken| {
+        let overlaps = |grant: &AcceptedGrant| {
             let both_end = ends.map_or(grant.ends, |own| own.min(grant.ends));
             let is_long = both_end.since(now) > OVERLAP;
             is_long && !grant.delivery.is_late && grant.range.overlaps(order.range)
@@ -80,7 +80,7 @@
             if other.grants(now).any(overlaps) {
                 holding.push(other.config.id.clone());
             }
-            if other.works_under_lease(now, order.range) {
+            if other.is_working_under_lease(now, order.range) {
                 working.push(other.config.id.clone());
             }
         }
--- a/crates/routersim/src/world/registrations.rs
+++ b/crates/routersim/src/world/registrations.rs
@@ -91,7 +91,7 @@
             self.store.put(now, &key, value);
             living.push(key);
         }
-        for key in self.store.keys_below("upstreams/") {
+        for key in self.store.keys_with_prefix("upstreams/") {
             if !living.contains(&key) {
                 self.store.delete(now, &key);
             }
--- a/crates/routersim/src/world/stores.rs
+++ b/crates/routersim/src/world/stores.rs
@@ -197,11 +197,11 @@
         self.store_state.disturbed = Some(now);
         self.store_state.era.0 += 1;
         if let Some((copy_of, copy)) = self.store_state.kept.take() {
-            self.store.go_back_to(copy);
+            self.store.restore(copy);
             self.store_state.went_back = Some(GoneBack { copy_of, at: now });
         }
-        self.store.leases_run = true;
-        self.store.renew_all(now);
+        self.store.lease_expiry_enabled = true;
+        self.store.renew_all_leases(now);
         self.store_state.copies.clear();
         let delay = self.millis(50, 800);
         self.schedule(delay, Event::WritesAgain);
--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -150,16 +150,16 @@
         }
         let mut id = UpstreamId::from(format!("u{index}-{named}"));
         id.started_at = tells_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
-        let divided = index < self.config.keyed;
+        let is_sharded = index < self.config.keyed;
         let slowness_percent = [70, 100, 160][self.random.random_range(0..3)];
         self.upstreams[index] = Some(UpstreamEmulator::new(UpstreamConfig {
             id,
-            service: ServiceName::from(if divided { KEYED } else { POOL }),
+            service: ServiceName::from(if is_sharded { KEYED } else { POOL }),
             address: address(index),
             zone: ["a", "b", "c"][index % 3].into(),
             slots: 2,
             queue: 8,
-            divided,
+            is_sharded,
             full: if index.is_multiple_of(2) {
                 FullPolicy::Hang
             } else {
@@ -498,7 +498,7 @@
             return;
         };
         let (ended, begun, refused) = upstream.end(now, run);
-        let released = upstream.released();
+        let released = upstream.take_completed_releases();
         if let Some(taken) = ended.and_then(|request| self.untake(index, &request.id)) {
             let percent = self.answers_lost_percent;
             let lost = percent > 0 && self.chance(percent);
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -224,14 +224,14 @@
         copies.clear();
         self.era.set(self.era.get() + 1);
         let mut emulator = self.emulator.borrow_mut();
-        emulator.go_back_to(copy);
-        emulator.renew_all(now);
+        emulator.restore(copy);
+        emulator.renew_all_leases(now);
         if let Some(value) = self.configuration.borrow().clone() {
             emulator.put(now, Platform.keys().configuration, value);
         }
         let prefix = Platform.keys().upstream_prefix;
         let entries = self.entries.borrow();
-        for key in emulator.keys_below(prefix) {
+        for key in emulator.keys_with_prefix(prefix) {
             if !entries.contains_key(&key[prefix.len()..]) {
                 emulator.delete(now, &key);
             }
@@ -257,10 +257,10 @@
     fn set_faults(&self, now: Time, faults: StoreFaults) {
         let before = self.faults.replace(faults);
         let mut emulator = self.emulator.borrow_mut();
-        emulator.leases_run = !faults.silent || faults.lapse;
+        emulator.lease_expiry_enabled = !faults.silent || faults.lapse;
         if before.silent && !faults.silent {
             if !before.lapse {
-                emulator.renew_all(now);
+                emulator.renew_all_leases(now);
             }
             for entry in self.entries.borrow_mut().values_mut() {
                 entry.written = entry.written.max(now);
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -104,7 +104,7 @@
         zone: settings.zone.as_str().into(),
         slots: SLOTS,
         queue: QUEUE,
-        divided: settings.service == KEYED,
+        is_sharded: settings.service == KEYED,
         full: FullPolicy::Hang,
         slowness_percent: 100,
     });
@@ -340,7 +340,7 @@
     async fn released(&self, call: CallId) -> GrantReply {
         loop {
             tokio::time::sleep(RELEASE_POLL).await;
-            let done = self.emulator.borrow_mut().released();
+            let done = self.emulator.borrow_mut().take_completed_releases();
             if done.contains(&call.0) {
                 return GrantReply::Released(None);
             }
--- a/crates/standin/src/key_value.rs
+++ b/crates/standin/src/key_value.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredValue {
     version: u64,
     value: Vec<u8>,
     lease: Option<u64>,
@@ -25,14 +25,14 @@
 /// The service's state.
 #[derive(Clone, Debug)]
 pub struct KeyValueStore {
-    keys: BTreeMap<String, Stored>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Time>,
     next_lease: u64,
     /// What fails now.
     pub faults: KeyValueFaults,
     per_second: u32,
     window: Time,
-    in_window: u32,
+    calls_in_window: u32,
 }
 
 impl KeyValueStore {
@@ -45,7 +45,7 @@
             faults: KeyValueFaults::default(),
             per_second,
             window: Time::ZERO,
-            in_window: 0,
+            calls_in_window: 0,
         }
     }
 
@@ -54,7 +54,7 @@
         if self.faults.down {
             return None;
         }
-        if let Some(retry_after) = self.over_rate(now) {
+        if let Some(retry_after) = self.check_rate_limit(now) {
             return Some(KeyValueResult::RateLimited { retry_after });
         }
         self.expire(now);
@@ -80,20 +80,20 @@
     }
 
     /// Grants a lease: keys written under it vanish when it lapses.
-    pub fn grant_lease(&mut self, now: Time, life: Duration) -> u64 {
+    pub fn grant_lease(&mut self, now: Time, ttl: Duration) -> u64 {
         let lease = self.next_lease;
         self.next_lease += 1;
-        self.leases.insert(lease, now + life);
+        self.leases.insert(lease, now + ttl);
         lease
     }
 
     /// Prolongs a lease; false when it lapsed already.
-    pub fn keep_lease(&mut self, now: Time, lease: u64, life: Duration) -> bool {
+    pub fn keep_lease(&mut self, now: Time, lease: u64, ttl: Duration) -> bool {
         self.expire(now);
-        let Some(until) = self.leases.get_mut(&lease) else {
+        let Some(expires) = self.leases.get_mut(&lease) else {
             return false;
         };
-        *until = now + life;
+        *expires = now + ttl;
         true
     }
 
@@ -135,7 +135,7 @@
             return KeyValueResult::Conflict { version: present };
         }
         let version = present + 1;
-        let stored = Stored {
+        let stored = StoredValue {
             version,
             value,
             lease,
@@ -144,18 +144,19 @@
         KeyValueResult::Stored { version }
     }
 
-    fn over_rate(&mut self, now: Time) -> Option<Duration> {
+    fn check_rate_limit(&mut self, now: Time) -> Option<Duration> {
         let second = Duration::from_secs(1);
         if now.since(self.window) >= second {
             self.window = now;
-            self.in_window = 0;
+            self.calls_in_window = 0;
         }
-        self.in_window += 1;
-        (self.in_window > self.per_second).then(|| second.saturating_sub(now.since(self.window)))
+        self.calls_in_window += 1;
+        (self.calls_in_window > self.per_second)
+            .then(|| second.saturating_sub(now.since(self.window)))
     }
 
     fn expire(&mut self, now: Time) {
-        self.leases.retain(|_, until| now < *until);
+        self.leases.retain(|_, expires| now < *expires);
         let leases = &self.leases;
         self.keys.retain(|_, stored| {
             let lease = stored.lease;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -20,18 +20,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-const WATCH_STEP: Duration = Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const WORKERS: usize = 16;
 const MAX_CONNECTIONS: usize = 4_096;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A monotonic clock for the models.
 #[derive(Clone, Copy, Debug)]
-struct Clock {
+struct MonotonicClock {
     start: Instant,
 }
 
-impl Clock {
+impl MonotonicClock {
     fn start() -> Self {
         Self {
             start: Instant::now(),
@@ -52,18 +52,18 @@
 }
 
 impl Switches {
-    fn apply(&self, clock: &Clock, request: &HttpRequest) {
-        if let Some(millis) = number(request, "freeze_millis") {
+    fn apply(&self, clock: &MonotonicClock, request: &HttpRequest) {
+        if let Some(millis) = numeric_parameter(request, "freeze_millis") {
             let until = clock.now() + Duration::from_millis(millis);
             self.frozen_until.store(until.0, Ordering::SeqCst);
         }
-        if let Some(millis) = number(request, "slow_millis") {
+        if let Some(millis) = numeric_parameter(request, "slow_millis") {
             self.slow_millis.store(millis, Ordering::SeqCst);
         }
     }
 
     /// Waits as long as the stand-in is frozen or slow.
-    fn delay(&self, clock: &Clock) {
+    fn delay(&self, clock: &MonotonicClock) {
         thread::sleep(Duration::from_millis(
             self.slow_millis.load(Ordering::SeqCst),
         ));
@@ -72,11 +72,11 @@
     }
 }
 
-fn number(request: &HttpRequest, name: &str) -> Option<u64> {
+fn numeric_parameter(request: &HttpRequest, name: &str) -> Option<u64> {
     request.query_value(name)?.parse().ok()
 }
 
-fn switch(request: &HttpRequest, name: &str) -> Option<bool> {
+fn boolean_parameter(request: &HttpRequest, name: &str) -> Option<bool> {
     Some(request.query_value(name)? == "1")
 }
 
@@ -103,7 +103,7 @@
     })
 }
 
-fn control_done() -> Option<HttpResponse> {
+fn control_response() -> Option<HttpResponse> {
     Some(HttpResponse::text(200, "done\n"))
 }
 
@@ -112,7 +112,7 @@
 /// # Errors
 /// [`StepError`] when the address cannot be listened on.
 pub fn serve_key_value(address: SocketAddr, per_second: u32) -> Result<WorkerServer, StepError> {
-    let clock = Clock::start();
+    let clock = MonotonicClock::start();
     let store = Mutex::new(KeyValueStore::new(per_second));
     let switches = Switches::default();
     start(address, WORKERS, move |request| {
@@ -120,10 +120,10 @@
             switches.apply(&clock, &request);
             let mut store = lock(&store);
             let faults = &mut store.faults;
-            faults.down = switch(&request, "down").unwrap_or(faults.down);
-            let loses = switch(&request, "loses_replies");
+            faults.down = boolean_parameter(&request, "down").unwrap_or(faults.down);
+            let loses = boolean_parameter(&request, "loses_replies");
             faults.loses_replies = loses.unwrap_or(faults.loses_replies);
-            return control_done();
+            return control_response();
         }
         switches.delay(&clock);
         if request.path == "/v1/leases" {
@@ -137,14 +137,14 @@
             "GET" => KeyValueRequest::Get { key },
             "PUT" => KeyValueRequest::Put {
                 key,
-                expected: number(&request, "expected")?,
+                expected: numeric_parameter(&request, "expected")?,
                 value: request.body.clone(),
             },
             _ => return Some(HttpResponse::text(405, "GET or PUT\n")),
         };
         let mut store = lock(&store);
         let now = clock.now();
-        let lease = number(&request, "lease");
+        let lease = numeric_parameter(&request, "lease");
         let result = match (&call, lease) {
             (
                 KeyValueRequest::Put {
@@ -164,22 +164,22 @@
 }
 
 /// Waits until the key's version differs from `after`, at most `wait_millis`.
-fn watch(store: &Mutex<KeyValueStore>, clock: &Clock, request: &HttpRequest, key: &str) {
-    let Some(after) = number(request, "after") else {
+fn watch(store: &Mutex<KeyValueStore>, clock: &MonotonicClock, request: &HttpRequest, key: &str) {
+    let Some(after) = numeric_parameter(request, "after") else {
         return;
     };
-    let patience = Duration::from_millis(number(request, "wait_millis").unwrap_or(0));
-    let until = clock.now() + patience;
+    let timeout = Duration::from_millis(numeric_parameter(request, "wait_millis").unwrap_or(0));
+    let until = clock.now() + timeout;
     while clock.now() < until && lock(store).version(key) == after {
-        thread::sleep(WATCH_STEP);
+        thread::sleep(WATCH_POLL_INTERVAL);
     }
 }
 
 fn serve_lease(store: &mut KeyValueStore, now: Time, request: &HttpRequest) -> HttpResponse {
-    let life = Duration::from_millis(number(request, "life_millis").unwrap_or(1_000));
-    match number(request, "lease") {
-        None => HttpResponse::text(200, format!("{}\n", store.grant_lease(now, life))),
-        Some(lease) if store.keep_lease(now, lease, life) => HttpResponse::text(200, "kept\n"),
+    let ttl = Duration::from_millis(numeric_parameter(request, "life_millis").unwrap_or(1_000));
+    match numeric_parameter(request, "lease") {
+        None => HttpResponse::text(200, format!("{}\n", store.grant_lease(now, ttl))),
+        Some(lease) if store.keep_lease(now, lease, ttl) => HttpResponse::text(200, "kept\n"),
         Some(_) => HttpResponse::text(404, "lapsed\n"),
     }
 }
@@ -210,7 +210,7 @@
 /// # Errors
 /// [`StepError`] when the address cannot be listened on.
 pub fn serve_machines(address: SocketAddr, lag: Duration) -> Result<WorkerServer, StepError> {
-    let clock = Clock::start();
+    let clock = MonotonicClock::start();
     let machines = Mutex::new(MachineList::new(lag));
     start(address, 4, move |request| {
         let mut machines = lock(&machines);
@@ -222,7 +222,7 @@
                 _ => return Some(HttpResponse::text(400, "live, leaving or gone\n")),
             };
             machines.set(clock.now(), request.query_value("name")?, state);
-            return control_done();
+            return control_response();
         }
         let list = serde_json::to_string(&machines.list(clock.now())).ok()?;
         Some(HttpResponse::text(200, list))
@@ -240,7 +240,7 @@
     service_time: Duration,
     on_effect: fn(&Effect),
 ) -> Result<WorkerServer, StepError> {
-    let clock = Clock::start();
+    let clock = MonotonicClock::start();
     let server = Arc::new(Mutex::new(KeyedServer::new(new_incarnation(), slots)));
     let switches = Switches::default();
     // Grants must not wait behind requests that hold every worker.
@@ -250,8 +250,8 @@
             "/control" => {
                 switches.apply(&clock, &request);
                 let mut server = lock(&server);
-                server.sheds = switch(&request, "sheds").unwrap_or(server.sheds);
-                return control_done();
+                server.sheds = boolean_parameter(&request, "sheds").unwrap_or(server.sheds);
+                return control_response();
             }
             "/effects" => return Some(effects_response(&lock(&server))),
             "/grants" => {
@@ -270,7 +270,7 @@
 
 fn serve_keyed_request(
     server: &Mutex<KeyedServer>,
-    clock: &Clock,
+    clock: &MonotonicClock,
     service_time: Duration,
     request: &HttpRequest,
     on_effect: fn(&Effect),
@@ -339,7 +339,7 @@
     address: SocketAddr,
     config: BackendConfig,
 ) -> Result<WorkerServer, StepError> {
-    let clock = Clock::start();
+    let clock = MonotonicClock::start();
     let backend = Mutex::new(Backend::new(config, clock.now()));
     let switches = Switches::default();
     let workers = config.slots as usize + WORKERS;
@@ -348,11 +348,11 @@
             "/control" => {
                 switches.apply(&clock, &request);
                 let mut backend = lock(&backend);
-                backend.sheds = switch(&request, "sheds").unwrap_or(backend.sheds);
-                backend.drains = switch(&request, "drains").unwrap_or(backend.drains);
-                let health = switch(&request, "health");
+                backend.sheds = boolean_parameter(&request, "sheds").unwrap_or(backend.sheds);
+                backend.drains = boolean_parameter(&request, "drains").unwrap_or(backend.drains);
+                let health = boolean_parameter(&request, "health");
                 backend.reported_health = health.or(backend.reported_health);
-                return control_done();
+                return control_response();
             }
             "/health" => {
                 let status = if lock(&backend).health() { 200 } else { 503 };
