--- a/crates/grantsearch/src/check.rs
+++ b/crates/grantsearch/src/check.rs
@@ -7,7 +7,7 @@
 //!    upstreams had it.
 //! 3. Two upstreams never hold a key for more than half a second, with requests or without.
 //!
-//! Left out, as the rule says: of the first two, grants that arrive within [`SOON`] after
+//! Left out, as the rule says: of the first two, grants that arrive within [`RECOVERY_WINDOW`] after
 //! their sender was continued or a path healed; of the third also those that were held up on
 //! their way or taken late. Here every holder begins requests all the time, as routers with
 //! an old view would send them, so that any time in which two hold a key breaks the first
@@ -23,13 +23,13 @@
 
 /// Grants that arrive so soon after a path healed or their sender was continued are left
 /// out by the rule.
-pub const SOON: Duration = Duration::from_millis(300);
+pub const RECOVERY_WINDOW: Duration = Duration::from_millis(300);
 /// How long two may hold a key without requests.
-pub const OVERLAP: Duration = Duration::from_millis(500);
+pub const MAX_OVERLAP: Duration = Duration::from_millis(500);
 
 /// A sentence that must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Invariant {
     /// Two upstreams hold a key and both begin requests on it.
     SoleOwner,
     /// A token is not above those under which others had the key.
@@ -42,105 +42,112 @@
 
 /// A sentence that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// What happened.
     pub text: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:?}: {}", self.promise, self.text)
+        write!(formatter, "{:?}: {}", self.invariant, self.text)
     }
 }
 
 /// Who took a range.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Taker {
+struct HolderKey {
     range: usize,
     name: UpstreamName,
     /// Always 0 where lives under one id are not told apart.
-    life: u32,
+    incarnation: u32,
 }
 
 /// Follows who took which range under which token.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Judge {
+pub(crate) struct InvariantChecker {
     /// The highest token under which an upstream had a range, by its number.
-    had: BTreeMap<Taker, u64>,
+    highest_tokens: BTreeMap<HolderKey, u64>,
     /// Since when two hold a range.
-    doubled: BTreeMap<usize, Time>,
+    overlap_since: BTreeMap<usize, Time>,
     /// Looks at this promise alone, if at one.
-    only: Option<Promise>,
-    tells_lives_apart: bool,
-    pub broken: Option<Broken>,
+    only: Option<Invariant>,
+    distinguish_restarts: bool,
+    pub violation: Option<Violation>,
 }
 
-impl Judge {
+impl InvariantChecker {
     pub fn new(scope: &Scope) -> Self {
         Self {
-            only: scope.only,
-            tells_lives_apart: scope.tells_lives_apart,
+            only: scope.only_invariant,
+            distinguish_restarts: scope.distinguish_restarts,
             ..Self::default()
         }
     }
 
-    fn object(&mut self, promise: Promise, text: String) {
-        if self.only.is_some_and(|only| only != promise) {
+    fn report(&mut self, invariant: Invariant, text: String) {
+        if self.only.is_some_and(|only| only != invariant) {
             return;
         }
-        self.broken.get_or_insert(Broken { promise, text });
+        self.violation.get_or_insert(Violation { invariant, text });
     }
 
     /// An upstream took a range under a token, by a grant that counts.
-    pub fn taken(&mut self, now: Time, range: usize, token: u64, by: usize, all: &[Upstream]) {
-        let taker = &all[by].id;
-        let key = Taker {
+    pub fn grant_accepted(
+        &mut self,
+        now: Time,
+        range: usize,
+        token: u64,
+        by: usize,
+        all: &[Upstream],
+    ) {
+        let holder = &all[by].id;
+        let key = HolderKey {
             range,
-            name: taker.name.clone(),
-            life: if self.tells_lives_apart {
-                all[by].life
+            name: holder.name.clone(),
+            incarnation: if self.distinguish_restarts {
+                all[by].incarnation
             } else {
                 0
             },
         };
-        let others = self.had.iter();
+        let others = self.highest_tokens.iter();
         let others = others.filter(|(other, _)| other.range == range && **other != key);
         let highest = others.max_by_key(|(_, token)| **token);
         if let Some((other, above)) = highest.filter(|(_, highest)| **highest >= token) {
             let other = &other.name;
-            let text = format!("{taker} takes range {range} under {token}, {other} had {above}");
-            self.object(Promise::RisingTokens, text);
+            let text = format!("{holder} takes range {range} under {token}, {other} had {above}");
+            self.report(Invariant::RisingTokens, text);
         }
-        let holder = holders(all, range, |held| held.counted_ends, now);
-        let others: Vec<&str> = holder
-            .filter(|id| *id != taker)
+        let current = holders(all, range, |held| held.counted_expiry, now);
+        let others: Vec<&str> = current
+            .filter(|id| *id != holder)
             .map(|id| id.name.0.as_str())
             .collect();
         if !others.is_empty() {
             let text = format!(
-                "{taker} takes range {range}, which {} holds",
+                "{holder} takes range {range}, which {} holds",
                 others.join(", ")
             );
-            self.object(Promise::SoleOwner, text);
+            self.report(Invariant::SoleOwner, text);
         }
-        let had = self.had.entry(key).or_default();
-        *had = token.max(*had);
+        let highest = self.highest_tokens.entry(key).or_default();
+        *highest = token.max(*highest);
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Time, ranges: usize, all: &[Upstream]) {
         for range in 0..ranges {
-            let held = holders(all, range, |held| held.prompt_ends, now).count();
+            let held = holders(all, range, |held| held.prompt_expiry, now).count();
             if held < 2 {
-                self.doubled.remove(&range);
+                self.overlap_since.remove(&range);
                 continue;
             }
-            let since = *self.doubled.entry(range).or_insert(now);
-            if now.since(since) > OVERLAP {
+            let since = *self.overlap_since.entry(range).or_insert(now);
+            if now.since(since) > MAX_OVERLAP {
                 let text = format!("{held} upstreams hold range {range}");
-                self.object(Promise::ShortOverlap, text);
+                self.report(Invariant::ShortOverlap, text);
             }
         }
     }
--- a/crates/grantsearch/src/lib.rs
+++ b/crates/grantsearch/src/lib.rs
@@ -46,7 +46,7 @@
 //! does it. Between steps the world runs by itself in ticks, up to the next moment at which
 //! a fault could make a difference. A state that was reached before is not searched again.
 //! [`Scope`] bounds how many faults of each kind a history has. Within that, within the depth
-//! and at these moments nothing is left out; [`Scope::longest_pass`] brings the moments
+//! and at these moments nothing is left out; [`Scope::max_time_step`] brings the moments
 //! closer together. Without faults orders arrive and records are durable at once.
 //! [`check`] has what must hold.
 
@@ -58,9 +58,9 @@
 mod upstream;
 mod world;
 
-pub use check::{Broken, Promise};
+pub use check::{Invariant, Violation};
 pub use scope::{Faults, Scope, TICK};
-pub use search::{CounterCase, Limits, Outcome, Search, search};
+pub use search::{Counterexample, Limits, Outcome, Search, search};
 pub use transport::Transport;
 pub use upstream::{Arrival, Upstream};
-pub use world::{Line, Step, World};
+pub use world::{Step, TraceEntry, World};
--- a/crates/grantsearch/src/main.rs
+++ b/crates/grantsearch/src/main.rs
@@ -102,14 +102,14 @@
 }
 
 fn scope(arguments: &Arguments) -> Result<Scope> {
-    let life = Duration::from_millis(arguments.copy_life);
+    let lifetime = Duration::from_millis(arguments.copy_life);
     let after_end = arguments.copy_life_after_end.map(Duration::from_millis);
     let transport = if arguments.plain_close {
         Transport::PLAIN_CLOSE
     } else {
         Transport {
-            after_give_up: Some(life),
-            after_end: Some(after_end.unwrap_or(life)),
+            after_timeout: Some(lifetime),
+            after_process_exit: Some(after_end.unwrap_or(lifetime)),
             reaches_next_process: true,
         }
     };
@@ -122,21 +122,21 @@
     scope.upstreams = arguments.upstreams.clamp(2, 3);
     scope.ranges = arguments.ranges.clamp(1, 2);
     scope.standby = arguments.standby;
-    scope.asks_first = arguments.asks_first;
+    scope.probe_before_grant = arguments.asks_first;
     scope.owned_within = arguments.owned_within.map(Duration::from_millis);
-    scope.longest_pass = Duration::from_millis(arguments.longest_pass);
-    scope.tells_lives_apart = arguments.tells_lives_apart;
-    scope.counts_excluded = arguments.counts_excluded;
+    scope.max_time_step = Duration::from_millis(arguments.longest_pass);
+    scope.distinguish_restarts = arguments.tells_lives_apart;
+    scope.count_excluded = arguments.counts_excluded;
     scope.faults = Faults {
         cuts: arguments.cuts,
-        messages: arguments.messages,
-        late: arguments.late,
-        stands: arguments.stands,
+        delayed_messages: arguments.messages,
+        deferred_orders: arguments.late,
+        upstream_pauses: arguments.stands,
         restarts_same_id: arguments.same_id,
         restarts_new_id: arguments.new_id,
         drains: arguments.drains,
-        ends: arguments.ends,
-        freezes: arguments.freezes,
+        granter_exits: arguments.ends,
+        granter_pauses: arguments.freezes,
         store_outages: arguments.store_outages,
     };
     for guard in &arguments.without {
--- a/crates/grantsearch/src/scope.rs
+++ b/crates/grantsearch/src/scope.rs
@@ -1,6 +1,6 @@
 //! How large the world is, and which faults a history may have.
 
-use crate::check::Promise;
+use crate::check::Invariant;
 use crate::transport::Transport;
 use beamtray_sharding::{GranterGuards, GranterTiming};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 pub const TICK: Duration = Duration::from_millis(50);
 
 /// Longest time that passes in one step, where a scope names no other: a whole hold.
-const LONGEST_PASS: Duration = Duration::from_millis(3_000);
+const DEFAULT_MAX_TIME_STEP: Duration = Duration::from_millis(3_000);
 
 /// Most faults of each kind in one history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,13 +19,13 @@
     pub cuts: u8,
     /// Orders that are held up on their way, or arrive twice, or lose their answer, without
     /// a cut.
-    pub messages: u8,
+    pub delayed_messages: u8,
     /// Orders that an upstream leaves unanswered and carries out later, whatever becomes of
     /// the path and of the sender.
-    pub late: u8,
+    pub deferred_orders: u8,
     /// Times that an upstream's process stands still, for any time, while its machine takes
     /// orders for it.
-    pub stands: u8,
+    pub upstream_pauses: u8,
     /// Upstreams that start again under their id.
     pub restarts_same_id: u8,
     /// Upstreams that start again under another id.
@@ -33,9 +33,9 @@
     /// Upstreams that are to be emptied: they are asked for their keys at once.
     pub drains: u8,
     /// Granters that end and are succeeded at once.
-    pub ends: u8,
+    pub granter_exits: u8,
     /// Granters that stand still.
-    pub freezes: u8,
+    pub granter_pauses: u8,
     /// Times that the store takes no records.
     pub store_outages: u8,
 }
@@ -55,21 +55,21 @@
     /// Timing and guards of all granters.
     pub timing: GranterTiming,
     /// Whether a grant is only written to a process that has just answered.
-    pub asks_first: bool,
+    pub probe_before_grant: bool,
     /// What may happen.
     pub faults: Faults,
     /// Longest time that passes in one step if nothing happens. A fault begins or ends
     /// between steps, so a shorter time finds what hangs on its moment, at the price of more
     /// steps.
-    pub longest_pass: Duration,
+    pub max_time_step: Duration,
     /// Look only at this promise, to see that each is checked by itself.
-    pub only: Option<Promise>,
+    pub only_invariant: Option<Invariant>,
     /// Count also grants that the rule excludes since a path healed or their sender was
     /// continued just before.
-    pub counts_excluded: bool,
+    pub count_excluded: bool,
     /// Take an upstream that was started again under its id for another one: it needs a
     /// higher token than it had before.
-    pub tells_lives_apart: bool,
+    pub distinguish_restarts: bool,
     /// Within which time keys must have an owner, if that is to be checked: in each state
     /// all faults but cuts end, and an upstream that is not cut off is to have them.
     pub owned_within: Option<Duration>,
@@ -84,12 +84,12 @@
             standby: false,
             transport,
             timing: timing(),
-            asks_first: false,
+            probe_before_grant: false,
             faults: Faults::default(),
-            longest_pass: LONGEST_PASS,
-            only: None,
-            counts_excluded: false,
-            tells_lives_apart: false,
+            max_time_step: DEFAULT_MAX_TIME_STEP,
+            only_invariant: None,
+            count_excluded: false,
+            distinguish_restarts: false,
             owned_within: None,
         }
     }
--- a/crates/grantsearch/src/search.rs
+++ b/crates/grantsearch/src/search.rs
@@ -1,8 +1,8 @@
 //! Breadth first: the counter-case that is found is one of the shortest.
 
-use crate::check::Broken;
+use crate::check::Violation;
 use crate::scope::Scope;
-use crate::world::{Line, Step, World};
+use crate::world::{Step, TraceEntry, World};
 use std::collections::HashSet;
 use std::fmt;
 
@@ -17,24 +17,24 @@
 
 /// A history that breaks a promise.
 #[derive(Clone, Debug)]
-pub struct CounterCase {
+pub struct Counterexample {
     /// What does not hold.
-    pub broken: Broken,
+    pub violation: Violation,
     /// How it came to that.
     pub steps: Vec<Step>,
     /// The same for a reader.
-    pub lines: Vec<Line>,
+    pub trace: Vec<TraceEntry>,
 }
 
-impl fmt::Display for CounterCase {
+impl fmt::Display for Counterexample {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
             "{} after {} steps",
-            self.broken,
+            self.violation,
             self.steps.len()
         )?;
-        for line in &self.lines {
+        for line in &self.trace {
             writeln!(formatter, "{line}")?;
         }
         Ok(())
@@ -51,7 +51,7 @@
     /// There were too many states; the depth given is the last one searched whole.
     TooManyStates,
     /// A promise is broken.
-    Found(Box<CounterCase>),
+    Found(Box<Counterexample>),
 }
 
 /// A search that has ended.
@@ -74,7 +74,7 @@
     }
 
     /// The counter-case, if there is one.
-    pub fn found(&self) -> Option<&CounterCase> {
+    pub fn found(&self) -> Option<&Counterexample> {
         match &self.outcome {
             Outcome::Found(case) => Some(case),
             Outcome::Exhausted | Outcome::DepthReached | Outcome::TooManyStates => None,
@@ -100,7 +100,7 @@
 
 /// A state's place in the tree of histories.
 #[derive(Clone, Copy, Debug)]
-struct Origin {
+struct SearchNode {
     parent: usize,
     step: Step,
 }
@@ -112,10 +112,10 @@
     // of them share one is 3 in a million.
     let mut visited = HashSet::from([start.fingerprint()]);
     // The start has no origin; a parent of 0 is the start, others count from 1.
-    let mut origins: Vec<Origin> = Vec::new();
+    let mut nodes: Vec<SearchNode> = Vec::new();
     let mut frontier = vec![(start, 0)];
     let mut steps = 0;
-    let ended = |outcome, depth, states, steps| Search {
+    let result = |outcome, depth, states, steps| Search {
         outcome,
         depth,
         states,
@@ -128,48 +128,54 @@
                 let mut child = world.clone();
                 child.apply(step);
                 steps += 1;
-                let broken = child.broken().cloned();
-                let broken = broken.or_else(|| child.stays_unowned());
-                if let Some(broken) = broken {
-                    let case = counter_case(scope, &origins, Origin { parent, step }, broken);
+                let violation = child.violation().cloned();
+                let violation = violation.or_else(|| child.ownership_timeout());
+                if let Some(violation) = violation {
+                    let case =
+                        counterexample(scope, &nodes, SearchNode { parent, step }, violation);
                     let outcome = Outcome::Found(Box::new(case));
-                    return ended(outcome, depth, visited.len(), steps);
+                    return result(outcome, depth, visited.len(), steps);
                 }
                 if visited.insert(child.fingerprint()) {
-                    origins.push(Origin { parent, step });
-                    next.push((child, origins.len()));
+                    nodes.push(SearchNode { parent, step });
+                    next.push((child, nodes.len()));
                 }
                 if visited.len() > limits.states {
-                    return ended(Outcome::TooManyStates, depth, visited.len(), steps);
+                    return result(Outcome::TooManyStates, depth, visited.len(), steps);
                 }
             }
         }
         if next.is_empty() {
-            return ended(Outcome::Exhausted, depth, visited.len(), steps);
+            return result(Outcome::Exhausted, depth, visited.len(), steps);
         }
         frontier = next;
     }
-    ended(Outcome::DepthReached, limits.depth, visited.len(), steps)
+    result(Outcome::DepthReached, limits.depth, visited.len(), steps)
 }
 
 /// Plays the history again and writes down what happens.
-fn counter_case(scope: &Scope, origins: &[Origin], last: Origin, broken: Broken) -> CounterCase {
+fn counterexample(
+    scope: &Scope,
+    nodes: &[SearchNode],
+    last: SearchNode,
+    violation: Violation,
+) -> Counterexample {
     let mut steps = vec![last.step];
     let mut parent = last.parent;
     while parent > 0 {
-        let origin = origins[parent - 1];
-        steps.push(origin.step);
-        parent = origin.parent;
+        let node = nodes[parent - 1];
+        steps.push(node.step);
+        parent = node.parent;
     }
     steps.reverse();
     let mut world = World::new(scope);
-    world.write_down();
+    world.enable_trace();
     for step in &steps {
         world.apply(*step);
     }
-    CounterCase {
-        broken,
+    Counterexample {
+        violation,
         steps,
-        lines: world.lines(),
+        trace: world.trace(),
     }
 }
--- a/crates/grantsearch/src/standby.rs
+++ b/crates/grantsearch/src/standby.rs
@@ -27,43 +27,44 @@
 /// The standby.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Standby {
-    word_until: Time,
-    word_heard: Option<Time>,
-    knows: Option<AssignmentRecord>,
-    prolonged_at: Option<Time>,
+    authorized_until: Time,
+    authorized_at: Option<Time>,
+    known_record: Option<AssignmentRecord>,
+    renewed_at: Option<Time>,
     due: BTreeMap<KeyRange, Time>,
 }
 
 impl Standby {
     /// Granter and standby hear each other: records, words, reports.
-    pub fn meets(&mut self, now: Time, granter: &mut Granter, record: &AssignmentRecord) {
-        let known = self.knows.as_ref().map(AssignmentRecord::number);
+    pub fn exchange(&mut self, now: Time, granter: &mut Granter, record: &AssignmentRecord) {
+        let known = self.known_record.as_ref().map(AssignmentRecord::number);
         if known < Some(record.number()) {
-            self.knows = Some(record.clone());
+            self.known_record = Some(record.clone());
         }
-        let knows: Option<RecordNumber> = self.knows.as_ref().map(AssignmentRecord::number);
-        let prolonged = self.prolonged_at.map(|at| now.since(at));
+        let known_record: Option<RecordNumber> =
+            self.known_record.as_ref().map(AssignmentRecord::number);
+        let prolonged = self.renewed_at.map(|at| now.since(at));
         let id = standby_id();
         granter.standby_reported(
             now,
             &id,
             StandbyStatus {
-                known_record: knows,
+                known_record,
                 prolonged,
             },
         );
         if granter.standbys_to_authorize(now).contains(&id) {
             granter.standby_authorized(now, &id);
-            self.word_until = now + STANDBY_AUTHORIZATION;
-            self.word_heard = Some(now);
+            self.authorized_until = now + STANDBY_AUTHORIZATION;
+            self.authorized_at = Some(now);
         }
     }
 
     /// Orders that are due.
     pub fn poll(&mut self, now: Time, hold: Duration, renewal: Duration) -> Vec<GrantOrder> {
-        let silence = self.word_heard.map(|heard| now.since(heard));
-        let is_acting = now < self.word_until && silence >= Some(GRANTER_SILENCE);
-        let known = self.knows.as_ref().filter(|_| is_acting);
+        let silence = self.authorized_at.map(|at| now.since(at));
+        let is_acting = now < self.authorized_until && silence >= Some(GRANTER_SILENCE);
+        let known = self.known_record.as_ref().filter(|_| is_acting);
         let Some(record) = known.filter(|record| record.standbys.contains(&standby_id())) else {
             return Vec::new();
         };
@@ -89,7 +90,7 @@
             });
         }
         if !orders.is_empty() {
-            self.prolonged_at = Some(now);
+            self.renewed_at = Some(now);
         }
         orders
     }
--- a/crates/grantsearch/src/transport.rs
+++ b/crates/grantsearch/src/transport.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
     /// After the sender gave the call up. None: no bound.
-    pub after_give_up: Option<Duration>,
+    pub after_timeout: Option<Duration>,
     /// After the sender's process ended. None: no bound.
-    pub after_end: Option<Duration>,
+    pub after_process_exit: Option<Duration>,
     /// Whether a copy that was written to an upstream reaches the next process at its
     /// address. A connection doesn't: its segments are answered with a reset.
     pub reaches_next_process: bool,
@@ -22,8 +22,8 @@
     /// The connection is closed in the ordinary way: the kernel goes on sending what was
     /// written, so a copy may arrive at any later time.
     pub const PLAIN_CLOSE: Transport = Transport {
-        after_give_up: None,
-        after_end: None,
+        after_timeout: None,
+        after_process_exit: None,
         reaches_next_process: true,
     };
 
@@ -31,8 +31,8 @@
     /// and what is on the wire arrives within `transit`.
     pub fn reset(transit: Duration) -> Transport {
         Transport {
-            after_give_up: Some(transit),
-            after_end: Some(transit),
+            after_timeout: Some(transit),
+            after_process_exit: Some(transit),
             reaches_next_process: true,
         }
     }
@@ -44,28 +44,28 @@
 
 /// A copy of an order that has not arrived.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldCopy {
+pub(crate) struct DelayedCopy {
     pub order: GrantOrder,
     pub sender: Term,
     /// The last moment at which it may arrive; none while that is not bounded.
     pub until: Option<Time>,
-    pub place: Place,
+    pub location: CopyLocation,
 }
 
 /// Where a copy is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum CopyLocation {
     /// On its way: what becomes of path and sender concerns it.
     Path,
     /// At the upstream, which has not carried it out yet.
     Upstream,
     /// In the buffers of an upstream that stands still: it carries it out as it goes on.
-    Buffers,
+    ReceiveBuffer,
 }
 
 /// How a call ends if no answer comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
+pub(crate) enum CallFailure {
     /// No connection came up: the order was not sent.
     Undelivered,
     /// It was sent, and never acknowledged.
@@ -78,6 +78,6 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub order: GrantOrder,
-    pub ends: Time,
-    pub without_answer: NoAnswer,
+    pub deadline: Time,
+    pub failure: CallFailure,
 }
--- a/crates/grantsearch/src/upstream.rs
+++ b/crates/grantsearch/src/upstream.rs
@@ -28,13 +28,13 @@
     /// The keys.
     pub range: KeyRange,
     /// The highest token seen.
-    pub floor: u64,
+    pub min_token: u64,
     /// When the hold runs out.
-    pub ends: Time,
+    pub expiry: Time,
     /// The same, without grants that the rule excludes.
-    pub counted_ends: Time,
+    pub counted_expiry: Time,
     /// The same, without grants that came late either.
-    pub prompt_ends: Time,
+    pub prompt_expiry: Time,
 }
 
 /// An upstream.
@@ -43,24 +43,24 @@
     /// What it is known by.
     pub id: UpstreamId,
     /// Counts restarts under one id.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its ranges.
     pub holdings: Vec<Holding>,
 }
 
 impl Upstream {
     /// An upstream that holds nothing and has seen no token.
-    pub fn new(id: UpstreamId, life: u32, ranges: &[KeyRange]) -> Self {
+    pub fn new(id: UpstreamId, incarnation: u32, ranges: &[KeyRange]) -> Self {
         let holdings = ranges.iter().map(|range| Holding {
             range: *range,
-            floor: 0,
-            ends: Time::ZERO,
-            counted_ends: Time::ZERO,
-            prompt_ends: Time::ZERO,
+            min_token: 0,
+            expiry: Time::ZERO,
+            counted_expiry: Time::ZERO,
+            prompt_expiry: Time::ZERO,
         });
         Self {
             id,
-            life,
+            incarnation,
             holdings: holdings.collect(),
         }
     }
@@ -71,22 +71,25 @@
         if order.holder.name != self.id.name {
             return GrantReply::Replaced;
         }
-        let concerned = self.holdings.iter_mut();
-        let concerned = concerned.filter(|holding| holding.range.overlaps(order.range));
-        let concerned: Vec<&mut Holding> = concerned.collect();
+        let overlapping = self.holdings.iter_mut();
+        let overlapping = overlapping.filter(|holding| holding.range.overlaps(order.range));
+        let overlapping: Vec<&mut Holding> = overlapping.collect();
         match &order.kind {
             OrderKind::Grant { hold, .. } => {
-                if concerned.iter().any(|held| held.floor > order.token.0) {
+                if overlapping
+                    .iter()
+                    .any(|held| held.min_token > order.token.0)
+                {
                     return GrantReply::Outdated;
                 }
-                let ends = now + *hold * (100 + SLOW_PERCENT) / 100;
-                for holding in concerned {
-                    holding.take(order.token.0, ends, arrival);
+                let expiry = now + *hold * (100 + SLOW_PERCENT) / 100;
+                for holding in overlapping {
+                    holding.accept_grant(order.token.0, expiry, arrival);
                 }
                 GrantReply::Granted
             }
             OrderKind::Release => {
-                for holding in concerned {
+                for holding in overlapping {
                     holding.release(order.token.0);
                 }
                 GrantReply::Released(None)
@@ -97,23 +100,23 @@
 
 impl Holding {
     /// A shorter grant does not end a longer one that stands.
-    fn take(&mut self, token: u64, ends: Time, arrival: Arrival) {
-        self.floor = token;
-        self.ends = self.ends.max(ends);
+    fn accept_grant(&mut self, token: u64, expiry: Time, arrival: Arrival) {
+        self.min_token = token;
+        self.expiry = self.expiry.max(expiry);
         if arrival.is_excluded {
             return;
         }
-        self.counted_ends = self.counted_ends.max(ends);
+        self.counted_expiry = self.counted_expiry.max(expiry);
         if !arrival.is_late {
-            self.prompt_ends = self.prompt_ends.max(ends);
+            self.prompt_expiry = self.prompt_expiry.max(expiry);
         }
     }
 
     /// No release is ever refused, also one that comes late.
     fn release(&mut self, token: u64) {
-        self.floor = self.floor.max(token);
-        self.ends = Time::ZERO;
-        self.counted_ends = Time::ZERO;
-        self.prompt_ends = Time::ZERO;
+        self.min_token = self.min_token.max(token);
+        self.expiry = Time::ZERO;
+        self.counted_expiry = Time::ZERO;
+        self.prompt_expiry = Time::ZERO;
     }
 }
--- a/crates/grantsearch/src/world.rs
+++ b/crates/grantsearch/src/world.rs
@@ -6,10 +6,10 @@
 mod start;
 mod time;
 
-use crate::check::{Broken, Judge};
+use crate::check::{InvariantChecker, Violation};
 use crate::scope::{Faults, Scope};
 use crate::standby::Standby;
-use crate::transport::{Call, HeldCopy, Term};
+use crate::transport::{Call, DelayedCopy, Term};
 use crate::upstream::Upstream;
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::{AssignmentRecord, GrantOrder, Granter, KeyRange};
@@ -22,25 +22,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Time passes up to the next moment at which a fault could make a difference.
-    Pass,
+    AdvanceTime,
     /// The order that was just written arrives, and its answer too.
-    Arrives,
+    Deliver,
     /// It is held up on its way.
-    HeldUp,
+    Delay,
     /// It arrives, its answer is lost, and it may arrive once more.
-    Twice,
+    LoseReply,
     /// The upstream has it, leaves it unanswered and may carry it out later.
-    Late,
+    DeferExecution,
     /// A copy that was held up arrives now; copies count in the order of their writing.
-    CopyArrives(usize),
+    DeliverCopy(usize),
     /// The path between the granter and an upstream is cut.
     Cut(usize),
     /// It heals.
     Heal(usize),
     /// An upstream's process stands still.
-    Stand(usize),
+    PauseUpstream(usize),
     /// It goes on, with what is in its buffers.
-    GoOn(usize),
+    ResumeUpstream(usize),
     /// An upstream ends and starts again under its id.
     RestartSameId(usize),
     /// An upstream ends and starts again under another id.
@@ -48,11 +48,11 @@
     /// An upstream is to lose its keys.
     Drain(usize),
     /// The granter ends, having given up its place.
-    EndGranter,
+    StopGranter,
     /// The granter stands still; what it wrote goes on.
-    FreezeGranter,
+    PauseGranter,
     /// The granter that stands still goes on, succeeded or not.
-    ContinueGranter,
+    ResumeGranter,
     /// The store takes no records.
     StoreFails,
     /// It takes records again.
@@ -61,14 +61,14 @@
 
 /// What happened, for a reader.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct TraceEntry {
     /// When.
     pub at: Time,
     /// What.
     pub text: String,
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for TraceEntry {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.at.as_millis() as f64 / 1_000.0;
         write!(formatter, "{seconds:8.2} s  {}", self.text)
@@ -83,7 +83,7 @@
     calls: Vec<Call>,
     /// Whether a kept connection to an upstream is there, by its index.
     connected: Vec<bool>,
-    is_frozen: bool,
+    is_paused: bool,
 }
 
 /// How the granter reaches an upstream.
@@ -91,10 +91,10 @@
 struct Path {
     is_cut: bool,
     /// The upstream's process stands still.
-    is_still: bool,
+    is_paused: bool,
     healed_at: Option<Time>,
     /// When the upstream is up again after a restart.
-    back_at: Option<Time>,
+    restarts_at: Option<Time>,
     /// The id that it has then.
     next_id: Option<UpstreamId>,
     /// The directory says that it is to lose its keys.
@@ -103,13 +103,13 @@
 
 impl Path {
     fn is_open(&self) -> bool {
-        !self.is_cut && self.back_at.is_none()
+        !self.is_cut && self.restarts_at.is_none()
     }
 }
 
 /// A process that stood still went on.
 #[derive(Clone, Copy, Debug)]
-struct Continued {
+struct ResumedProcess {
     term: Term,
     at: Time,
 }
@@ -120,26 +120,26 @@
     scope: Scope,
     ranges: Vec<KeyRange>,
     now: Time,
-    left: Faults,
+    remaining_faults: Faults,
     process: Option<Process>,
     /// When the next granter is there.
     successor_at: Option<Time>,
     terms: u64,
     /// Stands still and was succeeded.
-    stalled: Option<Process>,
+    superseded: Option<Process>,
     store_fails: bool,
     /// The newest durable record.
     record: AssignmentRecord,
     upstreams: Vec<Upstream>,
     paths: Vec<Path>,
-    copies: Vec<HeldCopy>,
+    copies: Vec<DelayedCopy>,
     /// Written at this moment; what becomes of them is to be decided.
-    undecided: VecDeque<GrantOrder>,
+    pending_orders: VecDeque<GrantOrder>,
     standby: Option<Standby>,
-    continued: Vec<Continued>,
-    judge: Judge,
+    resumed: Vec<ResumedProcess>,
+    checker: InvariantChecker,
     /// Written down for a reader; no part of the state.
-    lines: Option<Vec<Line>>,
+    trace: Option<Vec<TraceEntry>>,
 }
 
 /// Hashes what is written to it.
@@ -157,11 +157,16 @@
     /// that is what is hashed.
     pub fn fingerprint(&self) -> u64 {
         let mut writer = HashWriter(DefaultHasher::new());
-        let time = (self.now, self.left, self.successor_at, self.terms);
-        let processes = (&self.process, &self.stalled, &self.continued);
+        let time = (
+            self.now,
+            self.remaining_faults,
+            self.successor_at,
+            self.terms,
+        );
+        let processes = (&self.process, &self.superseded, &self.resumed);
         let stored = (self.store_fails, &self.record);
         let upstreams = (&self.upstreams, &self.paths);
-        let orders = (&self.copies, &self.undecided);
+        let orders = (&self.copies, &self.pending_orders);
         // Writing to a hasher can't fail.
         let _ = write!(
             writer,
@@ -173,43 +178,43 @@
                 upstreams,
                 orders,
                 &self.standby,
-                &self.judge
+                &self.checker
             )
         );
         writer.0.finish()
     }
 
     /// What is broken, if something is.
-    pub fn broken(&self) -> Option<&Broken> {
-        self.judge.broken.as_ref()
+    pub fn violation(&self) -> Option<&Violation> {
+        self.checker.violation.as_ref()
     }
 
     /// Begins to write down what happens.
-    pub fn write_down(&mut self) {
-        self.lines = Some(Vec::new());
+    pub fn enable_trace(&mut self) {
+        self.trace = Some(Vec::new());
     }
 
     /// What was written down.
-    pub fn lines(self) -> Vec<Line> {
-        self.lines.unwrap_or_default()
+    pub fn trace(self) -> Vec<TraceEntry> {
+        self.trace.unwrap_or_default()
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
+    fn trace_event(&mut self, text: impl FnOnce() -> String) {
         let at = self.now;
-        if let Some(lines) = &mut self.lines {
-            lines.push(Line { at, text: text() });
+        if let Some(trace) = &mut self.trace {
+            trace.push(TraceEntry { at, text: text() });
         }
     }
 
     /// What may happen next.
     pub fn steps(&self) -> Vec<Step> {
-        if !self.undecided.is_empty() {
-            return self.fates();
+        if !self.pending_orders.is_empty() {
+            return self.delivery_steps();
         }
-        let mut steps = vec![Step::Pass];
+        let mut steps = vec![Step::AdvanceTime];
         let arriving = self.copies.iter().enumerate();
-        let arriving = arriving.filter(|(_, copy)| self.may_arrive(copy));
-        steps.extend(arriving.map(|(index, _)| Step::CopyArrives(index)));
+        let arriving = arriving.filter(|(_, copy)| self.can_arrive(copy));
+        steps.extend(arriving.map(|(index, _)| Step::DeliverCopy(index)));
         steps.extend(self.fault_steps());
         steps
     }
@@ -217,19 +222,21 @@
     /// Does a step that [`World::steps`] lists.
     pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Pass => self.pass(),
-            Step::Arrives | Step::HeldUp | Step::Twice | Step::Late => self.decide(step),
-            Step::CopyArrives(index) => self.copy_arrives(index),
+            Step::AdvanceTime => self.advance_time(),
+            Step::Deliver | Step::Delay | Step::LoseReply | Step::DeferExecution => {
+                self.apply_delivery(step)
+            }
+            Step::DeliverCopy(index) => self.deliver_copy(index),
             Step::Cut(upstream) => self.cut(upstream),
             Step::Heal(upstream) => self.heal(upstream),
-            Step::Stand(upstream) => self.stand(upstream),
-            Step::GoOn(upstream) => self.go_on(upstream),
+            Step::PauseUpstream(upstream) => self.pause_upstream(upstream),
+            Step::ResumeUpstream(upstream) => self.resume_upstream(upstream),
             Step::RestartSameId(upstream) => self.restart(upstream, true),
             Step::RestartNewId(upstream) => self.restart(upstream, false),
             Step::Drain(upstream) => self.drain(upstream),
-            Step::EndGranter => self.end_granter(),
-            Step::FreezeGranter => self.freeze_granter(),
-            Step::ContinueGranter => self.continue_granter(),
+            Step::StopGranter => self.stop_granter(),
+            Step::PauseGranter => self.pause_granter(),
+            Step::ResumeGranter => self.resume_granter(),
             Step::StoreFails => self.store_fails(),
             Step::StoreReturns => self.store_returns(),
         }
--- a/crates/grantsearch/src/world/orders.rs
+++ b/crates/grantsearch/src/world/orders.rs
@@ -1,19 +1,19 @@
 //! Orders: written, arriving, held up, given up on.
 
 use super::{Process, Step, World};
-use crate::check::SOON;
-use crate::transport::{Call, HeldCopy, NoAnswer, Place, Term};
+use crate::check::RECOVERY_WINDOW;
+use crate::transport::{Call, CallFailure, CopyLocation, DelayedCopy, Term};
 use crate::upstream::Arrival;
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use std::time::Duration;
 
 /// How long a connection that does not come up is waited for.
-const CONNECT_WAIT: Duration = Duration::from_millis(350);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long the answer to a release is waited for.
-const RELEASE_WAIT: Duration = Duration::from_millis(3_000);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// How long after its arrival an upstream may carry an order out, if it did not answer it.
-const LATEST: Duration = Duration::from_secs(12);
+const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(12);
 
 /// A prompt arrival.
 const PROMPT: Arrival = Arrival {
@@ -22,7 +22,7 @@
 };
 
 /// Orders in the words of a reader.
-pub(super) fn words(order: &GrantOrder) -> String {
+pub(super) fn describe(order: &GrantOrder) -> String {
     let kind = match &order.kind {
         OrderKind::Grant { .. } => "grant",
         OrderKind::Release => "release",
@@ -52,7 +52,7 @@
         };
         let had_connection = process.connected[index];
         let path = &self.paths[index];
-        if path.back_at.is_some() {
+        if path.restarts_at.is_some() {
             // Nothing listens there.
             process.connected[index] = false;
             process
@@ -61,65 +61,65 @@
             return false;
         }
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
-        if self.scope.asks_first && is_grant && (path.is_cut || path.is_still) {
+        if self.scope.probe_before_grant && is_grant && (path.is_cut || path.is_paused) {
             // The question gets no answer, so the grant is not written.
             let wait = self.scope.timing.order_timeout;
-            self.wait(order, wait, NoAnswer::Undelivered);
+            self.add_call(order, wait, CallFailure::Undelivered);
             return false;
         }
-        if path.is_still && !path.is_cut {
-            self.note(|| format!("{} lies in its buffers", words(&order)));
-            self.leave_unanswered(order, Place::Buffers);
+        if path.is_paused && !path.is_cut {
+            self.trace_event(|| format!("{} lies in its buffers", describe(&order)));
+            self.leave_unanswered(order, CopyLocation::ReceiveBuffer);
             return true;
         }
         if path.is_cut && had_connection {
-            self.note(|| format!("{} is written into the cut", words(&order)));
-            self.leave_unanswered(order, Place::Path);
+            self.trace_event(|| format!("{} is written into the cut", describe(&order)));
+            self.leave_unanswered(order, CopyLocation::Path);
             return true;
         }
         if path.is_cut {
-            self.wait(order, CONNECT_WAIT, NoAnswer::Undelivered);
+            self.add_call(order, CONNECT_TIMEOUT, CallFailure::Undelivered);
             return false;
         }
         process.connected[index] = true;
-        if self.left.messages > 0 || self.left.late > 0 {
-            self.undecided.push_back(order);
+        if self.remaining_faults.delayed_messages > 0 || self.remaining_faults.deferred_orders > 0 {
+            self.pending_orders.push_back(order);
             return true;
         }
-        self.arrive_promptly(&order)
+        self.deliver_promptly(&order)
     }
 
     /// What may become of the order that was written first.
-    pub(super) fn fates(&self) -> Vec<Step> {
-        let mut fates = vec![Step::Arrives];
-        if self.left.messages > 0 {
-            fates.extend([Step::HeldUp, Step::Twice]);
+    pub(super) fn delivery_steps(&self) -> Vec<Step> {
+        let mut steps = vec![Step::Deliver];
+        if self.remaining_faults.delayed_messages > 0 {
+            steps.extend([Step::Delay, Step::LoseReply]);
         }
-        if self.left.late > 0 {
-            fates.push(Step::Late);
+        if self.remaining_faults.deferred_orders > 0 {
+            steps.push(Step::DeferExecution);
         }
-        fates
+        steps
     }
 
-    pub(super) fn decide(&mut self, fate: Step) {
-        let Some(order) = self.undecided.pop_front() else {
+    pub(super) fn apply_delivery(&mut self, step: Step) {
+        let Some(order) = self.pending_orders.pop_front() else {
             return;
         };
-        if fate == Step::Arrives {
-            self.arrive_promptly(&order);
+        if step == Step::Deliver {
+            self.deliver_promptly(&order);
             return;
         }
-        if fate == Step::Late {
-            self.left.late -= 1;
-            self.note(|| format!("{} is kept by the upstream", words(&order)));
-            self.leave_unanswered(order, Place::Upstream);
+        if step == Step::DeferExecution {
+            self.remaining_faults.deferred_orders -= 1;
+            self.trace_event(|| format!("{} is kept by the upstream", describe(&order)));
+            self.leave_unanswered(order, CopyLocation::Upstream);
             return;
         }
-        self.left.messages -= 1;
-        if fate == Step::Twice {
-            self.note(|| format!("{}: its answer is lost", words(&order)));
+        self.remaining_faults.delayed_messages -= 1;
+        if step == Step::LoseReply {
+            self.trace_event(|| format!("{}: its answer is lost", describe(&order)));
             let excluded = self.is_excluded(&order, None);
-            self.take(
+            self.execute_order(
                 &order,
                 Arrival {
                     is_excluded: excluded,
@@ -127,62 +127,62 @@
                 },
             );
         } else {
-            self.note(|| format!("{} is held up", words(&order)));
+            self.trace_event(|| format!("{} is held up", describe(&order)));
         }
-        self.leave_unanswered(order, Place::Path);
+        self.leave_unanswered(order, CopyLocation::Path);
     }
 
     /// A copy is left; its sender waits for the answer.
-    fn leave_unanswered(&mut self, order: GrantOrder, place: Place) {
+    fn leave_unanswered(&mut self, order: GrantOrder, location: CopyLocation) {
         let Some(term) = self.process.as_ref().map(|process| process.term) else {
             return;
         };
-        self.copies.push(HeldCopy {
+        self.copies.push(DelayedCopy {
             order: order.clone(),
             sender: term,
-            until: (place == Place::Upstream).then_some(self.now + LATEST),
-            place,
+            until: (location == CopyLocation::Upstream).then_some(self.now + MAX_EXECUTION_DELAY),
+            location,
         });
         let wait = match order.kind {
             OrderKind::Grant { .. } => self.scope.timing.order_timeout,
-            OrderKind::Release => RELEASE_WAIT,
+            OrderKind::Release => RELEASE_TIMEOUT,
         };
-        let without_answer = match place {
-            Place::Path => NoAnswer::Unanswered,
-            Place::Upstream | Place::Buffers => NoAnswer::InDoubt,
+        let failure = match location {
+            CopyLocation::Path => CallFailure::Unanswered,
+            CopyLocation::Upstream | CopyLocation::ReceiveBuffer => CallFailure::InDoubt,
         };
-        self.wait(order, wait, without_answer);
+        self.add_call(order, wait, failure);
     }
 
-    fn wait(&mut self, order: GrantOrder, wait: Duration, without_answer: NoAnswer) {
-        let ends = self.now + wait;
+    fn add_call(&mut self, order: GrantOrder, wait: Duration, failure: CallFailure) {
+        let deadline = self.now + wait;
         if let Some(process) = &mut self.process {
             process.calls.push(Call {
                 order,
-                ends,
-                without_answer,
+                deadline,
+                failure,
             });
         }
     }
 
     /// An order arrives and is answered; whether that changed more than how long a hold
     /// lasts.
-    fn arrive_promptly(&mut self, order: &GrantOrder) -> bool {
+    fn deliver_promptly(&mut self, order: &GrantOrder) -> bool {
         let index = self.index_of(order);
-        let floors = |world: &World| -> Vec<u64> {
+        let min_tokens = |world: &World| -> Vec<u64> {
             let holdings = world.upstreams[index].holdings.iter();
-            holdings.map(|holding| holding.floor).collect()
+            holdings.map(|holding| holding.min_token).collect()
         };
-        let before = floors(self);
+        let before = min_tokens(self);
         let is_excluded = self.is_excluded(order, None);
-        let reply = self.take(
+        let reply = self.execute_order(
             order,
             Arrival {
                 is_excluded,
                 ..PROMPT
             },
         );
-        let happened = before != floors(self) || reply != GrantReply::Granted;
+        let happened = before != min_tokens(self) || reply != GrantReply::Granted;
         if let Some(process) = &mut self.process {
             process.granter.handle_reply(self.now, order.call, reply);
         }
@@ -190,19 +190,19 @@
     }
 
     /// The standby orders a holder to hold on; nobody cuts it off.
-    pub(super) fn standby_orders(&mut self, order: &GrantOrder) {
+    pub(super) fn deliver_standby_order(&mut self, order: &GrantOrder) {
         let index = self.index_of(order);
-        if self.paths[index].back_at.is_none() {
-            self.note(|| format!("the standby: {}", words(order)));
-            self.take(order, PROMPT);
+        if self.paths[index].restarts_at.is_none() {
+            self.trace_event(|| format!("the standby: {}", describe(order)));
+            self.execute_order(order, PROMPT);
         }
     }
 
     /// An upstream carries an order out.
-    fn take(&mut self, order: &GrantOrder, arrival: Arrival) -> GrantReply {
+    fn execute_order(&mut self, order: &GrantOrder, arrival: Arrival) -> GrantReply {
         let index = self.index_of(order);
         let reply = self.upstreams[index].order(self.now, order, arrival);
-        self.note(|| format!("{} arrives: {reply:?}", words(order)));
+        self.trace_event(|| format!("{} arrives: {reply:?}", describe(order)));
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
         if !is_grant || reply != GrantReply::Granted || arrival.is_excluded {
             return reply;
@@ -210,8 +210,8 @@
         for (number, range) in self.ranges.iter().enumerate() {
             if range.overlaps(order.range) {
                 let token = order.token.0;
-                self.judge
-                    .taken(self.now, number, token, index, &self.upstreams);
+                self.checker
+                    .grant_accepted(self.now, number, token, index, &self.upstreams);
             }
         }
         reply
@@ -220,49 +220,49 @@
     /// Whether the rule leaves an arrival out: a path healed just before, or its sender was
     /// continued.
     fn is_excluded(&self, order: &GrantOrder, sender: Option<Term>) -> bool {
-        if self.scope.counts_excluded {
+        if self.scope.count_excluded {
             return false;
         }
         let path = &self.paths[self.index_of(order)];
-        let continued = self.continued.iter();
-        let continued = continued.filter(|one| Some(one.term) == sender);
-        let begins = continued.map(|one| one.at).chain(path.healed_at);
-        let mut soon = begins.map(|at| self.now.since(at) <= SOON);
+        let resumed = self.resumed.iter();
+        let resumed = resumed.filter(|one| Some(one.term) == sender);
+        let begins = resumed.map(|one| one.at).chain(path.healed_at);
+        let mut soon = begins.map(|at| self.now.since(at) <= RECOVERY_WINDOW);
         soon.any(|is_soon| is_soon)
     }
 
     /// Whether a copy may arrive now.
-    pub(super) fn may_arrive(&self, copy: &HeldCopy) -> bool {
+    pub(super) fn can_arrive(&self, copy: &DelayedCopy) -> bool {
         let path = &self.paths[self.index_of(&copy.order)];
-        match copy.place {
-            Place::Path => path.is_open() && !path.is_still,
-            Place::Upstream => path.back_at.is_none() && !path.is_still,
-            Place::Buffers => false,
+        match copy.location {
+            CopyLocation::Path => path.is_open() && !path.is_paused,
+            CopyLocation::Upstream => path.restarts_at.is_none() && !path.is_paused,
+            CopyLocation::ReceiveBuffer => false,
         }
     }
 
     /// A copy arrives; it is answered if its sender still waits.
-    pub(super) fn copy_arrives(&mut self, index: usize) {
+    pub(super) fn deliver_copy(&mut self, index: usize) {
         let copy = self.copies.remove(index);
-        let on_way = copy.place == Place::Path;
+        let on_way = copy.location == CopyLocation::Path;
         let is_excluded = on_way && self.is_excluded(&copy.order, Some(copy.sender));
-        self.note(|| format!("a copy of {}", words(&copy.order)));
+        self.trace_event(|| format!("a copy of {}", describe(&copy.order)));
         let arrival = Arrival {
             is_late: true,
             is_excluded,
         };
-        let reply = self.take(&copy.order, arrival);
+        let reply = self.execute_order(&copy.order, arrival);
         if on_way {
             self.answer(&copy, reply);
         }
     }
 
     /// The answer to a copy comes to its sender, if that still waits.
-    fn answer(&mut self, copy: &HeldCopy, reply: GrantReply) {
+    fn answer(&mut self, copy: &DelayedCopy, reply: GrantReply) {
         let Some(process) = &mut self.process else {
             return;
         };
-        if process.term != copy.sender || process.is_frozen {
+        if process.term != copy.sender || process.is_paused {
             return;
         }
         let waiting = process.calls.iter();
@@ -277,40 +277,40 @@
 
     /// An upstream that stood still reads an order; nobody waits for it any more, or somebody
     /// does.
-    pub(super) fn read_from_buffers(&mut self, copy: &HeldCopy) {
+    pub(super) fn execute_buffered(&mut self, copy: &DelayedCopy) {
         let arrival = Arrival {
             is_late: true,
             is_excluded: false,
         };
-        let reply = self.take(&copy.order, arrival);
+        let reply = self.execute_order(&copy.order, arrival);
         self.answer(copy, reply);
     }
 
     /// Calls whose time is over are given up on; whether one that was sent is.
-    pub(super) fn end_calls(&mut self) -> bool {
+    pub(super) fn expire_calls(&mut self) -> bool {
         let now = self.now;
-        let running = self.process.as_mut().filter(|process| !process.is_frozen);
+        let running = self.process.as_mut().filter(|process| !process.is_paused);
         let Some(process) = running else {
             return false;
         };
         let calls = std::mem::take(&mut process.calls);
         let (over, waiting): (Vec<Call>, Vec<Call>) =
-            calls.into_iter().partition(|call| now >= call.ends);
+            calls.into_iter().partition(|call| now >= call.deadline);
         process.calls = waiting;
         let mut happened = false;
         for call in over {
-            happened |= self.give_up(&call);
+            happened |= self.abandon_call(&call);
         }
         happened
     }
 
-    fn give_up(&mut self, call: &Call) -> bool {
+    fn abandon_call(&mut self, call: &Call) -> bool {
         let index = self.index_of(&call.order);
-        let was_sent = call.without_answer != NoAnswer::Undelivered;
-        let reply = match call.without_answer {
-            NoAnswer::Undelivered => GrantReply::Undelivered,
-            NoAnswer::Unanswered => GrantReply::Unanswered,
-            NoAnswer::InDoubt => GrantReply::InDoubt,
+        let was_sent = call.failure != CallFailure::Undelivered;
+        let reply = match call.failure {
+            CallFailure::Undelivered => GrantReply::Undelivered,
+            CallFailure::Unanswered => GrantReply::Unanswered,
+            CallFailure::InDoubt => GrantReply::InDoubt,
         };
         if let Some(process) = &mut self.process {
             process.connected[index] = false;
@@ -318,10 +318,10 @@
                 .granter
                 .handle_reply(self.now, call.order.call, reply);
             let term = process.term;
-            self.bound_copies(term, Some(call), self.scope.transport.after_give_up);
+            self.bound_copies(term, Some(call), self.scope.transport.after_timeout);
         }
         if was_sent {
-            self.note(|| format!("{} is given up on", words(&call.order)));
+            self.trace_event(|| format!("{} is given up on", describe(&call.order)));
         }
         was_sent
     }
@@ -331,14 +331,14 @@
         &mut self,
         sender: Term,
         call: Option<&Call>,
-        life: Option<Duration>,
+        lifetime: Option<Duration>,
     ) {
-        let Some(life) = life else {
+        let Some(lifetime) = lifetime else {
             return;
         };
-        let end = self.now + life;
+        let end = self.now + lifetime;
         let on_way = self.copies.iter_mut();
-        let on_way = on_way.filter(|copy| copy.place == Place::Path);
+        let on_way = on_way.filter(|copy| copy.location == CopyLocation::Path);
         let of_sender = on_way.filter(|copy| copy.sender == sender);
         let concerned =
             of_sender.filter(|copy| call.is_none_or(|call| call.order.call == copy.order.call));
@@ -348,7 +348,7 @@
     }
 
     /// All calls of a process that is no longer the granter end.
-    pub(super) fn drop_process(&mut self, process: &Process, life: Option<Duration>) {
-        self.bound_copies(process.term, None, life);
+    pub(super) fn drop_process(&mut self, process: &Process, lifetime: Option<Duration>) {
+        self.bound_copies(process.term, None, lifetime);
     }
 }
--- a/crates/grantsearch/src/world/recovery.rs
+++ b/crates/grantsearch/src/world/recovery.rs
@@ -1,29 +1,29 @@
 //! Whether keys have an owner again in time.
 
 use super::{Path, World};
-use crate::check::{Broken, Promise};
+use crate::check::{Invariant, Violation};
 use crate::scope::Faults;
 use beamtray_sharding::SliceState;
 use std::time::Duration;
 
 /// How long keys must then keep their owners.
-const STEADY: Duration = Duration::from_millis(1_000);
+const OWNERSHIP_CHECK_TIME: Duration = Duration::from_millis(1_000);
 
 impl World {
     /// Runs on from here without new faults and with those ended that can end; who is cut
     /// off stays so, if another is there. Tells when keys have no owner in time.
-    pub fn stays_unowned(&self) -> Option<Broken> {
+    pub fn ownership_timeout(&self) -> Option<Violation> {
         let within = self.scope.owned_within?;
         let mut world = self.clone();
         world.end_faults();
         let due = world.now + within;
-        while world.now < due + STEADY {
+        while world.now < due + OWNERSHIP_CHECK_TIME {
             world.tick();
             if world.now >= due && !world.is_owned() {
                 let millis = within.as_millis();
                 let text = format!("keys have no owner {millis} ms after the last fault");
-                return Some(Broken {
-                    promise: Promise::OwnedAgain,
+                return Some(Violation {
+                    invariant: Invariant::OwnedAgain,
                     text,
                 });
             }
@@ -32,19 +32,19 @@
     }
 
     fn end_faults(&mut self) {
-        self.left = Faults::default();
+        self.remaining_faults = Faults::default();
         self.store_fails = false;
         self.copies.clear();
-        while let Some(fate) = self.undecided.front().map(|_| super::Step::Arrives) {
-            self.decide(fate);
+        while let Some(step) = self.pending_orders.front().map(|_| super::Step::Deliver) {
+            self.apply_delivery(step);
         }
-        let is_of_use = |path: &Path| !path.is_cut && !path.is_draining;
-        if !self.paths.iter().any(is_of_use) {
+        let is_usable = |path: &Path| !path.is_cut && !path.is_draining;
+        if !self.paths.iter().any(is_usable) {
             for path in &mut self.paths {
                 path.is_cut = false;
                 path.is_draining = false;
             }
-            self.tell_candidates();
+            self.update_candidates();
         }
     }
 
@@ -63,6 +63,7 @@
         };
         let upstreams = self.upstreams.iter().zip(&self.paths);
         let mut holders = upstreams.filter(|(upstream, _)| upstream.id == *holder);
-        holders.any(|(upstream, path)| path.is_open() && self.now < upstream.holdings[number].ends)
+        holders
+            .any(|(upstream, path)| path.is_open() && self.now < upstream.holdings[number].expiry)
     }
 }
--- a/crates/grantsearch/src/world/start.rs
+++ b/crates/grantsearch/src/world/start.rs
@@ -1,7 +1,7 @@
 //! How a history begins: all ranges held and renewed, nobody at fault.
 
 use super::{Path, Process, World};
-use crate::check::Judge;
+use crate::check::InvariantChecker;
 use crate::scope::{Faults, Scope};
 use crate::standby::{Standby, standby_id};
 use crate::transport::Term;
@@ -40,27 +40,27 @@
             scope: *scope,
             ranges,
             now: Time::ZERO,
-            left: Faults::default(),
+            remaining_faults: Faults::default(),
             process: None,
             successor_at: None,
             terms: FOUNDING_TERM,
-            stalled: None,
+            superseded: None,
             store_fails: false,
             record,
             paths: vec![Path::default(); upstreams.len()],
             upstreams,
             copies: Vec::new(),
-            undecided: VecDeque::new(),
+            pending_orders: VecDeque::new(),
             standby: scope.standby.then(Standby::default),
-            continued: Vec::new(),
-            judge: Judge::new(scope),
-            lines: None,
+            resumed: Vec::new(),
+            checker: InvariantChecker::new(scope),
+            trace: None,
         };
         world.elect();
         while world.now < Time::ZERO + WARM_UP {
             world.tick();
         }
-        world.left = scope.faults;
+        world.remaining_faults = scope.faults;
         world
     }
 
@@ -68,7 +68,7 @@
     pub(super) fn elect(&mut self) {
         self.terms += 1;
         let term = self.terms;
-        self.note(|| format!("granter {term} takes over"));
+        self.trace_event(|| format!("granter {term} takes over"));
         let epoch = Epoch(term);
         let granter = Granter::new(self.now, self.scope.timing, epoch, Some(&self.record));
         let mut process = Process {
@@ -76,18 +76,18 @@
             granter,
             calls: Vec::new(),
             connected: vec![false; self.upstreams.len()],
-            is_frozen: false,
+            is_paused: false,
         };
         if self.scope.standby {
             process.granter.set_standbys(self.now, &[standby_id()]);
         }
         self.process = Some(process);
         self.successor_at = None;
-        self.tell_candidates();
+        self.update_candidates();
     }
 
     /// The directory tells the granter which upstreams there are.
-    pub(super) fn tell_candidates(&mut self) {
+    pub(super) fn update_candidates(&mut self) {
         let registered = self.upstreams.iter().zip(&self.paths);
         let candidates: Vec<Candidate> = registered
             .map(|(upstream, path)| candidate(upstream.id.clone(), path.is_draining))
--- a/crates/grantsearch/src/world/time.rs
+++ b/crates/grantsearch/src/world/time.rs
@@ -1,34 +1,34 @@
 //! Time passes.
 
 use super::World;
-use crate::check::SOON;
+use crate::check::RECOVERY_WINDOW;
 use crate::scope::TICK;
 use crate::standby::standby_id;
 
 impl World {
     /// Runs until something may be decided, or something is broken.
-    pub(super) fn pass(&mut self) {
-        let end = self.now + self.scope.longest_pass;
-        while self.now < end && !self.tick() && self.judge.broken.is_none() {}
+    pub(super) fn advance_time(&mut self) {
+        let end = self.now + self.scope.max_time_step;
+        while self.now < end && !self.tick() && self.checker.violation.is_none() {}
     }
 
     /// One tick; whether something happened beside which a fault would make a difference.
     pub(super) fn tick(&mut self) -> bool {
         self.now = self.now + TICK;
-        let mut happened = self.forget_copies();
-        happened |= self.window_closes();
-        happened |= self.upstreams_return();
-        happened |= self.end_calls();
-        happened |= self.succeed();
+        let mut happened = self.discard_expired_copies();
+        happened |= self.recovery_window_ends();
+        happened |= self.finish_restarts();
+        happened |= self.expire_calls();
+        happened |= self.elect_successor();
         self.run_standby();
         happened |= self.run_granter();
         let ranges = self.ranges.len();
-        self.judge.tick(self.now, ranges, &self.upstreams);
+        self.checker.tick(self.now, ranges, &self.upstreams);
         happened
     }
 
     /// Copies that can't arrive any more go; whether one can only arrive now.
-    fn forget_copies(&mut self) -> bool {
+    fn discard_expired_copies(&mut self) -> bool {
         let now = self.now;
         self.copies
             .retain(|copy| copy.until.is_none_or(|until| now <= until));
@@ -36,41 +36,41 @@
     }
 
     /// Whether arrivals begin to count again now, some time after a path healed.
-    fn window_closes(&self) -> bool {
+    fn recovery_window_ends(&self) -> bool {
         let healed = self.paths.iter().filter_map(|path| path.healed_at);
-        let continued = self.continued.iter().map(|continued| continued.at);
-        let mut begins = healed.chain(continued);
-        !self.copies.is_empty() && begins.any(|at| at + SOON + TICK == self.now)
+        let resumed = self.resumed.iter().map(|resumed| resumed.at);
+        let mut begins = healed.chain(resumed);
+        !self.copies.is_empty() && begins.any(|at| at + RECOVERY_WINDOW + TICK == self.now)
     }
 
-    fn upstreams_return(&mut self) -> bool {
+    fn finish_restarts(&mut self) -> bool {
         let mut returned = false;
         for index in 0..self.paths.len() {
             let path = &mut self.paths[index];
-            if path.back_at.is_none_or(|at| self.now < at) {
+            if path.restarts_at.is_none_or(|at| self.now < at) {
                 continue;
             }
-            path.back_at = None;
+            path.restarts_at = None;
             if let Some(id) = path.next_id.take() {
                 self.upstreams[index].id = id;
             }
             returned = true;
             let id = self.upstreams[index].id.clone();
-            self.note(|| format!("{id} is up and holds nothing"));
+            self.trace_event(|| format!("{id} is up and holds nothing"));
         }
         if returned {
-            self.tell_candidates();
+            self.update_candidates();
         }
         returned
     }
 
     /// Another granter takes over where the place is free.
-    fn succeed(&mut self) -> bool {
+    fn elect_successor(&mut self) -> bool {
         if self.successor_at.is_none_or(|at| self.now < at) {
             return false;
         }
-        if let Some(frozen) = self.process.take() {
-            self.stalled = Some(frozen);
+        if let Some(paused) = self.process.take() {
+            self.superseded = Some(paused);
         }
         self.elect();
         true
@@ -83,23 +83,23 @@
             return;
         };
         let is_apart = self.paths.iter().any(|path| path.is_cut);
-        let running = self.process.as_mut().filter(|process| !process.is_frozen);
+        let running = self.process.as_mut().filter(|process| !process.is_paused);
         if let Some(process) = running.filter(|_| !is_apart) {
             process.granter.set_standbys(self.now, &[standby_id()]);
-            standby.meets(self.now, &mut process.granter, &self.record);
+            standby.exchange(self.now, &mut process.granter, &self.record);
         }
         let timing = self.scope.timing;
         let orders = standby.poll(self.now, timing.hold, timing.renewal);
         self.standby = Some(standby);
         for order in orders {
-            self.standby_orders(&order);
+            self.deliver_standby_order(&order);
         }
     }
 
     /// The granter gives orders and writes its record; whether it did something new.
     fn run_granter(&mut self) -> bool {
         let now = self.now;
-        let running = self.process.as_mut().filter(|process| !process.is_frozen);
+        let running = self.process.as_mut().filter(|process| !process.is_paused);
         let Some(process) = running else {
             return false;
         };
@@ -125,17 +125,17 @@
         let changed = record.slices != self.record.slices;
         self.record = record;
         if changed {
-            self.note_record();
+            self.trace_record();
         }
         changed
     }
 
-    fn note_record(&mut self) {
+    fn trace_record(&mut self) {
         let states = self.record.slices.iter();
         let states: Vec<String> = states
             .enumerate()
             .map(|(range, slice)| format!("range {range} {:?}", slice.state))
             .collect();
-        self.note(|| format!("a record is durable: {}", states.join(", ")));
+        self.trace_event(|| format!("a record is durable: {}", states.join(", ")));
     }
 }
--- a/crates/grantsearch/tests/common/mod.rs
+++ b/crates/grantsearch/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "not every test file uses every helper")]
 
-use beamtray_grantsearch::{CounterCase, Limits, Scope, Search, Transport, search};
+use beamtray_grantsearch::{Counterexample, Limits, Scope, Search, Transport, search};
 
 /// More states than any search of the tests needs: one that has more fails.
 const MOST_STATES: usize = 400_000;
@@ -33,7 +33,7 @@
 /// The shortest counter-case, which must be there. Fresh tokens, and the wait for grants that
 /// may lie with an upstream, cover part of what the other protections are for, so they are
 /// off here: each of those has to be missed by itself.
-pub fn find(scope: &Scope, depth: usize) -> CounterCase {
+pub fn find(scope: &Scope, depth: usize) -> Counterexample {
     let mut scope = *scope;
     scope.timing.guards.renews_tokens = false;
     scope.timing.guards.waits_for_doubt = false;
@@ -47,6 +47,6 @@
     let search = run(scope, depth);
     println!("{search}");
     assert!(search.found().is_none(), "{search}");
-    let is_whole = search.depth == depth;
-    assert!(is_whole || search.is_exhausted(), "{search}");
+    let reached_depth = search.depth == depth;
+    assert!(reached_depth || search.is_exhausted(), "{search}");
 }
--- a/crates/grantsearch/tests/guards.rs
+++ b/crates/grantsearch/tests/guards.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use beamtray_grantsearch::{Faults, Promise, Scope};
+use beamtray_grantsearch::{Faults, Invariant, Scope};
 use beamtray_sharding::GranterGuards;
 use common::{assert_kept, find, plain_close, reset};
 
@@ -17,14 +17,14 @@
 
 const CUT: Faults = Faults {
     cuts: 1,
-    messages: 0,
-    late: 0,
-    stands: 0,
+    delayed_messages: 0,
+    deferred_orders: 0,
+    upstream_pauses: 0,
     restarts_same_id: 0,
     restarts_new_id: 0,
     drains: 0,
-    ends: 0,
-    freezes: 0,
+    granter_exits: 0,
+    granter_pauses: 0,
     store_outages: 0,
 };
 
@@ -39,7 +39,10 @@
 
 #[test]
 fn a_grant_without_an_answer_must_count() {
-    let faults = Faults { messages: 1, ..CUT };
+    let faults = Faults {
+        delayed_messages: 1,
+        ..CUT
+    };
     let guards = GranterGuards {
         counts_unanswered: false,
         ..GranterGuards::default()
@@ -49,7 +52,10 @@
 
 #[test]
 fn a_successor_must_count_the_grants_of_the_one_before() {
-    let faults = Faults { ends: 1, ..CUT };
+    let faults = Faults {
+        granter_exits: 1,
+        ..CUT
+    };
     let guards = GranterGuards {
         respects_predecessor: false,
         ..GranterGuards::default()
@@ -71,7 +77,7 @@
 #[test]
 fn a_record_must_be_durable_before_its_grants() {
     let faults = Faults {
-        ends: 1,
+        granter_exits: 1,
         store_outages: 1,
         ..CUT
     };
@@ -85,7 +91,10 @@
 /// No reset takes back what lies with the upstream.
 #[test]
 fn keys_must_wait_for_a_grant_that_may_lie_with_their_holder() {
-    let faults = Faults { late: 1, ..CUT };
+    let faults = Faults {
+        deferred_orders: 1,
+        ..CUT
+    };
     let guards = GranterGuards {
         waits_for_doubt: false,
         ..GranterGuards::default()
@@ -98,12 +107,12 @@
 fn a_grant_must_go_to_a_process_only_that_has_just_answered() {
     let faults = Faults {
         cuts: 0,
-        stands: 1,
+        upstream_pauses: 1,
         ..CUT
     };
     let without = reset().with(faults);
     let mut with = without;
-    with.asks_first = true;
+    with.probe_before_grant = true;
     find(&without, 14);
     assert_kept(&with, 14);
 }
@@ -117,7 +126,10 @@
         ..GranterGuards::default()
     };
     assert_needed(&plain_close().with(CUT), 12, guards);
-    let faults = Faults { freezes: 1, ..CUT };
+    let faults = Faults {
+        granter_pauses: 1,
+        ..CUT
+    };
     assert_needed(&reset().with(faults), 12, guards);
 }
 
@@ -125,16 +137,19 @@
 /// grant is taken, the third when half a second has passed.
 #[test]
 fn each_sentence_of_the_rule_is_checked() {
-    let mut scope = plain_close().with(Faults { messages: 2, ..CUT });
+    let mut scope = plain_close().with(Faults {
+        delayed_messages: 2,
+        ..CUT
+    });
     scope.timing.guards.waits_for_lapse = false;
-    let promises = [
-        Promise::SoleOwner,
-        Promise::RisingTokens,
-        Promise::ShortOverlap,
+    let invariants = [
+        Invariant::SoleOwner,
+        Invariant::RisingTokens,
+        Invariant::ShortOverlap,
     ];
-    for promise in promises {
-        scope.only = Some(promise);
+    for invariant in invariants {
+        scope.only_invariant = Some(invariant);
         let case = find(&scope, 12);
-        assert_eq!(case.broken.promise, promise, "{case}");
+        assert_eq!(case.violation.invariant, invariant, "{case}");
     }
 }
--- a/crates/grantsearch/tests/kept.rs
+++ b/crates/grantsearch/tests/kept.rs
@@ -12,7 +12,7 @@
         cuts: 1,
         ..Faults::default()
     });
-    scope.longest_pass = Duration::from_millis(100);
+    scope.max_time_step = Duration::from_millis(100);
     assert_kept(&scope, 100);
 }
 
@@ -20,7 +20,7 @@
 fn with_two_cuts_and_two_messages_held_up() {
     let faults = Faults {
         cuts: 2,
-        messages: 2,
+        delayed_messages: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
@@ -31,7 +31,7 @@
 fn with_orders_that_lie_with_their_upstream_and_two_cuts() {
     let faults = Faults {
         cuts: 2,
-        late: 2,
+        deferred_orders: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 14);
@@ -42,11 +42,11 @@
 fn with_an_upstream_that_stands_still_for_any_time() {
     let mut scope = reset().with(Faults {
         cuts: 2,
-        stands: 1,
-        late: 1,
+        upstream_pauses: 1,
+        deferred_orders: 1,
         ..Faults::default()
     });
-    scope.asks_first = true;
+    scope.probe_before_grant = true;
     assert_kept(&scope, 11);
 }
 
@@ -54,8 +54,8 @@
 fn with_a_granter_succeeded_twice() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 2,
+        delayed_messages: 1,
+        granter_exits: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
@@ -66,9 +66,9 @@
 fn with_upstreams_that_drain() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
+        delayed_messages: 1,
         drains: 2,
-        ends: 1,
+        granter_exits: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 10);
@@ -78,8 +78,8 @@
 fn with_a_granter_that_stands_still() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
-        freezes: 1,
+        granter_exits: 1,
+        granter_pauses: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
@@ -89,8 +89,8 @@
 fn with_an_upstream_that_has_another_id_after_a_restart() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         restarts_new_id: 1,
         ..Faults::default()
     };
@@ -101,8 +101,8 @@
 fn with_an_upstream_that_restarts_under_its_id() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         restarts_same_id: 1,
         ..Faults::default()
     };
@@ -114,7 +114,7 @@
 fn with_an_upstream_that_restarts_while_the_granter_stands_still() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        freezes: 1,
+        granter_pauses: 1,
         restarts_same_id: 1,
         ..Faults::default()
     });
@@ -126,8 +126,8 @@
 fn with_three_upstreams_and_two_ranges() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         ..Faults::default()
     });
     scope.upstreams = 3;
@@ -139,8 +139,8 @@
 fn with_a_standby() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         ..Faults::default()
     });
     scope.standby = true;
--- a/crates/grantsearch/tests/old_grants.rs
+++ b/crates/grantsearch/tests/old_grants.rs
@@ -22,7 +22,7 @@
 fn nor_is_one_of_a_granter_that_ended() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
+        granter_exits: 1,
         ..Faults::default()
     };
     assert_kept(&plain_close().with(faults), DEPTH);
@@ -33,7 +33,7 @@
 fn nor_is_one_of_a_granter_that_stands_still() {
     let faults = Faults {
         cuts: 1,
-        freezes: 1,
+        granter_pauses: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), DEPTH);
@@ -45,7 +45,7 @@
 fn nor_is_one_that_its_upstream_carries_out_late() {
     let faults = Faults {
         cuts: 1,
-        late: 1,
+        deferred_orders: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), DEPTH);
--- a/crates/grantsearch/tests/owned_again.rs
+++ b/crates/grantsearch/tests/owned_again.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use beamtray_grantsearch::{Faults, Promise, Scope};
+use beamtray_grantsearch::{Faults, Invariant, Scope};
 use common::{assert_kept, find, reset};
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 fn keys_of_a_holder_that_is_cut_off_go_to_another() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
+        delayed_messages: 1,
         ..Faults::default()
     };
     assert_kept(&owned_within(4_700, faults), 9);
@@ -32,8 +32,8 @@
 fn keys_go_to_another_also_by_a_successor() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
-        freezes: 1,
+        granter_exits: 1,
+        granter_pauses: 1,
         ..Faults::default()
     };
     assert_kept(&owned_within(4_950, faults), 9);
@@ -45,7 +45,7 @@
 fn keys_wait_longer_for_a_standby_that_is_cut_off() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
+        granter_exits: 1,
         ..Faults::default()
     };
     let mut scope = owned_within(15_600, faults);
@@ -58,7 +58,7 @@
     let faults = Faults {
         cuts: 1,
         drains: 1,
-        messages: 1,
+        delayed_messages: 1,
         ..Faults::default()
     };
     assert_kept(&owned_within(4_950, faults), 9);
@@ -71,5 +71,5 @@
         ..Faults::default()
     };
     let case = find(&owned_within(1_500, faults), 4);
-    assert_eq!(case.broken.promise, Promise::OwnedAgain);
+    assert_eq!(case.violation.invariant, Invariant::OwnedAgain);
 }
--- a/crates/grantsearch/tests/transport.rs
+++ b/crates/grantsearch/tests/transport.rs
@@ -12,14 +12,14 @@
 /// free and when they are granted again.
 const SLACK: Duration = Duration::from_millis(3 * TICK.as_millis() as u64);
 
-fn with_life(after_give_up: Duration, after_end: Duration, faults: Faults) -> Scope {
+fn with_life(after_timeout: Duration, after_process_exit: Duration, faults: Faults) -> Scope {
     let mut scope = reset().with(faults);
     scope.transport = Transport {
-        after_give_up: Some(after_give_up),
-        after_end: Some(after_end),
+        after_timeout: Some(after_timeout),
+        after_process_exit: Some(after_process_exit),
         reaches_next_process: true,
     };
-    scope.longest_pass = Duration::from_millis(500);
+    scope.max_time_step = Duration::from_millis(500);
     scope
 }
 
@@ -27,7 +27,7 @@
 fn copies_must_not_outlive_the_wait_of_a_successor() {
     let faults = Faults {
         cuts: 2,
-        ends: 1,
+        granter_exits: 1,
         ..Faults::default()
     };
     let transit = reset().timing.transit;
@@ -45,8 +45,8 @@
     };
     let transit = reset().timing.transit;
     let scope = |life| Scope {
-        counts_excluded: true,
-        longest_pass: Duration::from_millis(200),
+        count_excluded: true,
+        max_time_step: Duration::from_millis(200),
         ..with_life(life, transit, faults)
     };
     assert_kept(&scope(transit), 27);
@@ -59,7 +59,7 @@
 fn copies_must_not_live_for_ever_though_lost_holders_are_told() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
+        delayed_messages: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 12);
@@ -72,8 +72,8 @@
 fn orders_that_upstreams_carry_out_late_are_to_be_counted_with() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
-        late: 2,
+        granter_exits: 1,
+        deferred_orders: 2,
         ..Faults::default()
     };
     let mut scope = reset().with(faults);
--- a/crates/grantsearch/tests/upstream.rs
+++ b/crates/grantsearch/tests/upstream.rs
@@ -93,7 +93,7 @@
             let from_small = small.order(now, &order(event, range, HOLD), arrival);
             let same_holds = small.holdings.iter().all(|holding| {
                 let held = large.grant(now, holding.range.first).is_some();
-                held == (now < holding.ends)
+                held == (now < holding.expiry)
             });
             from_large.is_some_and(|large| is_alike(&large, &from_small)) && same_holds
         })
