--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,8 +1,9 @@
-//! `beamtray-bench`: open-loop load on loopback, routed and direct.
+//! `beamtray-bench`: an open-loop load generator that compares routed and direct requests
+//! on loopback.
 //!
-//! Each request has a moment at which it should start, whatever became of
-//! those before; its latency counts from there, which corrects for coordinated
-//! omission. `tools/bench` starts the processes and calls this.
+//! Each request has a scheduled start time that does not depend on earlier
+//! requests. Latency is measured from that time, which corrects for coordinated
+//! omission. `tools/bench` starts the processes and runs this program.
 
 use beamtray_control::{OperatorAnswer, OperatorRequest};
 use beamtray_http::{ClientConfig, HttpCall, HttpClient};
@@ -22,7 +23,7 @@
 const TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_RESPONSE_BYTES: u64 = 1024 * 1024;
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
-/// Kernel clock ticks a second, as `/proc` counts processor time.
+/// Kernel clock ticks per second, the unit of processor time in `/proc`.
 const CLOCK_TICKS: f64 = 100.0;
 const PAGE_KIB: u64 = 4;
 
@@ -49,14 +50,14 @@
     pid: Option<u32>,
 }
 
-/// One request to be made again and again.
+/// A request that the benchmark repeats.
 #[derive(Clone, Debug)]
 struct Target {
     url: String,
     fence: Option<String>,
 }
 
-/// What a part of the run found.
+/// Measurements of one part of the benchmark.
 struct RunResult {
     latency: Histogram<u64>,
     failures: u64,
@@ -113,7 +114,8 @@
     Ok(())
 }
 
-/// The same keys at their owners, with the fence that a gate would send.
+/// Returns the same keys addressed directly to their owners, with the fence that the routing
+/// node would send.
 fn direct_targets(
     declaration: &Declaration,
     service: &ServiceName,
@@ -224,7 +226,7 @@
     );
 }
 
-/// Processor seconds and resident KiB of a process.
+/// Returns the processor seconds used and the resident memory in KiB of a process.
 fn process_usage(pid: Option<u32>) -> Option<(f64, u64)> {
     let pid = pid?;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The metadata store and upstreams that hold keys, emulated on a clock that
-//! the caller keeps.
+//! Emulators of the metadata store and of upstreams that own keys. The caller
+//! supplies the time.
 //!
-//! Both follow the promises that the router builds on, and misbehave where
-//! those promises leave room: writes that are done but not answered, writes
-//! done late, history dropped, leases that lapse in an outage, orders that are
-//! taken late.
+//! Both keep the guarantees that the router relies on and exercise the failures
+//! that those guarantees allow: writes that are applied but not acknowledged, writes
+//! applied late, compacted history, leases that expire during an outage, orders that
+//! are executed late.
 
 mod store;
 mod upstream;
--- a/crates/emulator/src/store.rs
+++ b/crates/emulator/src/store.rs
@@ -1,4 +1,4 @@
-//! The metadata store.
+//! An in-memory emulator of the metadata store.
 
 use beamtray_metastore::{
     Condition, Item, LeaseId, Revision, StoreCall, StoreEvent, StoreOutcome, Transaction,
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Keys in one page of a range.
+/// Maximum number of keys in one page of a range read.
 const PAGE_SIZE: usize = 500;
 
 #[derive(Clone, Debug)]
@@ -30,43 +30,43 @@
     event: StoreEvent,
 }
 
-/// A watch that has nothing to tell yet.
+/// A watch that has no events to return yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchWait {
-    /// The prefix.
+    /// Prefix of the watched keys.
     pub prefix: String,
-    /// Changes after this revision.
+    /// Only changes after this revision are returned.
     pub after: Revision,
-    /// When it ends without one.
+    /// When the watch ends even without an event.
     pub until: Time,
 }
 
-/// What becomes of a call.
+/// Result of submitting a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// It is answered now.
+    /// The call is complete.
     Done(StoreOutcome),
-    /// It waits; ask again with [`StoreEmulator::watch`].
+    /// The watch is pending; poll it with [`StoreEmulator::watch`].
     Waits(WatchWait),
 }
 
-/// The metadata store.
+/// An emulated metadata store.
 #[derive(Clone, Debug)]
 pub struct StoreEmulator {
     items: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
     revision: Revision,
     history: Vec<Change>,
-    /// Changes up to this revision are forgotten.
+    /// Changes up to this revision have been compacted.
     compacted: Revision,
     retention: Duration,
     next_lease: u64,
-    /// Whether leases run out; an outage may stop them.
+    /// Whether leases expire; an outage may suspend expiry.
     pub lease_expiry_enabled: bool,
 }
 
 impl StoreEmulator {
-    /// An empty store that remembers changes for `retention`.
+    /// Creates an empty store that keeps its change history for `retention`.
     pub fn new(retention: Duration) -> Self {
         Self {
             items: BTreeMap::new(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Lets time pass: leases end, old history goes.
+    /// Advances the time to `now`: expires leases and compacts old history.
     pub fn advance(&mut self, now: Time) {
         if self.lease_expiry_enabled {
             let ended: Vec<u64> = self
@@ -108,27 +108,27 @@
         }
     }
 
-    /// Drops the whole history.
+    /// Compacts the whole history.
     pub fn compact(&mut self) {
         let all = self.history.len();
         self.compact_oldest(all);
         self.compacted = self.revision;
     }
 
-    /// Lets every lease begin anew, as after an outage in which they waited.
+    /// Restarts the time to live of every lease, as after an outage that suspended expiry.
     pub fn renew_all_leases(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
             lease.expires = now + lease.ttl;
         }
     }
 
-    /// Comes back from an older copy: what was done since is gone, and revisions are given
-    /// out again.
+    /// Restores an older copy: later changes are lost, and their revision numbers are
+    /// assigned again.
     pub fn restore(&mut self, copy: StoreEmulator) {
         *self = copy;
     }
 
-    /// The keys below a prefix.
+    /// Returns the keys that start with `prefix`.
     pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         let below = self.items.keys().filter(|key| key.starts_with(prefix));
         below.cloned().collect()
@@ -172,14 +172,14 @@
         });
     }
 
-    /// Writes a key as operators and upstreams do, without a condition.
+    /// Writes a key unconditionally, as operators and upstreams do.
     pub fn put(&mut self, now: Time, key: &str, value: Vec<u8>) -> Revision {
         self.revision.number += 1;
         self.write(now, key, value, None);
         self.revision
     }
 
-    /// Removes a key as operators and upstreams do.
+    /// Removes a key unconditionally, as operators and upstreams do.
     pub fn delete(&mut self, now: Time, key: &str) {
         self.revision.number += 1;
         self.remove(now, key);
@@ -196,12 +196,12 @@
         self.record_change(now, key, event);
     }
 
-    /// The key as it stands.
+    /// Returns the current value and revision of a key.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.items.get(key).map(|stored| item(key, stored))
     }
 
-    /// Carries a call out.
+    /// Executes a call.
     pub fn call(&mut self, now: Time, call: &StoreCall) -> StoreReply {
         self.advance(now);
         StoreReply::Done(match call {
@@ -217,7 +217,7 @@
             } => {
                 let wait = WatchWait {
                     prefix: prefix.clone(),
-                    // The wire carries the number alone.
+                    // The wire format carries only the revision number.
                     after: Revision::new(after.number),
                     until: now + *wait,
                 };
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The outcome of a waiting watch, once there is one.
+    /// Returns the outcome of a pending watch, or `None` while it has to wait.
     pub fn watch(&self, now: Time, wait: &WatchWait) -> Option<StoreOutcome> {
         if wait.after < self.compacted || wait.after > self.revision {
             return Some(StoreOutcome::Compacted);
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that may hold keys.
+//! An emulator of an upstream that may own keys.
 
 use beamtray_catalog::{UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_sharding::{
@@ -9,125 +9,126 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an upstream does with a request that it can't queue.
+/// What an upstream does with a request that exceeds its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullPolicy {
-    /// It says so.
+    /// Rejects the request.
     Shed,
-    /// It never answers.
+    /// Never answers the request.
     Hang,
 }
 
-/// Fixed values of an upstream.
+/// Configuration of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamConfig {
-    /// Its incarnation.
+    /// Id of the incarnation.
     pub id: UpstreamId,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// Whether it runs only requests whose key it holds.
+    /// Whether it runs only requests whose key it owns.
     pub is_sharded: bool,
-    /// What it does with more.
+    /// What it does with requests beyond the queue.
     pub full: FullPolicy,
-    /// Its time for a request, in percent of the request's work.
+    /// Service time in percent of the request's nominal work.
     pub slowness_percent: u32,
 }
 
-/// Tells one run of a request from the others.
+/// Identifies one execution of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// A request as it arrives.
+/// An incoming request.
 #[derive(Clone, Debug)]
 pub struct WorkRequest {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its key, if it has one.
+    /// Shard key, if the request has one.
     pub key: Option<ShardKey>,
-    /// Incarnation that is meant.
+    /// Incarnation that the request is addressed to.
     pub target: UpstreamId,
-    /// Its work at an upstream of ordinary speed.
+    /// Service time at an upstream whose slowness is 100 percent.
     pub work: Duration,
 }
 
-/// A request at work.
+/// A request that is being executed.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Tells it from others.
+    /// Identifies the execution.
     pub id: RunId,
-    /// The request.
+    /// The request being executed.
     pub request: WorkRequest,
-    /// When it ends.
+    /// When the execution completes.
     pub ends: Time,
 }
 
-/// What becomes of a request that arrives.
+/// Outcome of submitting a request.
 #[derive(Clone, Debug)]
 pub enum Arrival {
-    /// It begins to run.
+    /// Execution has started.
     Runs(Run),
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// The upstream is full and says so; it has not run.
+    /// The upstream is full and rejected the request without running it.
     Full,
-    /// Another incarnation is meant, or the key is not held; it has not run.
+    /// The request is addressed to another incarnation, or its key is not owned here; it was
+    /// not run.
     Misdirected,
-    /// It never gets an answer.
+    /// The request never gets an answer.
     Hangs,
 }
 
-/// A grant in force, for checkers.
+/// A grant that the upstream has accepted, as invariant checkers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedGrant {
-    /// The keys.
+    /// Keys that the grant covers.
     pub range: KeyRange,
-    /// The token.
+    /// Fencing token of the grant.
     pub token: FencingToken,
-    /// When it was first taken.
+    /// When the grant was first accepted.
     pub since: Time,
-    /// When it runs out.
+    /// When the grant expires.
     pub ends: Time,
-    /// How its newest order came.
+    /// How the latest order for it was delivered.
     pub delivery: Delivery,
 }
 
-/// How an order came to an upstream.
+/// How an order was delivered to an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivery {
-    /// Long after it was sent: held up on its way, or left lying by the upstream.
+    /// Long after it was sent: delayed in the network, or left unprocessed by the upstream.
     pub is_late: bool,
-    /// Right after its sender ran again or its link was whole again.
+    /// Shortly after its sender resumed or the network path recovered.
     pub is_after_recovery: bool,
 }
 
-/// An upstream.
+/// An emulated upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamEmulator {
-    /// Its fixed values.
+    /// Configuration, fixed for the life of the upstream.
     pub config: UpstreamConfig,
-    /// What it says of itself.
+    /// State that it reports in its registration.
     pub state: UpstreamState,
     grants: Vec<AcceptedGrant>,
-    /// Grants that were given back while work on their keys went on.
+    /// Grants that were released while requests for their keys were still running.
     released_in_use: Vec<AcceptedGrant>,
     min_tokens: Vec<u64>,
     running: Vec<Run>,
     queue: VecDeque<WorkRequest>,
     next_run: u64,
-    /// Releases that wait for work to end.
+    /// Releases that wait for running requests to complete.
     releases: Vec<(KeyRange, u64)>,
 }
 
 impl UpstreamEmulator {
-    /// An upstream that holds nothing.
+    /// Creates an upstream without grants.
     pub fn new(config: UpstreamConfig) -> Self {
         Self {
             config,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Its registration.
+    /// Returns the registration record.
     pub fn record(&self) -> UpstreamRecord {
         UpstreamRecord {
             id: self.config.id.clone(),
@@ -155,25 +156,26 @@
         }
     }
 
-    /// The grant under which it may run a request for a key.
+    /// Returns the unexpired grant that covers `key`.
     pub fn grant(&self, now: Time, key: ShardKey) -> Option<&AcceptedGrant> {
         self.grants
             .iter()
             .find(|grant| grant.range.contains(key) && now < grant.ends)
     }
 
-    /// The grants in force.
+    /// Returns the unexpired grants.
     pub fn grants(&self, now: Time) -> impl Iterator<Item = &AcceptedGrant> {
         self.grants.iter().filter(move |grant| now < grant.ends)
     }
 
-    /// Takes an order. A release that must wait for work is answered by
+    /// Handles an order that arrives promptly. Returns `None` for a release that has to wait
+    /// for running requests; its completion is reported by
     /// [`UpstreamEmulator::take_completed_releases`].
     pub fn order(&mut self, now: Time, order: &GrantOrder) -> Option<GrantReply> {
         self.deliver_order(now, order, Delivery::default())
     }
 
-    /// Takes an order that came in that way.
+    /// Handles an order that was delivered as `delivery` says.
     pub fn deliver_order(
         &mut self,
         now: Time,
@@ -210,14 +212,14 @@
         }
         self.min_tokens_of(order.range).fill(token);
         let current = self.grant(now, order.range.first);
-        // What came right after trouble is first taken when it is taken again.
+        // A grant that arrived just after a recovery counts as held only from its renewal.
         let restarts_hold = |grant: &&AcceptedGrant| {
             grant.delivery.is_after_recovery && !delivery.is_after_recovery
         };
         let since = current
             .filter(|grant| !restarts_hold(grant))
             .map_or(now, |grant| grant.since);
-        // A shorter grant does not end a longer one that stands.
+        // A grant never shortens the current hold.
         let ends = current.map_or(now, |grant| grant.ends).max(now + hold);
         self.remove_range(order.range);
         self.grants.push(AcceptedGrant {
@@ -230,7 +232,7 @@
         GrantReply::Granted
     }
 
-    /// Removes a range from all grants.
+    /// Removes `range` from all grants, splitting those that it overlaps in part.
     fn remove_range(&mut self, range: KeyRange) {
         let mut rest = Vec::new();
         for grant in self.grants.drain(..) {
@@ -284,8 +286,8 @@
         keys.any(|key| range.contains(key))
     }
 
-    /// Whether it is at work on a key of a range, under a lease that has not run out or
-    /// would not have if the key had not been given back.
+    /// Whether a request for a key in `range` is running under a lease that has not expired, or
+    /// that would not have expired had the key not been released.
     pub fn is_working_under_lease(&self, now: Time, range: KeyRange) -> bool {
         let leases = || {
             let all = self.grants.iter().chain(&self.released_in_use);
@@ -296,7 +298,7 @@
         keys.any(|key| range.contains(key) && is_leased(key))
     }
 
-    /// Calls whose release has been waiting and is complete now.
+    /// Removes and returns the call ids of releases that were waiting and are now complete.
     pub fn take_completed_releases(&mut self) -> Vec<u64> {
         let releases = std::mem::take(&mut self.releases);
         let (waiting, done): (Vec<_>, Vec<_>) = releases
@@ -309,7 +311,7 @@
         done.into_iter().map(|(_, call)| call).collect()
     }
 
-    /// Takes a request.
+    /// Submits a request.
     pub fn arrive(&mut self, now: Time, request: WorkRequest) -> Arrival {
         if request.target.name != self.config.id.name || !self.can_run(now, &request) {
             return Arrival::Misdirected;
@@ -349,8 +351,9 @@
         run
     }
 
-    /// Ends a run and begins those that waited; queued requests whose key is
-    /// gone come back as misdirected.
+    /// Ends an execution and starts queued requests. Returns the ended request, the executions
+    /// started, and the queued requests that are rejected as misdirected because their key is no
+    /// longer owned here.
     pub fn end(
         &mut self,
         now: Time,
@@ -373,12 +376,12 @@
         (ended, started, refused)
     }
 
-    /// Drops a request whose caller left.
+    /// Removes a queued request whose caller disconnected.
     pub fn drop_request(&mut self, id: &str) {
         self.queue.retain(|request| request.id != id);
     }
 
-    /// Requests at work and waiting.
+    /// Returns the number of running and queued requests.
     pub fn load(&self) -> usize {
         self.running.len() + self.queue.len()
     }
--- a/crates/emulator/tests/leases.rs
+++ b/crates/emulator/tests/leases.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of leases under which it works.
+//! Tests of the leases under which an emulated upstream runs requests.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_emulator::{
@@ -55,7 +55,7 @@
     )
 }
 
-/// An upstream that took that grant at the start and works on a key.
+/// Returns an upstream that accepted a grant at time zero and is running a request for [`KEY`].
 fn upstream_with_running_request(delivery: Delivery) -> (UpstreamEmulator, RunId) {
     let mut upstream = upstream();
     let reply = upstream.deliver_order(Time::ZERO, &grant(1), delivery);
@@ -105,7 +105,7 @@
     assert!(!upstream.is_working_under_lease(BEFORE_EXPIRY, KeyRange::ALL));
 }
 
-/// One that came right after trouble is held from when it is renewed.
+/// A grant delivered just after a recovery counts as held only from its renewal.
 #[test]
 fn a_grant_right_after_trouble_counts_from_its_renewal() {
     let mut upstream = upstream();
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,38 +1,38 @@
-//! A back end of a pool: slots, a cold start, shedding and draining.
+//! A model of a pool back end: slots, a cold start, load shedding and draining.
 
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// How a back end behaves.
+/// Configuration of a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendConfig {
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Time that a request takes when warm.
+    /// Service time of a request when warm.
     pub service_time: Duration,
-    /// For how long after its start it is slow.
+    /// How long the cold start lasts.
     pub cold_for: Duration,
-    /// How many times slower it then is.
+    /// Factor on the service time during the cold start.
     pub cold_factor: u32,
 }
 
-/// One run of a back end.
+/// One process lifetime of a back end.
 #[derive(Clone, Debug)]
 pub struct Backend {
     config: BackendConfig,
     started: Time,
     running: u32,
     served: u64,
-    /// Whether it asks to be left alone.
+    /// Whether it is draining and reports itself as unhealthy.
     pub drains: bool,
-    /// Whether it refuses all requests as over its limit.
+    /// Whether it rejects all requests as overload.
     pub sheds: bool,
-    /// What its health endpoint says, whatever is true.
+    /// Overrides the health endpoint's answer, if set.
     pub reported_health: Option<bool>,
 }
 
 impl Backend {
-    /// A run that starts cold.
+    /// Creates a back end that starts cold at `now`.
     pub fn new(config: BackendConfig, now: Time) -> Self {
         Self {
             config,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes a slot; the time that the request will take, or none when the
-    /// back end sheds it.
+    /// Occupies a slot and returns the request's service time, or `None` if the
+    /// back end sheds the request.
     pub fn begin(&mut self, now: Time) -> Option<Duration> {
         if self.sheds || self.running >= self.config.slots {
             return None;
@@ -61,19 +61,19 @@
         Some(self.config.service_time * factor)
     }
 
-    /// Ends a request; how many it has served.
+    /// Completes a request and returns the number served so far.
     pub fn finish(&mut self) -> u64 {
         self.running = self.running.saturating_sub(1);
         self.served += 1;
         self.served
     }
 
-    /// What the health endpoint says.
+    /// Returns whether the health endpoint reports healthy.
     pub fn health(&self) -> bool {
         self.reported_health.unwrap_or(!self.drains)
     }
 
-    /// What the load endpoint says: requests running.
+    /// Returns the number of running requests, which the load endpoint reports.
     pub fn load(&self) -> u32 {
         self.running
     }
--- a/crates/standin/src/key_value.rs
+++ b/crates/standin/src/key_value.rs
@@ -1,4 +1,4 @@
-//! A small key-value service: compare-and-swap, leases, watches, a rate limit
+//! A model of a key-value service: compare-and-swap, leases, watches, a rate limit
 //! and outages.
 
 use beamtray_keyvalue::{KeyValueRequest, KeyValueResult};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Switches that make the service fail.
+/// Fault-injection switches of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyValueFaults {
-    /// Nothing is answered and nothing takes effect.
+    /// Calls have no effect and get no reply.
     pub down: bool,
-    /// Calls take effect and their replies are lost.
+    /// Calls take effect, but their replies are lost.
     pub loses_replies: bool,
 }
 
@@ -22,13 +22,13 @@
     lease: Option<u64>,
 }
 
-/// The service's state.
+/// State of the key-value service.
 #[derive(Clone, Debug)]
 pub struct KeyValueStore {
     keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Time>,
     next_lease: u64,
-    /// What fails now.
+    /// Faults that are active.
     pub faults: KeyValueFaults,
     per_second: u32,
     window: Time,
@@ -36,7 +36,7 @@
 }
 
 impl KeyValueStore {
-    /// An empty service that takes `per_second` calls a second.
+    /// Creates an empty service that admits `per_second` calls a second.
     pub fn new(per_second: u32) -> Self {
         Self {
             keys: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Serves one call; none when the caller gets no answer.
+    /// Serves one call. Returns `None` if the caller gets no reply.
     pub fn handle(&mut self, now: Time, request: &KeyValueRequest) -> Option<KeyValueResult> {
         if self.faults.down {
             return None;
@@ -69,17 +69,17 @@
         (!self.faults.loses_replies).then_some(result)
     }
 
-    /// The present version of a key, 0 when absent; what a watch waits on.
+    /// Returns the current version of a key, 0 if absent. Watches wait for it to change.
     pub fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// A key's value, past rate limit and faults.
+    /// Returns a key's value, bypassing the rate limit and faults.
     pub fn peek(&self, key: &str) -> Option<&[u8]> {
         self.keys.get(key).map(|stored| stored.value.as_slice())
     }
 
-    /// Grants a lease: keys written under it vanish when it lapses.
+    /// Grants a lease; keys written under it are removed when it expires.
     pub fn grant_lease(&mut self, now: Time, ttl: Duration) -> u64 {
         let lease = self.next_lease;
         self.next_lease += 1;
@@ -87,7 +87,7 @@
         lease
     }
 
-    /// Prolongs a lease; false when it lapsed already.
+    /// Renews a lease. Returns false if it has already expired.
     pub fn keep_lease(&mut self, now: Time, lease: u64, ttl: Duration) -> bool {
         self.expire(now);
         let Some(expires) = self.leases.get_mut(&lease) else {
@@ -97,7 +97,7 @@
         true
     }
 
-    /// Writes a key under a lease.
+    /// Writes a key under a lease. Returns `None` if the lease has expired.
     pub fn put_leased(
         &mut self,
         now: Time,
--- a/crates/standin/src/keyed_server.rs
+++ b/crates/standin/src/keyed_server.rs
@@ -1,11 +1,11 @@
-//! A keyed server: it accepts fenced grants, runs requests in slots, and asks
-//! for its grant again at the instant of the effect.
+//! A model of a keyed server: it accepts fenced grants, runs requests in slots, and
+//! checks its grant again at the moment a request takes effect.
 
 use beamtray_ownership::{GrantReply, GrantRequest, GrantTable, Refusal, Ticket};
 use beamtray_types::{Fence, Incarnation, KeyHash, Time};
 use std::collections::BTreeMap;
 
-/// Why a request did not run here.
+/// Why the server did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerRefusal {
     /// The server does not own the key under the request's fence.
@@ -20,33 +20,33 @@
     }
 }
 
-/// One effect that took place.
+/// One write that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
-    /// When, on the server's clock.
+    /// Time on the server's clock.
     pub at: Time,
-    /// The key.
+    /// Key that was written.
     pub key: String,
-    /// The caller's name for the request.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<String>,
-    /// Fence under which it ran.
+    /// Fence that the request carried.
     pub fence: Fence,
 }
 
-/// One run of a keyed server.
+/// One process lifetime of a keyed server.
 #[derive(Clone, Debug)]
 pub struct KeyedServer {
     table: GrantTable,
     counts: BTreeMap<String, u64>,
-    /// Effects in the order in which they took place.
+    /// Effects in the order of their occurrence.
     pub effects: Vec<Effect>,
     slots: u32,
     running: u32,
-    /// Whether it refuses all requests as over its limit.
+    /// Whether it rejects all requests as overload.
     pub sheds: bool,
 }
 
-/// A request between admission and effect.
+/// A request that was admitted and has not taken effect yet.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     ticket: Ticket,
@@ -55,7 +55,7 @@
 }
 
 impl KeyedServer {
-    /// A run with nothing granted.
+    /// Creates a server without grants.
     pub fn new(incarnation: Incarnation, slots: u32) -> Self {
         Self {
             table: GrantTable::new(incarnation),
@@ -67,25 +67,25 @@
         }
     }
 
-    /// What is granted.
+    /// Returns the table of grants.
     pub fn table(&self) -> &GrantTable {
         &self.table
     }
 
-    /// The same, to switch its checks.
+    /// Returns the table of grants for changing which checks it makes.
     pub fn table_mut(&mut self) -> &mut GrantTable {
         &mut self.table
     }
 
-    /// Takes a grant.
+    /// Handles a grant.
     pub fn on_grant(&mut self, now: Time, request: &GrantRequest) -> GrantReply {
         self.table.handle(now, request)
     }
 
-    /// Admits a request to a slot.
+    /// Admits a request and occupies a slot.
     ///
     /// # Errors
-    /// [`ServerRefusal`]; the request did not run.
+    /// [`ServerRefusal`] if the request was rejected; it did not run.
     pub fn begin(&mut self, now: Time, key: &str, fence: Fence) -> Result<Admitted, ServerRefusal> {
         if self.sheds || self.running >= self.slots {
             return Err(ServerRefusal::Shed);
@@ -102,11 +102,11 @@
         })
     }
 
-    /// Runs an admitted request: `writes` adds to the key's count, otherwise
-    /// the count is read. The grant is checked at this instant.
+    /// Executes an admitted request: adds one to the key's count if `writes` is set, and only
+    /// reads the count otherwise. The grant is checked at this moment.
     ///
     /// # Errors
-    /// [`ServerRefusal::NotOwner`] when the grant lapsed; nothing took effect.
+    /// [`ServerRefusal::NotOwner`] if the grant has expired; nothing took effect.
     pub fn commit(
         &mut self,
         now: Time,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what surrounds beamtray: the platform's key-value service and
+//! Test doubles for beamtray's environment: the platform's key-value service and
 //! machine list, keyed servers that accept fenced grants, and back ends.
 //!
-//! Each is a pure model with switches to make it fail; [`service`] puts the
-//! models behind HTTP for real processes, and the simulator uses them as they
-//! are.
+//! Each is a pure model with fault-injection switches. [`service`] serves the
+//! models over HTTP for real processes; the simulator calls them
+//! directly.
 
 mod backend;
 mod key_value;
--- a/crates/standin/src/machines.rs
+++ b/crates/standin/src/machines.rs
@@ -1,11 +1,11 @@
-//! The platform's list of machines, which lags behind reality.
+//! A model of the platform's machine list, which shows changes with a delay.
 
 use beamtray_keyvalue::{Machine, MachineState};
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Machines and what the list says of them.
+/// Machines and the state that the list shows for each.
 #[derive(Clone, Debug, Default)]
 pub struct MachineList {
     lag: Duration,
@@ -13,7 +13,7 @@
 }
 
 impl MachineList {
-    /// An empty list that shows changes `lag` late.
+    /// Creates an empty list that shows each change after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Records what became of a machine.
+    /// Records a state change of a machine.
     pub fn set(&mut self, now: Time, name: &str, state: MachineState) {
         let changes = self.changes.entry(name.to_owned()).or_default();
         changes.push((now + self.lag, state));
     }
 
-    /// What the list shows at `now`.
+    /// Returns the list as shown at `now`.
     pub fn list(&self, now: Time) -> Vec<Machine> {
         let machines = self.changes.iter();
         machines
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,6 +1,7 @@
-//! The models behind HTTP, for real processes.
+//! Serves the models over HTTP for real processes.
 //!
-//! Every stand-in also takes `POST /control` with a query of its switches, for
+//! Every stand-in except the machine list also accepts `POST /control` with its fault
+//! switches in the query, for
 //! example `freeze_millis=2000`, `slow_millis=50`, `sheds=1`, `down=1`.
 
 use crate::backend::{Backend, BackendConfig};
@@ -25,7 +26,7 @@
 const MAX_CONNECTIONS: usize = 4_096;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A monotonic clock for the models.
+/// Monotonic time since the start of the stand-in.
 #[derive(Clone, Copy, Debug)]
 struct MonotonicClock {
     start: Instant,
@@ -43,10 +44,10 @@
     }
 }
 
-/// Switches shared by all stand-ins.
+/// Fault switches that all controllable stand-ins share.
 #[derive(Debug, Default)]
 struct Switches {
-    /// Everything waits until then, in microseconds of the stand-in's clock.
+    /// Requests wait until this time, in microseconds of the stand-in's clock.
     frozen_until: AtomicU64,
     slow_millis: AtomicU64,
 }
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Waits as long as the stand-in is frozen or slow.
+    /// Sleeps for the injected latency and for the rest of a freeze.
     fn delay(&self, clock: &MonotonicClock) {
         thread::sleep(Duration::from_millis(
             self.slow_millis.load(Ordering::SeqCst),
@@ -97,7 +98,7 @@
         body_timeout: HEAD_TIMEOUT,
     };
     WorkerServer::start(config, workers, move |request, responder: Responder| {
-        // Dropping the responder without an answer stands for a lost reply.
+        // A handler that returns nothing simulates a lost reply, which is sent as status 500.
         let response = handler(request).unwrap_or_else(|| HttpResponse::text(500, "lost\n"));
         responder.respond(response);
     })
@@ -163,7 +164,7 @@
     })
 }
 
-/// Waits until the key's version differs from `after`, at most `wait_millis`.
+/// Blocks until the key's version differs from the parameter `after`, for at most `wait_millis`.
 fn watch(store: &Mutex<KeyValueStore>, clock: &MonotonicClock, request: &HttpRequest, key: &str) {
     let Some(after) = numeric_parameter(request, "after") else {
         return;
@@ -229,7 +230,7 @@
     })
 }
 
-/// Serves a keyed server. Requests are `/SERVICE/KEY/...`; every method but
+/// Serves a keyed server. Request paths have the form `/SERVICE/KEY/...`; every method except
 /// GET adds one to the key's count.
 ///
 /// # Errors
@@ -243,7 +244,7 @@
     let clock = MonotonicClock::start();
     let server = Arc::new(Mutex::new(KeyedServer::new(new_incarnation(), slots)));
     let switches = Switches::default();
-    // Grants must not wait behind requests that hold every worker.
+    // The extra workers keep grants from waiting behind requests that occupy every slot.
     let workers = slots as usize + WORKERS;
     start(address, workers, move |request| {
         match request.path.as_str() {
@@ -292,7 +293,7 @@
     }
     let writes = request.method != "GET";
     let name = request.header("idempotency-key").map(str::to_owned);
-    // The clock is read, the grant checked and the effect made under one lock.
+    // One lock covers reading the clock, checking the grant and applying the effect.
     let mut server = lock(server);
     match server.commit(clock.now(), admitted, writes, name) {
         Ok(count) if writes => {
@@ -313,7 +314,7 @@
     }
 }
 
-/// One line an effect: key and the caller's name for the request.
+/// Lists one effect per line: the key and the idempotency key, or `-` without one.
 fn effects_response(server: &KeyedServer) -> HttpResponse {
     let lines: String = server
         .effects
