--- a/crates/grantsearch/src/check.rs
+++ b/crates/grantsearch/src/check.rs
@@ -1,17 +1,18 @@
-//! What must hold in every history.
+//! The invariants that must hold in every history.
 //!
-//! The rule of sole ownership has three sentences:
+//! Sole ownership consists of three invariants:
 //!
-//! 1. Two upstreams never both hold a key and both begin requests on it meanwhile.
-//! 2. The token under which an upstream takes a key lies above all those under which other
+//! 1. No two upstreams hold the same key and both start requests for it during that time.
+//! 2. The token under which an upstream accepts a key is higher than all tokens under which other
 //!    upstreams had it.
-//! 3. Two upstreams never hold a key for more than half a second, with requests or without.
+//! 3. No two upstreams hold the same key for more than half a second, with or without requests.
 //!
-//! Left out, as the rule says: of the first two, grants that arrive within [`RECOVERY_WINDOW`] after
-//! their sender was continued or a path healed; of the third also those that were held up on
-//! their way or taken late. Here every holder begins requests all the time, as routers with
-//! an old view would send them, so that any time in which two hold a key breaks the first
-//! sentence. Work that is still under way when keys are given on is not in this world.
+//! The rule excludes some grants: from the first two invariants, those that arrive within
+//! [`RECOVERY_WINDOW`] after
+//! their sender resumed or a path recovered; from the third also those that were delayed in the
+//! network or executed late. In this model every holder starts requests all the time, as it would
+//! for routers with a stale view, so any overlap of two holders violates the first
+//! invariant. Requests that are still running when keys are handed over are not modelled.
 
 use crate::scope::Scope;
 use crate::upstream::Upstream;
@@ -21,31 +22,31 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Grants that arrive so soon after a path healed or their sender was continued are left
-/// out by the rule.
+/// Grants that arrive within this time after a path recovered or their sender resumed are
+/// excluded by the rule.
 pub const RECOVERY_WINDOW: Duration = Duration::from_millis(300);
-/// How long two may hold a key without requests.
+/// How long two upstreams may hold the same key without requests.
 pub const MAX_OVERLAP: Duration = Duration::from_millis(500);
 
-/// A sentence that must hold.
+/// An invariant of key ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// Two upstreams hold a key and both begin requests on it.
+    /// No two upstreams hold the same key and both start requests for it.
     SoleOwner,
-    /// A token is not above those under which others had the key.
+    /// A token is higher than all tokens under which other upstreams held the key.
     RisingTokens,
-    /// Two upstreams hold a key for more than half a second.
+    /// No two upstreams hold the same key for more than half a second.
     ShortOverlap,
-    /// A key has no owner for too long though an upstream is there.
+    /// A key has an owner again in time if an upstream is available.
     OwnedAgain,
 }
 
-/// A sentence that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// What happened.
+    /// Description of the violation.
     pub text: String,
 }
 
@@ -55,23 +56,23 @@
     }
 }
 
-/// Who took a range.
+/// A holder of a range, as tokens are compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HolderKey {
     range: usize,
     name: UpstreamName,
-    /// Always 0 where lives under one id are not told apart.
+    /// Always 0 if restarts under the same id are not distinguished.
     incarnation: u32,
 }
 
-/// Follows who took which range under which token.
+/// Tracks which upstream accepted which range under which token.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InvariantChecker {
-    /// The highest token under which an upstream had a range, by its number.
+    /// Highest token under which each upstream held a range.
     highest_tokens: BTreeMap<HolderKey, u64>,
-    /// Since when two hold a range.
+    /// Start of the current overlap of holders, by range index.
     overlap_since: BTreeMap<usize, Time>,
-    /// Looks at this promise alone, if at one.
+    /// If set, the only invariant that is checked.
     only: Option<Invariant>,
     distinguish_restarts: bool,
     pub violation: Option<Violation>,
@@ -93,7 +94,7 @@
         self.violation.get_or_insert(Violation { invariant, text });
     }
 
-    /// An upstream took a range under a token, by a grant that counts.
+    /// Records that an upstream accepted a range under a token, by a grant that is not excluded.
     pub fn grant_accepted(
         &mut self,
         now: Time,
@@ -136,7 +137,7 @@
         *highest = token.max(*highest);
     }
 
-    /// Time has passed.
+    /// Checks for overlaps that last too long.
     pub fn tick(&mut self, now: Time, ranges: usize, all: &[Upstream]) {
         for range in 0..ranges {
             let held = holders(all, range, |held| held.prompt_expiry, now).count();
@@ -153,7 +154,7 @@
     }
 }
 
-/// Who holds a range at `now`, by one of the ends of a hold.
+/// Returns the holders of a range at `now`, judged by the expiry that `end` selects.
 fn holders(
     all: &[Upstream],
     range: usize,
--- a/crates/grantsearch/src/lib.rs
+++ b/crates/grantsearch/src/lib.rs
@@ -1,54 +1,54 @@
-//! The protocol of grants, searched through.
+//! An exhaustive state-space search of the grant protocol.
 //!
-//! Random histories visit what is likely. This crate visits *every* history of a small
-//! world, shortest first: one or two key ranges, two or three upstreams, the product's own
-//! [`beamtray_sharding::Granter`], its successors, and a standby where asked for.
+//! Random simulation covers likely histories. This crate explores *every* history of a small
+//! model, shortest first: one or two key ranges, two or three upstreams, the production
+//! [`beamtray_sharding::Granter`], its successors, and optionally a standby.
 //!
-//! # The protocol in short
+//! # The protocol
 //!
 //! 1. The granter writes a durable record that names the holder of each range. Only then
 //!    does it send that holder a *grant*: the keys, a fencing token, how long to hold them.
-//! 2. A grant is renewed long before it runs out. The holder counts from the arrival of the
+//! 2. A grant is renewed long before it expires. The holder counts from the arrival of the
 //!    order, by a clock that may run slow.
-//! 3. To move keys the granter sends a *release* under a higher token, and waits for its
-//!    answer. After it the old holder takes no older grant.
-//! 4. A holder that answers nothing can't be released. Its keys go on when every grant
-//!    that it may have taken, or may still take, has run out.
-//! 5. Such a holder is sent releases under fresh tokens until it answers one: only then it
-//!    is sure to take no older grant, since the time of a grant counts from its arrival.
-//! 6. A granter that is lost is succeeded by one that knows its record, and nothing else of
-//!    it: not which orders it had under way.
+//! 3. To move keys, the granter sends a *release* under a higher token and waits for the
+//!    reply. After that the old holder rejects older grants.
+//! 4. A holder that does not reply cannot be released. Its keys are reassigned when every grant
+//!    that it may have accepted, or may still accept, has expired.
+//! 5. Such a holder is sent releases under new tokens until it replies to one. Only then is it
+//!    certain to reject older grants, because the duration of a grant counts from its arrival.
+//! 6. The successor of a failed granter knows its durable record and nothing else,
+//!    in particular not its orders in flight.
 //!
-//! # What it rests on
+//! # Transport assumptions
 //!
-//! *After some time no copy of an order can take effect.* [`Transport`] says when, and the
-//! tests show what the protocol needs of it:
+//! *After a bounded time no copy of an order can take effect.* [`Transport`] sets the bound, and
+//! the tests show what the protocol requires of it:
 //!
-//! - After an order was given up on, its copies arrive within `transit` at the latest: the
-//!   connection is reset, so that nothing is left to be sent. Point 4 counts that.
-//! - Those of a lost granter arrive within `transit` of its successor's start. The successor
-//!   waits that long and a whole hold, for each holder may have taken one then. The end of
-//!   the process must reset its connections too.
-//! - A granter that stands still closes nothing, so for its orders there is no such bound.
-//!   Point 5 bounds what they can do: once the path heals, the holder hears of its loss
-//!   before the rule counts the old grant. That holds against one such fault. Another one
-//!   at that very moment (the release held up, the successor standing still too) breaks it.
+//! - After an order times out, its copies arrive within `transit`: the
+//!   connection is reset, so no data is left to be sent. Point 4 includes this time.
+//! - Copies from a failed granter arrive within `transit` of its successor's start. The successor
+//!   waits for that time plus a whole hold, because each holder may have accepted one then. The
+//!   exit of the process must reset its connections too.
+//! - A paused granter closes no connections, so there is no such bound for its orders.
+//!   Point 5 limits their effect: once the path recovers, the holder learns that it lost the keys
+//!   before the old grant counts as a violation. This covers one such fault. A second one
+//!   at the same moment (the release delayed, the successor paused too) breaks it.
 //!
-//! - An upstream may carry out an order seconds after it came and leave it unanswered. No
-//!   reset takes that back, and who is cut off can't be told. Only a wait that outlasts it
-//!   keeps the rule then.
+//! - An upstream may execute an order seconds after it arrived and send no reply. No
+//!   reset undoes that, and a partitioned upstream cannot be told. Only a wait longer than the
+//!   execution delay preserves sole ownership then.
 //!
-//! Point 5 without the reset has the same weakness for every order.
+//! Without the reset, point 5 has the same weakness for every order.
 //!
 //! # The search
 //!
-//! [`World`] is a state; [`World::steps`] lists what may happen next, and [`World::apply`]
-//! does it. Between steps the world runs by itself in ticks, up to the next moment at which
-//! a fault could make a difference. A state that was reached before is not searched again.
-//! [`Scope`] bounds how many faults of each kind a history has. Within that, within the depth
-//! and at these moments nothing is left out; [`Scope::max_time_step`] brings the moments
-//! closer together. Without faults orders arrive and records are durable at once.
-//! [`check`] has what must hold.
+//! [`World`] is a state, [`World::steps`] lists the possible next steps, and [`World::apply`]
+//! performs one. Between steps the model advances in ticks to the next moment at which
+//! a fault could make a difference. A state that was visited before is not expanded again.
+//! [`Scope`] bounds the number of faults of each kind in a history. Within these bounds, the depth
+//! limit and these moments the search is exhaustive; a smaller [`Scope::max_time_step`] brings the
+//! moments closer together. Without faults, orders arrive and records become durable immediately.
+//! [`check`] defines the invariants.
 
 pub mod check;
 mod scope;
--- a/crates/grantsearch/src/main.rs
+++ b/crates/grantsearch/src/main.rs
@@ -1,4 +1,4 @@
-//! `beamtray-grantsearch`: searches one scope and prints how it ended.
+//! `beamtray-grantsearch`: searches one scope and prints the result.
 
 use beamtray_grantsearch::{Faults, Limits, Scope, Transport, search};
 use eyre::{Result, eyre};
--- a/crates/grantsearch/src/scope.rs
+++ b/crates/grantsearch/src/scope.rs
@@ -1,82 +1,83 @@
-//! How large the world is, and which faults a history may have.
+//! Size of the model, and the faults that a history may contain.
 
 use crate::check::Invariant;
 use crate::transport::Transport;
 use beamtray_sharding::{GranterGuards, GranterTiming};
 use std::time::Duration;
 
-/// How finely time passes: what a granter decides is up to this much late, which delays
-/// its decisions and never brings them forward.
+/// Time resolution of the model. A granter acts up to one tick late, which delays
+/// its decisions but never makes them early.
 pub const TICK: Duration = Duration::from_millis(50);
 
-/// Longest time that passes in one step, where a scope names no other: a whole hold.
+/// Default maximum time step: the length of a hold.
 const DEFAULT_MAX_TIME_STEP: Duration = Duration::from_millis(3_000);
 
-/// Most faults of each kind in one history.
+/// Maximum number of faults of each kind in one history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Times that an upstream is cut off from the granter, whoever that is.
+    /// Network partitions between an upstream and the current granter.
     pub cuts: u8,
-    /// Orders that are held up on their way, or arrive twice, or lose their answer, without
-    /// a cut.
+    /// Orders that are delayed in the network, are duplicated or lose their reply, without
+    /// a partition.
     pub delayed_messages: u8,
-    /// Orders that an upstream leaves unanswered and carries out later, whatever becomes of
-    /// the path and of the sender.
+    /// Orders that an upstream leaves unanswered and executes later, regardless of the state of
+    /// the path and the sender.
     pub deferred_orders: u8,
-    /// Times that an upstream's process stands still, for any time, while its machine takes
-    /// orders for it.
+    /// Pauses of an upstream's process, of any length, while the kernel of its machine still
+    /// receives orders.
     pub upstream_pauses: u8,
-    /// Upstreams that start again under their id.
+    /// Upstream restarts under the same id.
     pub restarts_same_id: u8,
-    /// Upstreams that start again under another id.
+    /// Upstream restarts under a new id.
     pub restarts_new_id: u8,
-    /// Upstreams that are to be emptied: they are asked for their keys at once.
+    /// Upstreams that start draining: they are asked to release their keys immediately.
     pub drains: u8,
-    /// Granters that end and are succeeded at once.
+    /// Granter exits that are followed immediately by a successor.
     pub granter_exits: u8,
-    /// Granters that stand still.
+    /// Pauses of a granter's process.
     pub granter_pauses: u8,
-    /// Times that the store takes no records.
+    /// Outages of the store, during which it accepts no records.
     pub store_outages: u8,
 }
 
-/// One world to search.
+/// Configuration of one search.
 #[derive(Clone, Copy, Debug)]
 pub struct Scope {
-    /// Two or three; they are called a1, b1, c1, and a2 after a restart under another id.
+    /// Number of upstreams, two or three. Their ids are a1, b1, c1; after a restart under a new
+    /// id a1 becomes a2.
     pub upstreams: usize,
-    /// One or two; each is held by an upstream at first.
+    /// Number of key ranges, one or two. Each has a holder at the start.
     pub ranges: usize,
-    /// Whether a node is a standby. A cut then separates the granter from an upstream and
-    /// from the standby, which still reaches the upstream.
+    /// Whether there is a standby node. A partition then separates the granter from an upstream and
+    /// from the standby, while the standby still reaches the upstream.
     pub standby: bool,
-    /// How long a copy of an order may live.
+    /// Bounds on the lifetime of order copies.
     pub transport: Transport,
     /// Timing and guards of all granters.
     pub timing: GranterTiming,
-    /// Whether a grant is only written to a process that has just answered.
+    /// Whether a grant is sent only to a process that has just answered a probe.
     pub probe_before_grant: bool,
-    /// What may happen.
+    /// Faults that may occur.
     pub faults: Faults,
-    /// Longest time that passes in one step if nothing happens. A fault begins or ends
-    /// between steps, so a shorter time finds what hangs on its moment, at the price of more
-    /// steps.
+    /// Longest time that one step may advance if no event occurs. Faults begin and end only
+    /// between steps, so a shorter time finds violations that depend on exact timing, at the cost
+    /// of more steps.
     pub max_time_step: Duration,
-    /// Look only at this promise, to see that each is checked by itself.
+    /// Check only this invariant. Used to test that each one is checked on its own.
     pub only_invariant: Option<Invariant>,
-    /// Count also grants that the rule excludes since a path healed or their sender was
-    /// continued just before.
+    /// Also count grants that the ownership rule excludes because a path recovered or their sender
+    /// resumed just before.
     pub count_excluded: bool,
-    /// Take an upstream that was started again under its id for another one: it needs a
-    /// higher token than it had before.
+    /// Treat an upstream that restarted under the same id as a different holder, which needs a
+    /// higher token than its previous incarnation had.
     pub distinguish_restarts: bool,
-    /// Within which time keys must have an owner, if that is to be checked: in each state
-    /// all faults but cuts end, and an upstream that is not cut off is to have them.
+    /// Time within which keys must have an owner again, if that is checked. From each state,
+    /// all faults except partitions end, and a reachable upstream must then own the keys.
     pub owned_within: Option<Duration>,
 }
 
 impl Scope {
-    /// Two upstreams, one range, the product's timing, no faults.
+    /// Two upstreams, one range, the production timing, no faults.
     pub fn new(transport: Transport) -> Self {
         Self {
             upstreams: 2,
@@ -94,13 +95,13 @@
         }
     }
 
-    /// The same with other faults.
+    /// Replaces the faults.
     pub fn with(self, faults: Faults) -> Self {
         Self { faults, ..self }
     }
 }
 
-/// The product's timing, with one pace for any number of ranges.
+/// The production timing, with the same renewal interval for any number of ranges.
 fn timing() -> GranterTiming {
     GranterTiming {
         hold: Duration::from_millis(3_000),
--- a/crates/grantsearch/src/search.rs
+++ b/crates/grantsearch/src/search.rs
@@ -1,4 +1,4 @@
-//! Breadth first: the counter-case that is found is one of the shortest.
+//! Breadth-first search, so that a counterexample is of minimal length.
 
 use crate::check::Violation;
 use crate::scope::Scope;
@@ -6,23 +6,23 @@
 use std::collections::HashSet;
 use std::fmt;
 
-/// How far a search goes.
+/// Limits of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most steps of a history.
+    /// Maximum number of steps in a history.
     pub depth: usize,
-    /// Most states: a few kilobytes of memory for each that is not searched yet.
+    /// Maximum number of states. Each unexpanded state takes a few kilobytes of memory.
     pub states: usize,
 }
 
-/// A history that breaks a promise.
+/// A history that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// What does not hold.
+    /// The violation.
     pub violation: Violation,
-    /// How it came to that.
+    /// Steps that lead to the violation.
     pub steps: Vec<Step>,
-    /// The same for a reader.
+    /// Human-readable trace of the steps.
     pub trace: Vec<TraceEntry>,
 }
 
@@ -41,39 +41,39 @@
     }
 }
 
-/// How a search ended.
+/// Outcome of a search.
 #[derive(Clone, Debug)]
 pub enum Outcome {
     /// All histories within the scope were searched, of any length.
     Exhausted,
-    /// All histories of that many steps were searched; there are longer ones.
+    /// All histories up to the depth limit were searched; longer ones exist.
     DepthReached,
-    /// There were too many states; the depth given is the last one searched whole.
+    /// The limit on states was reached; the reported depth is the last one searched completely.
     TooManyStates,
-    /// A promise is broken.
+    /// An invariant is violated.
     Found(Box<Counterexample>),
 }
 
-/// A search that has ended.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// How.
+    /// How the search ended.
     pub outcome: Outcome,
-    /// Steps of the longest histories of which all were searched.
+    /// Largest number of steps for which all histories were searched.
     pub depth: usize,
-    /// States that were visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps that were taken from them.
+    /// Number of steps applied.
     pub steps: usize,
 }
 
 impl Search {
-    /// Whether there are no longer histories than were searched.
+    /// Whether the whole state space of the scope was searched.
     pub fn is_exhausted(&self) -> bool {
         matches!(self.outcome, Outcome::Exhausted)
     }
 
-    /// The counter-case, if there is one.
+    /// Returns the counterexample, if one was found.
     pub fn found(&self) -> Option<&Counterexample> {
         match &self.outcome {
             Outcome::Found(case) => Some(case),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A state's place in the tree of histories.
+/// The edge that leads to a state in the search tree.
 #[derive(Clone, Copy, Debug)]
 struct SearchNode {
     parent: usize,
@@ -108,10 +108,10 @@
 /// Searches all histories of the scope.
 pub fn search(scope: &Scope, limits: Limits) -> Search {
     let start = World::new(scope);
-    // States are told apart by a hash of 64 bits: among ten million, the chance that two
-    // of them share one is 3 in a million.
+    // States are identified by a 64-bit hash: among ten million states, the probability that
+    // any two collide is 3 in a million.
     let mut visited = HashSet::from([start.fingerprint()]);
-    // The start has no origin; a parent of 0 is the start, others count from 1.
+    // The initial state has no node. Parent 0 denotes it; other parents are indices plus one.
     let mut nodes: Vec<SearchNode> = Vec::new();
     let mut frontier = vec![(start, 0)];
     let mut steps = 0;
@@ -153,7 +153,7 @@
     result(Outcome::DepthReached, limits.depth, visited.len(), steps)
 }
 
-/// Plays the history again and writes down what happens.
+/// Replays the history with tracing enabled.
 fn counterexample(
     scope: &Scope,
     nodes: &[SearchNode],
--- a/crates/grantsearch/src/standby.rs
+++ b/crates/grantsearch/src/standby.rs
@@ -1,7 +1,8 @@
-//! A node that prolongs recorded holds while it hears no granter.
+//! A standby node that renews recorded grants while it does not hear from the granter.
 //!
-//! A small copy of the product's duty: it acts by the newest record that it heard of, gives
-//! the same holder the same token, and stops when the granter's last word has run out. The
+//! A reduced model of the production standby. It acts on the newest record that it knows, renews
+//! grants for the same holder under the same token, and stops when the granter's last
+//! authorization expires. The
 //! store does not answer it, so it never declines.
 
 use beamtray_sharding::{
@@ -13,10 +14,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// How long the granter must have been silent.
+/// How long the granter must have been silent before the standby acts.
 const GRANTER_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// The standby's name in records.
+/// The id of the standby in records.
 pub(crate) fn standby_id() -> StandbyId {
     StandbyId {
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_000)),
@@ -24,7 +25,7 @@
     }
 }
 
-/// The standby.
+/// State of the standby.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Standby {
     authorized_until: Time,
@@ -35,7 +36,7 @@
 }
 
 impl Standby {
-    /// Granter and standby hear each other: records, words, reports.
+    /// Exchanges records, status reports and authorizations with the granter.
     pub fn exchange(&mut self, now: Time, granter: &mut Granter, record: &AssignmentRecord) {
         let known = self.known_record.as_ref().map(AssignmentRecord::number);
         if known < Some(record.number()) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Orders that are due.
+    /// Returns the renewals that are due.
     pub fn poll(&mut self, now: Time, hold: Duration, renewal: Duration) -> Vec<GrantOrder> {
         let silence = self.authorized_at.map(|at| now.since(at));
         let is_acting = now < self.authorized_until && silence >= Some(GRANTER_SILENCE);
--- a/crates/grantsearch/src/transport.rs
+++ b/crates/grantsearch/src/transport.rs
@@ -1,25 +1,25 @@
-//! Orders on their way, and how long a copy of one may live.
+//! Orders in flight, and how long copies of them may live.
 
 use beamtray_sharding::GrantOrder;
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// How long a copy of an order that got no answer may still take effect.
+/// How long a copy of an unanswered order may still take effect.
 ///
-/// While the sender waits for the answer, or stands still, a copy may arrive at any time.
+/// While the sender waits for the reply, or is paused, a copy may arrive at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transport {
-    /// After the sender gave the call up. None: no bound.
+    /// Bound after the sender's call times out. `None`: unbounded.
     pub after_timeout: Option<Duration>,
-    /// After the sender's process ended. None: no bound.
+    /// Bound after the sender's process exits. `None`: unbounded.
     pub after_process_exit: Option<Duration>,
-    /// Whether a copy that was written to an upstream reaches the next process at its
-    /// address. A connection doesn't: its segments are answered with a reset.
+    /// Whether a copy that was sent to an upstream reaches the next process at the same
+    /// address. A TCP connection does not: its segments are answered with a reset.
     pub reaches_next_process: bool,
 }
 
 impl Transport {
-    /// The connection is closed in the ordinary way: the kernel goes on sending what was
+    /// The connection is closed without a reset: the kernel keeps retransmitting what was
     /// written, so a copy may arrive at any later time.
     pub const PLAIN_CLOSE: Transport = Transport {
         after_timeout: None,
@@ -27,8 +27,8 @@
         reaches_next_process: true,
     };
 
-    /// The connection is reset, also by the end of the process: nothing is sent any more,
-    /// and what is on the wire arrives within `transit`.
+    /// The connection is reset, also when the process exits: nothing more is sent,
+    /// and segments in flight arrive within `transit`.
     pub fn reset(transit: Duration) -> Transport {
         Transport {
             after_timeout: Some(transit),
@@ -38,16 +38,16 @@
     }
 }
 
-/// The process that wrote an order.
+/// Term of the granter process that sent an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Term(pub u64);
 
-/// A copy of an order that has not arrived.
+/// A copy of an order that has not been executed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct DelayedCopy {
     pub order: GrantOrder,
     pub sender: Term,
-    /// The last moment at which it may arrive; none while that is not bounded.
+    /// Latest time at which it may arrive; `None` while unbounded.
     pub until: Option<Time>,
     pub location: CopyLocation,
 }
@@ -55,26 +55,26 @@
 /// Where a copy is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyLocation {
-    /// On its way: what becomes of path and sender concerns it.
+    /// In the network, where it is affected by the state of the path and the sender.
     Path,
-    /// At the upstream, which has not carried it out yet.
+    /// Read by the upstream, which has not executed it yet.
     Upstream,
-    /// In the buffers of an upstream that stands still: it carries it out as it goes on.
+    /// In the receive buffer of a paused upstream, which executes it when it resumes.
     ReceiveBuffer,
 }
 
-/// How a call ends if no answer comes.
+/// How a call ends if no reply arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailure {
-    /// No connection came up: the order was not sent.
+    /// The connection was not established, so the order was not sent.
     Undelivered,
-    /// It was sent, and never acknowledged.
+    /// The order was sent and not acknowledged.
     Unanswered,
-    /// It came to the upstream's machine, which acknowledged it.
+    /// The order reached the upstream's machine, which acknowledged it.
     InDoubt,
 }
 
-/// An order whose answer the granter waits for.
+/// An order whose reply the granter is waiting for.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub order: GrantOrder,
--- a/crates/grantsearch/src/upstream.rs
+++ b/crates/grantsearch/src/upstream.rs
@@ -1,55 +1,55 @@
-//! An upstream: which ranges it holds, under which token, until when.
+//! A model of an upstream: which ranges it holds, under which token, until when.
 //!
-//! It behaves as `beamtray_emulator::UpstreamEmulator` does with orders, which a test
-//! compares; it keeps one token for a range in place of one for each key, so that a state is
+//! It handles orders like `beamtray_emulator::UpstreamEmulator`, which a test
+//! verifies. It keeps one token per range instead of one per key to keep states
 //! small.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::{GrantOrder, GrantReply, KeyRange, OrderKind};
 use beamtray_types::Time;
 
-/// An upstream's clock for holds may run that much slow, in percent. It always does here:
-/// that is the worst case.
+/// How much slower than real time an upstream's clock runs, in percent. The model always uses
+/// the worst case.
 const SLOW_PERCENT: u32 = 2;
 
-/// How an order reaches an upstream.
+/// How an order arrives at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// It was held up on its way, or comes again.
+    /// It was delayed or is a duplicate.
     pub is_late: bool,
-    /// It comes so soon after a path healed or its sender was continued that the rule
-    /// leaves it out.
+    /// It arrives so soon after a path recovered or its sender resumed that the ownership rule
+    /// excludes it.
     pub is_excluded: bool,
 }
 
-/// One range at one upstream.
+/// State of one range at one upstream.
 #[derive(Clone, Debug)]
 pub struct Holding {
-    /// The keys.
+    /// Keys of the range.
     pub range: KeyRange,
-    /// The highest token seen.
+    /// Highest token seen. Grants with lower tokens are rejected.
     pub min_token: u64,
-    /// When the hold runs out.
+    /// When the hold expires.
     pub expiry: Time,
-    /// The same, without grants that the rule excludes.
+    /// Expiry without grants that the rule excludes.
     pub counted_expiry: Time,
-    /// The same, without grants that came late either.
+    /// Expiry without excluded and late grants.
     pub prompt_expiry: Time,
 }
 
-/// An upstream.
+/// State of an upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What it is known by.
+    /// Its id.
     pub id: UpstreamId,
-    /// Counts restarts under one id.
+    /// Counts restarts.
     pub incarnation: u32,
-    /// Its ranges.
+    /// State of each range.
     pub holdings: Vec<Holding>,
 }
 
 impl Upstream {
-    /// An upstream that holds nothing and has seen no token.
+    /// Creates an upstream that holds nothing and has seen no token.
     pub fn new(id: UpstreamId, incarnation: u32, ranges: &[KeyRange]) -> Self {
         let holdings = ranges.iter().map(|range| Holding {
             range: *range,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Takes an order. An order covers whole ranges; no work is under way, so that a
-    /// release is answered at once.
+    /// Handles an order. An order covers whole ranges. No requests are running, so a
+    /// release is answered immediately.
     pub fn order(&mut self, now: Time, order: &GrantOrder, arrival: Arrival) -> GrantReply {
         if order.holder.name != self.id.name {
             return GrantReply::Replaced;
@@ -99,7 +99,7 @@
 }
 
 impl Holding {
-    /// A shorter grant does not end a longer one that stands.
+    /// Accepts a grant. A grant never shortens the current hold.
     fn accept_grant(&mut self, token: u64, expiry: Time, arrival: Arrival) {
         self.min_token = token;
         self.expiry = self.expiry.max(expiry);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// No release is ever refused, also one that comes late.
+    /// Releases the range. A release is never rejected, even one that arrives late.
     fn release(&mut self, token: u64) {
         self.min_token = self.min_token.max(token);
         self.expiry = Time::ZERO;
--- a/crates/grantsearch/src/world.rs
+++ b/crates/grantsearch/src/world.rs
@@ -1,4 +1,4 @@
-//! A state of the small world.
+//! A state of the model.
 
 mod faults;
 mod orders;
@@ -18,53 +18,53 @@
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hasher};
 
-/// What may happen next.
+/// A possible next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes up to the next moment at which a fault could make a difference.
+    /// Time advances to the next moment at which a fault could make a difference.
     AdvanceTime,
-    /// The order that was just written arrives, and its answer too.
+    /// The order that was just sent arrives, and so does its reply.
     Deliver,
-    /// It is held up on its way.
+    /// The order is delayed in the network.
     Delay,
-    /// It arrives, its answer is lost, and it may arrive once more.
+    /// The order arrives, its reply is lost, and a duplicate may arrive later.
     LoseReply,
-    /// The upstream has it, leaves it unanswered and may carry it out later.
+    /// The upstream receives the order, sends no reply and may execute it later.
     DeferExecution,
-    /// A copy that was held up arrives now; copies count in the order of their writing.
+    /// A delayed copy arrives, given by its index in sending order.
     DeliverCopy(usize),
-    /// The path between the granter and an upstream is cut.
+    /// The network between the granter and an upstream is partitioned.
     Cut(usize),
-    /// It heals.
+    /// The partition ends.
     Heal(usize),
-    /// An upstream's process stands still.
+    /// An upstream's process is paused.
     PauseUpstream(usize),
-    /// It goes on, with what is in its buffers.
+    /// A paused upstream resumes and executes the orders in its receive buffer.
     ResumeUpstream(usize),
-    /// An upstream ends and starts again under its id.
+    /// An upstream restarts under the same id.
     RestartSameId(usize),
-    /// An upstream ends and starts again under another id.
+    /// An upstream restarts under a new id.
     RestartNewId(usize),
-    /// An upstream is to lose its keys.
+    /// An upstream starts draining.
     Drain(usize),
-    /// The granter ends, having given up its place.
+    /// The granter exits after giving up its leadership.
     StopGranter,
-    /// The granter stands still; what it wrote goes on.
+    /// The granter is paused; orders that it has sent stay in flight.
     PauseGranter,
-    /// The granter that stands still goes on, succeeded or not.
+    /// A paused granter resumes, whether or not it has a successor.
     ResumeGranter,
-    /// The store takes no records.
+    /// The store stops accepting records.
     StoreFails,
-    /// It takes records again.
+    /// The store accepts records again.
     StoreReturns,
 }
 
-/// What happened, for a reader.
+/// One event of a human-readable trace.
 #[derive(Clone, Debug)]
 pub struct TraceEntry {
-    /// When.
+    /// Time of the event.
     pub at: Time,
-    /// What.
+    /// Description of the event.
     pub text: String,
 }
 
@@ -75,29 +75,29 @@
     }
 }
 
-/// The granter's process.
+/// A granter process.
 #[derive(Clone, Debug)]
 struct Process {
     term: Term,
     granter: Granter,
     calls: Vec<Call>,
-    /// Whether a kept connection to an upstream is there, by its index.
+    /// Whether there is an open connection to each upstream, by index.
     connected: Vec<bool>,
     is_paused: bool,
 }
 
-/// How the granter reaches an upstream.
+/// State of an upstream and of the network path from the granter to it.
 #[derive(Clone, Debug, Default)]
 struct Path {
     is_cut: bool,
-    /// The upstream's process stands still.
+    /// Whether the upstream's process is paused.
     is_paused: bool,
     healed_at: Option<Time>,
     /// When the upstream is up again after a restart.
     restarts_at: Option<Time>,
-    /// The id that it has then.
+    /// Its id after the restart.
     next_id: Option<UpstreamId>,
-    /// The directory says that it is to lose its keys.
+    /// Whether it is registered as draining.
     is_draining: bool,
 }
 
@@ -107,14 +107,14 @@
     }
 }
 
-/// A process that stood still went on.
+/// A process that was paused and has resumed.
 #[derive(Clone, Copy, Debug)]
 struct ResumedProcess {
     term: Term,
     at: Time,
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Debug)]
 pub struct World {
     scope: Scope,
@@ -122,10 +122,10 @@
     now: Time,
     remaining_faults: Faults,
     process: Option<Process>,
-    /// When the next granter is there.
+    /// When the next granter takes over.
     successor_at: Option<Time>,
     terms: u64,
-    /// Stands still and was succeeded.
+    /// A paused granter that has a successor.
     superseded: Option<Process>,
     store_fails: bool,
     /// The newest durable record.
@@ -133,16 +133,16 @@
     upstreams: Vec<Upstream>,
     paths: Vec<Path>,
     copies: Vec<DelayedCopy>,
-    /// Written at this moment; what becomes of them is to be decided.
+    /// Orders sent at this moment whose delivery is still to be chosen.
     pending_orders: VecDeque<GrantOrder>,
     standby: Option<Standby>,
     resumed: Vec<ResumedProcess>,
     checker: InvariantChecker,
-    /// Written down for a reader; no part of the state.
+    /// Trace of events, if enabled; not part of the state.
     trace: Option<Vec<TraceEntry>>,
 }
 
-/// Hashes what is written to it.
+/// Hashes the text written to it.
 struct HashWriter(DefaultHasher);
 
 impl Write for HashWriter {
@@ -153,8 +153,8 @@
 }
 
 impl World {
-    /// Tells states apart. The granter shows all that it has only to be read by people, so
-    /// that is what is hashed.
+    /// Returns a hash that identifies the state. The granter exposes its complete state only through
+    /// its `Debug` output, so that is what is hashed.
     pub fn fingerprint(&self) -> u64 {
         let mut writer = HashWriter(DefaultHasher::new());
         let time = (
@@ -167,7 +167,7 @@
         let stored = (self.store_fails, &self.record);
         let upstreams = (&self.upstreams, &self.paths);
         let orders = (&self.copies, &self.pending_orders);
-        // Writing to a hasher can't fail.
+        // Writing to a hasher cannot fail.
         let _ = write!(
             writer,
             "{:?}",
@@ -184,17 +184,17 @@
         writer.0.finish()
     }
 
-    /// What is broken, if something is.
+    /// Returns the first violation, if there is one.
     pub fn violation(&self) -> Option<&Violation> {
         self.checker.violation.as_ref()
     }
 
-    /// Begins to write down what happens.
+    /// Starts recording a trace.
     pub fn enable_trace(&mut self) {
         self.trace = Some(Vec::new());
     }
 
-    /// What was written down.
+    /// Returns the recorded trace.
     pub fn trace(self) -> Vec<TraceEntry> {
         self.trace.unwrap_or_default()
     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /// What may happen next.
+    /// Returns the possible next steps.
     pub fn steps(&self) -> Vec<Step> {
         if !self.pending_orders.is_empty() {
             return self.delivery_steps();
@@ -219,7 +219,7 @@
         steps
     }
 
-    /// Does a step that [`World::steps`] lists.
+    /// Applies a step that [`World::steps`] returned.
     pub fn apply(&mut self, step: Step) {
         match step {
             Step::AdvanceTime => self.advance_time(),
--- a/crates/grantsearch/src/world/faults.rs
+++ b/crates/grantsearch/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults begin and end.
+//! Start and end of faults.
 
 use super::start::upstream_id;
 use super::{ResumedProcess, Step, World};
@@ -8,14 +8,14 @@
 use beamtray_catalog::{StartTimestamp, UpstreamId};
 use std::time::Duration;
 
-/// How long an upstream that ended takes to be up again.
+/// How long an upstream takes to restart.
 const RESTART_TIME: Duration = Duration::from_millis(500);
-/// What is left of the granter's place, at least, when it falls silent: its time to live
-/// less the time between renewals.
+/// Minimum remaining time of the granter's leadership lease when it falls silent: the lease's time
+/// to live minus the renewal interval.
 const LEASE_REMAINING: Duration = Duration::from_millis(1_500);
 
 impl World {
-    /// Faults that may begin or end now.
+    /// Returns the faults that may start or end now.
     pub(super) fn fault_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (index, path) in self.paths.iter().enumerate() {
@@ -87,7 +87,7 @@
         self.trace_event(|| format!("{id} stands still"));
     }
 
-    /// What lies in its buffers is read at once, in the order in which it came.
+    /// Resumes an upstream, which executes the buffered orders at once in arrival order.
     pub(super) fn resume_upstream(&mut self, index: usize) {
         self.paths[index].is_paused = false;
         let id = self.upstreams[index].id.clone();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What an upstream held and knew is gone at once; it is up again later.
+    /// Restarts an upstream. Its state is lost immediately; it is up again later.
     pub(super) fn restart(&mut self, index: usize, same_id: bool) {
         let old = &self.upstreams[index];
         let incarnation = old.incarnation + 1;
@@ -130,7 +130,7 @@
         self.paths[index].is_draining = false;
     }
 
-    /// An upstream says that it is to be emptied.
+    /// Registers an upstream as draining.
     pub(super) fn drain(&mut self, index: usize) {
         self.remaining_faults.drains -= 1;
         self.paths[index].is_draining = true;
@@ -139,7 +139,7 @@
         self.update_candidates();
     }
 
-    /// The granter's process ends with its connections; the next one is there at once.
+    /// Stops the granter's process and closes its connections. A successor takes over immediately.
     pub(super) fn stop_granter(&mut self) {
         self.remaining_faults.granter_exits -= 1;
         if let Some(process) = self.process.take() {
@@ -150,7 +150,7 @@
         self.successor_at = Some(self.now + TICK);
     }
 
-    /// The granter stands still; its place runs out.
+    /// Pauses the granter; its leadership lease expires unless it resumes in time.
     pub(super) fn pause_granter(&mut self) {
         self.remaining_faults.granter_pauses -= 1;
         if let Some(process) = &mut self.process {
@@ -161,8 +161,8 @@
         self.successor_at = Some(self.now + LEASE_REMAINING);
     }
 
-    /// The one that stood still goes on. If it was succeeded it gives its calls up, for it
-    /// gives no order without looking at its right first; if not, it renews its place.
+    /// Resumes a paused granter. If it has a successor, it abandons its calls, because it verifies
+    /// its leadership before each order; otherwise it renews its lease.
     pub(super) fn resume_granter(&mut self) {
         let at = self.now;
         if let Some(process) = self.process.as_mut().filter(|process| process.is_paused) {
--- a/crates/grantsearch/src/world/orders.rs
+++ b/crates/grantsearch/src/world/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: written, arriving, held up, given up on.
+//! Sending, delivery, delay and timeout of orders.
 
 use super::{Process, Step, World};
 use crate::check::RECOVERY_WINDOW;
@@ -7,21 +7,21 @@
 use beamtray_sharding::{GrantOrder, GrantReply, OrderKind};
 use std::time::Duration;
 
-/// How long a connection that does not come up is waited for.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// How long the answer to a release is waited for.
+/// Timeout for the reply to a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How long after its arrival an upstream may carry an order out, if it did not answer it.
+/// Longest time between the arrival of an unanswered order and its execution by the upstream.
 const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(12);
 
-/// A prompt arrival.
+/// An arrival that is neither late nor excluded.
 const PROMPT: Arrival = Arrival {
     is_late: false,
     is_excluded: false,
 };
 
-/// Orders in the words of a reader.
+/// Describes an order for the trace.
 pub(super) fn describe(order: &GrantOrder) -> String {
     let kind = match &order.kind {
         OrderKind::Grant { .. } => "grant",
@@ -38,13 +38,14 @@
 }
 
 impl World {
-    /// The index of the upstream at whose address an order goes: the first letter tells it.
+    /// Returns the index of the upstream that an order is sent to, given by the first letter of the
+    /// holder's name.
     pub(super) fn index_of(&self, order: &GrantOrder) -> usize {
         let letter = order.holder.name.0.bytes().next().unwrap_or(b'a');
         usize::from(letter - b'a')
     }
 
-    /// The granter has an order to give; whether a fault beside it makes a difference.
+    /// Sends an order. Returns whether a fault at this moment could make a difference.
     pub(super) fn write_order(&mut self, order: GrantOrder) -> bool {
         let index = self.index_of(&order);
         let Some(process) = &mut self.process else {
@@ -53,7 +54,7 @@
         let had_connection = process.connected[index];
         let path = &self.paths[index];
         if path.restarts_at.is_some() {
-            // Nothing listens there.
+            // The upstream is down, so the connection is refused.
             process.connected[index] = false;
             process
                 .granter
@@ -62,7 +63,7 @@
         }
         let is_grant = matches!(order.kind, OrderKind::Grant { .. });
         if self.scope.probe_before_grant && is_grant && (path.is_cut || path.is_paused) {
-            // The question gets no answer, so the grant is not written.
+            // The probe gets no reply, so the grant is not sent.
             let wait = self.scope.timing.order_timeout;
             self.add_call(order, wait, CallFailure::Undelivered);
             return false;
@@ -89,7 +90,7 @@
         self.deliver_promptly(&order)
     }
 
-    /// What may become of the order that was written first.
+    /// Returns the possible deliveries of the oldest pending order.
     pub(super) fn delivery_steps(&self) -> Vec<Step> {
         let mut steps = vec![Step::Deliver];
         if self.remaining_faults.delayed_messages > 0 {
@@ -132,7 +133,7 @@
         self.leave_unanswered(order, CopyLocation::Path);
     }
 
-    /// A copy is left; its sender waits for the answer.
+    /// Keeps a copy of the order and makes its sender wait for the reply.
     fn leave_unanswered(&mut self, order: GrantOrder, location: CopyLocation) {
         let Some(term) = self.process.as_ref().map(|process| process.term) else {
             return;
@@ -165,8 +166,8 @@
         }
     }
 
-    /// An order arrives and is answered; whether that changed more than how long a hold
-    /// lasts.
+    /// Delivers an order and its reply. Returns whether this changed more than the expiry of a
+    /// hold.
     fn deliver_promptly(&mut self, order: &GrantOrder) -> bool {
         let index = self.index_of(order);
         let min_tokens = |world: &World| -> Vec<u64> {
@@ -189,7 +190,7 @@
         happened
     }
 
-    /// The standby orders a holder to hold on; nobody cuts it off.
+    /// Delivers a renewal from the standby, which is never partitioned from upstreams.
     pub(super) fn deliver_standby_order(&mut self, order: &GrantOrder) {
         let index = self.index_of(order);
         if self.paths[index].restarts_at.is_none() {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// An upstream carries an order out.
+    /// Executes an order at its upstream.
     fn execute_order(&mut self, order: &GrantOrder, arrival: Arrival) -> GrantReply {
         let index = self.index_of(order);
         let reply = self.upstreams[index].order(self.now, order, arrival);
@@ -217,8 +218,8 @@
         reply
     }
 
-    /// Whether the rule leaves an arrival out: a path healed just before, or its sender was
-    /// continued.
+    /// Whether the ownership rule excludes an arrival because a path recovered or its sender
+    /// resumed just before.
     fn is_excluded(&self, order: &GrantOrder, sender: Option<Term>) -> bool {
         if self.scope.count_excluded {
             return false;
@@ -231,7 +232,7 @@
         soon.any(|is_soon| is_soon)
     }
 
-    /// Whether a copy may arrive now.
+    /// Whether a copy can arrive now.
     pub(super) fn can_arrive(&self, copy: &DelayedCopy) -> bool {
         let path = &self.paths[self.index_of(&copy.order)];
         match copy.location {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// A copy arrives; it is answered if its sender still waits.
+    /// Delivers a delayed copy, and its reply if the sender is still waiting.
     pub(super) fn deliver_copy(&mut self, index: usize) {
         let copy = self.copies.remove(index);
         let on_way = copy.location == CopyLocation::Path;
@@ -257,7 +258,7 @@
         }
     }
 
-    /// The answer to a copy comes to its sender, if that still waits.
+    /// Delivers the reply to a copy if its sender is still waiting.
     fn answer(&mut self, copy: &DelayedCopy, reply: GrantReply) {
         let Some(process) = &mut self.process else {
             return;
@@ -275,8 +276,8 @@
         }
     }
 
-    /// An upstream that stood still reads an order; nobody waits for it any more, or somebody
-    /// does.
+    /// Executes an order from the receive buffer of an upstream that resumed. Its sender may or may
+    /// not be waiting still.
     pub(super) fn execute_buffered(&mut self, copy: &DelayedCopy) {
         let arrival = Arrival {
             is_late: true,
@@ -286,7 +287,7 @@
         self.answer(copy, reply);
     }
 
-    /// Calls whose time is over are given up on; whether one that was sent is.
+    /// Times out calls that have reached their deadline. Returns whether any of them had been sent.
     pub(super) fn expire_calls(&mut self) -> bool {
         let now = self.now;
         let running = self.process.as_mut().filter(|process| !process.is_paused);
@@ -326,7 +327,7 @@
         was_sent
     }
 
-    /// Copies of a call, or of all calls of a process, live that much longer at most.
+    /// Limits the remaining lifetime of the copies of one call, or of all calls of a process.
     pub(super) fn bound_copies(
         &mut self,
         sender: Term,
@@ -347,7 +348,7 @@
         }
     }
 
-    /// All calls of a process that is no longer the granter end.
+    /// Ends all calls of a process that is no longer the granter.
     pub(super) fn drop_process(&mut self, process: &Process, lifetime: Option<Duration>) {
         self.bound_copies(process.term, None, lifetime);
     }
--- a/crates/grantsearch/src/world/recovery.rs
+++ b/crates/grantsearch/src/world/recovery.rs
@@ -1,4 +1,4 @@
-//! Whether keys have an owner again in time.
+//! Checks that keys have an owner again in time.
 
 use super::{Path, World};
 use crate::check::{Invariant, Violation};
@@ -10,8 +10,9 @@
 const OWNERSHIP_CHECK_TIME: Duration = Duration::from_millis(1_000);
 
 impl World {
-    /// Runs on from here without new faults and with those ended that can end; who is cut
-    /// off stays so, if another is there. Tells when keys have no owner in time.
+    /// Simulates the time after this state without new faults and with all faults ended except
+    /// partitions, which last if another upstream is usable. Returns a violation if keys have no owner in
+    /// time.
     pub fn ownership_timeout(&self) -> Option<Violation> {
         let within = self.scope.owned_within?;
         let mut world = self.clone();
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Whether each range is held by the upstream that the record names, which is there.
+    /// Whether each range is held by the upstream that the record names, and that upstream is
+    /// reachable.
     fn is_owned(&self) -> bool {
         self.ranges.iter().enumerate().all(|(number, range)| {
             let slices = self.record.slices.iter();
--- a/crates/grantsearch/src/world/start.rs
+++ b/crates/grantsearch/src/world/start.rs
@@ -1,4 +1,4 @@
-//! How a history begins: all ranges held and renewed, nobody at fault.
+//! The initial state: all ranges are held and renewed, without faults.
 
 use super::{Path, Process, World};
 use crate::check::InvariantChecker;
@@ -16,21 +16,21 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The term of the record that the first granter finds.
+/// Term of the record that the first granter reads.
 const FOUNDING_TERM: u64 = 1;
-/// After that a granter counts nothing of the one before it any more.
+/// Time after which a granter no longer allows for grants of its predecessor.
 const WARM_UP: Duration = Duration::from_millis(5_000);
-/// Requests a second that an upstream can work on; all are alike.
+/// Requests per second that each upstream can serve.
 const CAPACITY: f64 = 20.0;
 
-/// The id of an upstream, by its index and how often it had another.
+/// Returns the id of an upstream from its index and incarnation number.
 pub(super) fn upstream_id(index: usize, number: u32) -> UpstreamId {
     let letter = char::from(b'a' + index as u8);
     UpstreamId::from(format!("{letter}{number}"))
 }
 
 impl World {
-    /// A world in which the first granter has held its place for some time.
+    /// Creates a state in which the first granter has been the leader for some time.
     pub fn new(scope: &Scope) -> Self {
         let ranges = KeyRange::ALL.divide(scope.ranges as u32);
         let ids = (0..scope.upstreams).map(|index| upstream_id(index, 1));
@@ -64,7 +64,7 @@
         world
     }
 
-    /// A granter takes over by the durable record.
+    /// Starts a granter from the durable record.
     pub(super) fn elect(&mut self) {
         self.terms += 1;
         let term = self.terms;
@@ -86,7 +86,7 @@
         self.update_candidates();
     }
 
-    /// The directory tells the granter which upstreams there are.
+    /// Passes the registered upstreams to the granter.
     pub(super) fn update_candidates(&mut self) {
         let registered = self.upstreams.iter().zip(&self.paths);
         let candidates: Vec<Candidate> = registered
@@ -111,8 +111,8 @@
     }
 }
 
-/// A record in which each range is held by another upstream. A granter makes it, so that
-/// it has all that records have; only its slices are others.
+/// Creates a record in which each range is held by a different upstream. A granter creates the
+/// record so that it is complete; only its slices are replaced.
 fn founding_record(scope: &Scope, upstreams: &[Upstream], ranges: &[KeyRange]) -> AssignmentRecord {
     let epoch = Epoch(FOUNDING_TERM);
     let mut granter = Granter::new(Time::ZERO, scope.timing, epoch, None);
--- a/crates/grantsearch/src/world/time.rs
+++ b/crates/grantsearch/src/world/time.rs
@@ -1,4 +1,4 @@
-//! Time passes.
+//! Advance of time.
 
 use super::World;
 use crate::check::RECOVERY_WINDOW;
@@ -6,13 +6,14 @@
 use crate::standby::standby_id;
 
 impl World {
-    /// Runs until something may be decided, or something is broken.
+    /// Advances time until a choice is possible, an invariant is violated or the maximum time step
+    /// has passed.
     pub(super) fn advance_time(&mut self) {
         let end = self.now + self.scope.max_time_step;
         while self.now < end && !self.tick() && self.checker.violation.is_none() {}
     }
 
-    /// One tick; whether something happened beside which a fault would make a difference.
+    /// Advances one tick. Returns whether an event occurred that a fault could affect.
     pub(super) fn tick(&mut self) -> bool {
         self.now = self.now + TICK;
         let mut happened = self.discard_expired_copies();
@@ -27,7 +28,7 @@
         happened
     }
 
-    /// Copies that can't arrive any more go; whether one can only arrive now.
+    /// Discards copies that can no longer arrive. Returns whether this is the last moment for one.
     fn discard_expired_copies(&mut self) -> bool {
         let now = self.now;
         self.copies
@@ -35,7 +36,7 @@
         self.copies.iter().any(|copy| copy.until == Some(now))
     }
 
-    /// Whether arrivals begin to count again now, some time after a path healed.
+    /// Whether a recovery window has just ended, so that arrivals count again.
     fn recovery_window_ends(&self) -> bool {
         let healed = self.paths.iter().filter_map(|path| path.healed_at);
         let resumed = self.resumed.iter().map(|resumed| resumed.at);
@@ -64,7 +65,7 @@
         returned
     }
 
-    /// Another granter takes over where the place is free.
+    /// Starts a successor when the leadership lease is free.
     fn elect_successor(&mut self) -> bool {
         if self.successor_at.is_none_or(|at| self.now < at) {
             return false;
@@ -76,8 +77,8 @@
         true
     }
 
-    /// The standby hears the granter where it can, and prolongs holds where it must. Its
-    /// orders arrive, for only the granter is cut off.
+    /// Runs the standby: it exchanges messages with the granter if reachable and renews grants if it is
+    /// active. Its orders always arrive, because partitions affect only the granter.
     fn run_standby(&mut self) {
         let Some(mut standby) = self.standby.take() else {
             return;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The granter gives orders and writes its record; whether it did something new.
+    /// Sends the granter's orders and writes its record. Returns whether something changed.
     fn run_granter(&mut self) -> bool {
         let now = self.now;
         let running = self.process.as_mut().filter(|process| !process.is_paused);
--- a/crates/grantsearch/tests/common/mod.rs
+++ b/crates/grantsearch/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! What tests of the search share.
+//! Helpers shared by the search tests.
 
 #![allow(dead_code, reason = "not every test file uses every helper")]
 
 use beamtray_grantsearch::{Counterexample, Limits, Scope, Search, Transport, search};
 
-/// More states than any search of the tests needs: one that has more fails.
+/// More states than any search in the tests needs; a search that exceeds it fails.
 const MOST_STATES: usize = 400_000;
 
-/// A world in which connections are reset when a call is given up on, and by the end of a
-/// process.
+/// A scope in which connections are reset when a call times out and when a process
+/// exits.
 pub fn reset() -> Scope {
     let scope = Scope::new(Transport::PLAIN_CLOSE);
     Scope {
@@ -17,7 +17,7 @@
     }
 }
 
-/// A world in which connections are closed in the ordinary way.
+/// A scope in which connections are closed without a reset.
 pub fn plain_close() -> Scope {
     Scope::new(Transport::PLAIN_CLOSE)
 }
@@ -30,9 +30,9 @@
     search(scope, limits)
 }
 
-/// The shortest counter-case, which must be there. Fresh tokens, and the wait for grants that
-/// may lie with an upstream, cover part of what the other protections are for, so they are
-/// off here: each of those has to be missed by itself.
+/// Returns the shortest counterexample, which must exist. Token renewal and the wait for grants that
+/// an upstream may execute late mask the effect of the other guards, so both are
+/// disabled here: the absence of each other guard has to show on its own.
 pub fn find(scope: &Scope, depth: usize) -> Counterexample {
     let mut scope = *scope;
     scope.timing.guards.renews_tokens = false;
@@ -42,7 +42,7 @@
     search.found().cloned().expect("a counter-case")
 }
 
-/// No history of that length breaks a promise, and all of them were searched.
+/// Asserts that all histories of that length were searched and none violates an invariant.
 pub fn assert_kept(scope: &Scope, depth: usize) {
     let search = run(scope, depth);
     println!("{search}");
--- a/crates/grantsearch/tests/guards.rs
+++ b/crates/grantsearch/tests/guards.rs
@@ -1,5 +1,5 @@
-//! What each protection of the granter is for: without it the search finds a history that
-//! breaks the rule, with it none in the same scope.
+//! Each guard of the granter is necessary: without it the search finds a history that violates
+//! sole ownership, and with it none in the same scope.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use beamtray_sharding::GranterGuards;
 use common::{assert_kept, find, plain_close, reset};
 
-/// The scope breaks without the guards that are off, and does not with all of them.
+/// Asserts that the scope has a violation under `guards`, and none with all guards enabled.
 fn assert_needed(scope: &Scope, depth: usize, guards: GranterGuards) {
     let mut without = *scope;
     without.timing.guards = guards;
@@ -88,7 +88,7 @@
     assert_needed(&reset().with(faults), 12, guards);
 }
 
-/// No reset takes back what lies with the upstream.
+/// A reset does not undo an order that the upstream has already received.
 #[test]
 fn keys_must_wait_for_a_grant_that_may_lie_with_their_holder() {
     let faults = Faults {
@@ -102,7 +102,7 @@
     assert_needed(&reset().with(faults), 12, guards);
 }
 
-/// No wait is long enough for a process that stands still for any time.
+/// No wait is long enough for a process that may be paused for any time.
 #[test]
 fn a_grant_must_go_to_a_process_only_that_has_just_answered() {
     let faults = Faults {
@@ -117,7 +117,7 @@
     assert_kept(&with, 14);
 }
 
-/// Neither the end of all holds nor a reset is enough: a granter that stands still closes
+/// Neither the expiry of all holds nor a reset is enough, because a paused granter closes
 /// no connection.
 #[test]
 fn a_holder_that_lost_its_keys_must_be_told_until_it_answers() {
@@ -133,8 +133,8 @@
     assert_needed(&reset().with(faults), 12, guards);
 }
 
-/// Each sentence of the rule is checked by itself: the first two at the moment in which a
-/// grant is taken, the third when half a second has passed.
+/// Each invariant is checked on its own: the first two when a
+/// grant is accepted, the third after half a second has passed.
 #[test]
 fn each_sentence_of_the_rule_is_checked() {
     let mut scope = plain_close().with(Faults {
--- a/crates/grantsearch/tests/kept.rs
+++ b/crates/grantsearch/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Scopes in which the rule is kept: connections are reset when a call is given up on.
+//! Scopes without violations: connections are reset when a call times out.
 
 mod common;
 
@@ -26,7 +26,7 @@
     assert_kept(&reset().with(faults), 13);
 }
 
-/// An upstream that stands still, or is slow, carries orders out when its path is whole again.
+/// A paused or slow upstream executes orders after its path has recovered.
 #[test]
 fn with_orders_that_lie_with_their_upstream_and_two_cuts() {
     let faults = Faults {
@@ -37,7 +37,7 @@
     assert_kept(&reset().with(faults), 14);
 }
 
-/// A process that stands still for any time, beside all else that may leave an order lying.
+/// A process that is paused for any time, combined with the other causes of late execution.
 #[test]
 fn with_an_upstream_that_stands_still_for_any_time() {
     let mut scope = reset().with(Faults {
@@ -61,7 +61,7 @@
     assert_kept(&reset().with(faults), 13);
 }
 
-/// Keys that are asked for go on at once, not after a hold.
+/// Released keys are reassigned at once, not after a hold.
 #[test]
 fn with_upstreams_that_drain() {
     let faults = Faults {
@@ -109,7 +109,7 @@
     assert_kept(&reset().with(faults), 11);
 }
 
-/// What is left of a connection is lost with the process that it led to.
+/// Data in flight on a connection is lost when the receiving process restarts.
 #[test]
 fn with_an_upstream_that_restarts_while_the_granter_stands_still() {
     let mut scope = reset().with(Faults {
--- a/crates/grantsearch/tests/old_grants.rs
+++ b/crates/grantsearch/tests/old_grants.rs
@@ -1,12 +1,12 @@
-//! Old grants: a copy of an order that outlives the call, since connections are closed in the
-//! ordinary way, or stay open, or since its upstream carries it out late.
+//! Stale grants: a copy of an order outlives its call because connections are closed without
+//! a reset or stay open, or because the upstream executes it late.
 
 mod common;
 
 use beamtray_grantsearch::Faults;
 use common::{assert_kept, plain_close, reset};
 
-/// Five steps more than the shortest history that broke it.
+/// Five steps more than the shortest history that violated an invariant.
 const DEPTH: usize = 14;
 
 #[test]
@@ -28,7 +28,7 @@
     assert_kept(&plain_close().with(faults), DEPTH);
 }
 
-/// Its connections are not closed at all while it stands still, however that is done later.
+/// A paused granter closes no connections, whether with a reset or without.
 #[test]
 fn nor_is_one_of_a_granter_that_stands_still() {
     let faults = Faults {
@@ -39,8 +39,8 @@
     assert_kept(&reset().with(faults), DEPTH);
 }
 
-/// The upstream itself keeps the order, so that no reset takes it back; and it is cut off
-/// before it can hear that it lost the keys.
+/// The upstream itself keeps the order, so no reset discards it, and the upstream is partitioned
+/// before it can learn that it lost the keys.
 #[test]
 fn nor_is_one_that_its_upstream_carries_out_late() {
     let faults = Faults {
--- a/crates/grantsearch/tests/owned_again.rs
+++ b/crates/grantsearch/tests/owned_again.rs
@@ -1,4 +1,4 @@
-//! Keys have an owner again in time, from each state that faults lead to.
+//! Keys have an owner again in time from every state that faults can lead to.
 
 mod common;
 
@@ -13,8 +13,8 @@
     }
 }
 
-/// The last renewal is written into the cut (0.75 s after the one before) and given up on
-/// (0.5 s); it might have been taken as late as 0.3 s after that, for 3.06 s.
+/// The last renewal is sent into the partition (0.75 s after the one before) and times out
+/// (0.5 s); it may have been accepted as late as 0.3 s after that, for 3.06 s.
 #[test]
 fn keys_of_a_holder_that_is_cut_off_go_to_another() {
     let faults = Faults {
@@ -25,9 +25,9 @@
     assert_kept(&owned_within(4_700, faults), 9);
 }
 
-/// The place of a granter that stands still runs out (1.5 s), and its successor waits for
-/// the grants of the one before (3.36 s). That it knows who owes an answer saves 1.6 s: it
-/// does not give keys that it finds leaving to the same holder again, to miss it once more.
+/// The leadership lease of a paused granter expires (1.5 s), and its successor waits for
+/// the grants of its predecessor (3.36 s). Knowing which holders owe a reply saves 1.6 s: it
+/// does not return keys that are being moved to the same holder, only to time out again.
 #[test]
 fn keys_go_to_another_also_by_a_successor() {
     let faults = Faults {
@@ -39,8 +39,8 @@
     assert_kept(&owned_within(4_950, faults), 9);
 }
 
-/// A standby that is cut off from the granter, and perhaps not from the holder, may prolong
-/// the hold until the granter's last word has run out (11.2 s).
+/// A standby that is partitioned from the granter, but maybe not from the holder, may renew
+/// the hold until the granter's last authorization expires (11.2 s).
 #[test]
 fn keys_wait_longer_for_a_standby_that_is_cut_off() {
     let faults = Faults {
--- a/crates/grantsearch/tests/transport.rs
+++ b/crates/grantsearch/tests/transport.rs
@@ -1,6 +1,6 @@
-//! How long a copy of an order may live for the protocol to hold: the granter counts
-//! `transit` after it gave an order up, and a successor `transit` after its own start, for
-//! it knows nothing of the orders that the one before had under way.
+//! How long a copy of an order may live for the protocol to be safe: the granter waits
+//! `transit` after an order times out, and a successor waits `transit` after its own start, because
+//! it does not know the orders that its predecessor had in flight.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{assert_kept, find, plain_close, reset};
 use std::time::Duration;
 
-/// A little more than `transit`: the granter acts up to a tick late twice, when keys are
+/// Margin beyond `transit`: the granter acts up to a tick late twice, when keys become
 /// free and when they are granted again.
 const SLACK: Duration = Duration::from_millis(3 * TICK.as_millis() as u64);
 
@@ -35,8 +35,8 @@
     find(&with_life(transit, transit + SLACK, faults), 17);
 }
 
-/// Seen only if grants count that arrive right after a path healed: a copy that outlives the
-/// wait by less than that is left out by the rule, yet two upstreams hold the keys.
+/// Found only if grants that arrive just after a path recovered are counted: a copy that outlives the
+/// wait by less than the recovery window is excluded by the rule, yet two upstreams hold the keys.
 #[test]
 fn copies_must_not_outlive_the_wait_after_an_order_is_given_up_on() {
     let faults = Faults {
@@ -53,8 +53,8 @@
     find(&scope(transit + SLACK), 27);
 }
 
-/// That a holder hears of its loss after a cut is not enough without a reset: the release
-/// may be held up for a moment when the path heals.
+/// Releasing a lost holder after a partition is not enough without a reset: the release
+/// may be delayed for a moment when the path recovers.
 #[test]
 fn copies_must_not_live_for_ever_though_lost_holders_are_told() {
     let faults = Faults {
@@ -66,8 +66,8 @@
     find(&plain_close().with(faults), 12);
 }
 
-/// An upstream may carry out an order seconds after it came, 12 s here: a granter that counts
-/// with that, less the time for which it waits for the answer, keeps the rule.
+/// An upstream may execute an order seconds after it arrived, 12 s here. A granter that waits for
+/// this time, minus its own reply timeout, keeps ownership exclusive.
 #[test]
 fn orders_that_upstreams_carry_out_late_are_to_be_counted_with() {
     let faults = Faults {
--- a/crates/grantsearch/tests/upstream.rs
+++ b/crates/grantsearch/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The small upstream behaves as the emulator's.
+//! The upstream model behaves like the emulator.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_emulator::{FullPolicy, UpstreamConfig, UpstreamEmulator};
@@ -10,11 +10,11 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// What comes to an upstream.
+/// An order sent to an upstream.
 #[derive(Clone, Debug)]
 struct Event {
     after_ms: u64,
-    /// One of two ranges, or both.
+    /// Index into two single ranges and the range of both.
     range: usize,
     counter: u64,
     is_grant: bool,
@@ -34,7 +34,7 @@
 }
 
 const HOLD: Duration = Duration::from_millis(3_000);
-/// The small upstream's clock always runs 2% slow; the emulator's runs right.
+/// The model's clock always runs 2% slow; the emulator's clock is exact.
 const COUNTED: Duration = Duration::from_millis(3_060);
 
 fn id(name: &str) -> UpstreamId {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The same kind of answer; only the emulator hands something over.
+/// Whether the replies are of the same kind; only the emulator returns a handover.
 fn is_alike(one: &GrantReply, other: &GrantReply) -> bool {
     std::mem::discriminant(one) == std::mem::discriminant(other)
 }
