--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::bodies;
 use crate::channel::{Reporter, connect};
-use crate::config::{HOST, ORDER, PATIENCE, PROBE, READ};
+use crate::config::{CALLER_TIMEOUT, HOST, ORDER, PROBE, READ};
 use crate::message::{CallerEnd, Command, Observation};
 use crate::pool::Pool;
 use beamtray_adapter::Platform;
@@ -21,17 +21,17 @@
 use tokio::time::timeout;
 
 /// Of a hundred requests, how many read by key; the others may not be repeated.
-const READS: u32 = 65;
+const READ_PERCENT: u32 = 65;
 /// Of a hundred requests, how many are probes.
-const PROBES: u32 = 8;
+const PROBE_PERCENT: u32 = 8;
 /// Of a hundred reads, how many are left by their callers early.
-const LEFT_EARLY: u32 = 6;
+const CANCELLED_PERCENT: u32 = 6;
 /// When those leave.
-const LEAVE_AFTER: Duration = Duration::from_millis(60);
+const CANCEL_AFTER: Duration = Duration::from_millis(60);
 /// Work of those, so that it lasts longer than the caller stays.
 const LONG_WORK_MS: u64 = 1_200;
 /// Share of reads that go to one key, in percent.
-const HOT: u32 = 20;
+const HOT_KEY_PERCENT: u32 = 20;
 /// Bytes of the body of a request that may not be repeated.
 const ORDER_BYTES: usize = 300;
 
@@ -48,7 +48,7 @@
     pub seed: u64,
 }
 
-struct Asking {
+struct PlannedRequest {
     id: String,
     node: usize,
     address: SocketAddr,
@@ -73,29 +73,29 @@
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(Command::Begin) => begun = true,
+                Some(Command::StartTraffic) => begun = true,
                 Some(Command::Probe(version)) => probed.set(version),
-                Some(Command::End) | None => break,
+                Some(Command::StopTraffic) | None => break,
                 Some(_) => {}
             },
             _ = ticks.tick(), if begun => {
-                let asking = draw(&mut random, &settings, probed.get());
-                tokio::task::spawn_local(ask(reporter.clone(), pool.clone(), asking));
+                let planned = draw(&mut random, &settings, probed.get());
+                tokio::task::spawn_local(send_and_report(reporter.clone(), pool.clone(), planned));
             }
         }
     }
-    tokio::time::sleep(PATIENCE * 2).await;
+    tokio::time::sleep(CALLER_TIMEOUT * 2).await;
     Ok(())
 }
 
-fn draw(random: &mut ChaCha8Rng, settings: &CallerSettings, probed: u64) -> Asking {
+fn draw(random: &mut ChaCha8Rng, settings: &CallerSettings, probed: u64) -> PlannedRequest {
     let node = random.random_range(0..settings.routers.len());
     // Runs that play the same seed at the same time must not take each other's for theirs.
     let id = format!("{:016x}-{}", random.random::<u64>(), std::process::id());
     let work: u64 = random.random_range(5..60);
     let kind = random.random_range(0..100);
     let address = settings.routers[node];
-    let mut asking = Asking {
+    let mut planned = PlannedRequest {
         id,
         node,
         address,
@@ -104,90 +104,90 @@
         repeatable: false,
         leaves: false,
     };
-    if kind < PROBES {
+    if kind < PROBE_PERCENT {
         // The newest version's own route, and the one before, which is gone.
         let version = probed.saturating_sub(u64::from(random.random_bool(0.3)));
-        asking.path = format!("{PROBE}{version}/{work}");
-        asking.repeatable = true;
-    } else if kind < PROBES + READS {
-        let key = match random.random_range(0..100) < HOT {
+        planned.path = format!("{PROBE}{version}/{work}");
+        planned.repeatable = true;
+    } else if kind < PROBE_PERCENT + READ_PERCENT {
+        let key = match random.random_range(0..100) < HOT_KEY_PERCENT {
             true => 7,
             false => random.random_range(0..=u16::MAX),
         };
-        asking.leaves = random.random_range(0..100) < LEFT_EARLY;
-        let work = if asking.leaves { LONG_WORK_MS } else { work };
-        asking.path = format!("{READ}{key}/{work}");
-        asking.key = Some(key);
-        asking.repeatable = true;
+        planned.leaves = random.random_range(0..100) < CANCELLED_PERCENT;
+        let work = if planned.leaves { LONG_WORK_MS } else { work };
+        planned.path = format!("{READ}{key}/{work}");
+        planned.key = Some(key);
+        planned.repeatable = true;
     }
-    asking
+    planned
 }
 
-async fn ask(reporter: Reporter, pool: Pool, asking: Asking) {
-    reporter.tell(Observation::Asked {
-        id: asking.id.clone(),
-        node: asking.node,
-        path: asking.path.clone(),
-        repeatable: asking.repeatable,
+async fn send_and_report(reporter: Reporter, pool: Pool, planned: PlannedRequest) {
+    reporter.report(Observation::RequestSent {
+        id: planned.id.clone(),
+        node: planned.node,
+        path: planned.path.clone(),
+        repeatable: planned.repeatable,
     });
-    let (patience, late) = if asking.leaves {
-        (LEAVE_AFTER, CallerEnd::Left)
+    let (patience, late) = if planned.leaves {
+        (CANCEL_AFTER, CallerEnd::Cancelled)
     } else {
-        (PATIENCE, CallerEnd::TimedOut)
+        (CALLER_TIMEOUT, CallerEnd::TimedOut)
     };
-    let end = timeout(patience, exchange(&pool, &asking))
+    let end = timeout(patience, exchange(&pool, &planned))
         .await
         .unwrap_or(late);
-    let id = asking.id;
-    reporter.tell(Observation::Ended { id, end });
+    let id = planned.id;
+    reporter.report(Observation::RequestEnded { id, end });
 }
 
-async fn exchange(pool: &Pool, asking: &Asking) -> CallerEnd {
-    let Some(mut connection) = pool.take(asking.address).await else {
-        return CallerEnd::Unsent;
+async fn exchange(pool: &Pool, planned: &PlannedRequest) -> CallerEnd {
+    let Some(mut connection) = pool.take(planned.address).await else {
+        return CallerEnd::NotSent;
     };
-    let Some(request) = request(asking) else {
-        return CallerEnd::Unsent;
+    let Some(request) = request(planned) else {
+        return CallerEnd::NotSent;
     };
     match connection.try_send_request(request).await {
         Ok(response) => {
-            let end = judge(asking, response).await;
-            if end != CallerEnd::BrokenOff && connection.ready().await.is_ok() {
-                pool.keep(asking.address, connection);
+            let end = classify_response(planned, response).await;
+            if end != CallerEnd::Disconnected && connection.ready().await.is_ok() {
+                pool.keep(planned.address, connection);
             }
             end
         }
         // It crossed the router's close.
         Err(mut error) => match error.take_message() {
-            Some(_) => CallerEnd::Unsent,
-            None => CallerEnd::BrokenOff,
+            Some(_) => CallerEnd::NotSent,
+            None => CallerEnd::Disconnected,
         },
     }
 }
 
-fn request(asking: &Asking) -> Option<Request<Full<Bytes>>> {
+fn request(planned: &PlannedRequest) -> Option<Request<Full<Bytes>>> {
     let names = Platform.headers();
-    let (method, body) = match asking.repeatable {
+    let (method, body) = match planned.repeatable {
         true => (Method::GET, Bytes::new()),
         false => (Method::POST, Bytes::from(vec![b'o'; ORDER_BYTES])),
     };
     let mut builder = Request::builder()
         .method(method)
-        .uri(&asking.path)
+        .uri(&planned.path)
         .header(hyper::header::HOST, HOST)
-        .header(names.request_id, &asking.id)
-        .header(names.deadline_ms, PATIENCE.as_millis().to_string());
-    if let Some(key) = asking.key {
+        .header(names.request_id, &planned.id)
+        .header(names.deadline_ms, CALLER_TIMEOUT.as_millis().to_string());
+    if let Some(key) = planned.key {
         builder = builder.header(names.shard_key, key.to_string());
     }
     builder.body(Full::new(body)).ok()
 }
 
-async fn judge(asking: &Asking, response: Response<Incoming>) -> CallerEnd {
+async fn classify_response(planned: &PlannedRequest, response: Response<Incoming>) -> CallerEnd {
     let names = Platform.headers();
     let (head, body) = response.into_parts();
     let Ok(body) = body.collect().await else {
-        return CallerEnd::BrokenOff;
+        return CallerEnd::Disconnected;
     };
     let body = body.to_bytes();
     let signature = head.headers.get(names.signature);
@@ -195,6 +195,6 @@
     CallerEnd::Answered {
         status: head.status.as_u16(),
         signed,
-        sound: bodies::answers(&asking.id, &body),
+        sound: bodies::answers(&planned.id, &body),
     }
 }
--- a/crates/soak/src/channel.rs
+++ b/crates/soak/src/channel.rs
@@ -53,7 +53,7 @@
 }
 
 impl Reporter {
-    pub fn tell(&self, observation: Observation) {
+    pub fn report(&self, observation: Observation) {
         let report = Report {
             at: clock::now(),
             from: self.from.to_string(),
@@ -96,6 +96,6 @@
         from: from.into(),
         reports,
     };
-    reporter.tell(Observation::Started);
+    reporter.report(Observation::Started);
     Ok((reporter, commands))
 }
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -8,7 +8,9 @@
 mod tokens;
 mod words;
 
-pub use history::{Disturbance, Disturbed, Healed, HeldUp, History, PlannedStop, UpstreamEnd};
+pub use history::{
+    DelayedDelivery, Disturbance, Disturbed, FaultEnd, History, PlannedStop, UpstreamEnd,
+};
 
 use crate::config::CONTACT;
 use crate::message::{CallerEnd, Observation, Report};
@@ -126,7 +128,7 @@
     }
 }
 #[derive(Clone, Debug)]
-struct Begun {
+struct ExecutionStart {
     at: Time,
     upstream: String,
     path: String,
@@ -141,7 +143,7 @@
     path: String,
     repeatable: bool,
     arrived: Vec<(Time, String)>,
-    begun: Vec<Begun>,
+    begun: Vec<ExecutionStart>,
     finished: Vec<(Time, String)>,
     ended: Option<(Time, CallerEnd)>,
 }
@@ -162,7 +164,7 @@
 
 /// A grant as an upstream took it.
 #[derive(Clone, Debug)]
-struct Taking {
+struct AcceptedGrant {
     at: Time,
     upstream: String,
     first: u16,
@@ -180,15 +182,15 @@
 
 /// What an upstream said in an answer to a request.
 #[derive(Clone, Debug)]
-struct Word {
+struct Announcement {
     at: Time,
     upstream: String,
     request: String,
-    said: Said,
+    kind: AnnouncementKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Said {
+enum AnnouncementKind {
     /// That it leaves.
     Leaves,
     /// That it wants rest for so long.
@@ -199,13 +201,13 @@
     history: &'a History,
     requests: HashMap<String, Request>,
     holdings: Vec<Holding>,
-    takings: Vec<Taking>,
+    accepted_grants: Vec<AcceptedGrant>,
     left: HashMap<String, Time>,
     configured: Vec<(Time, u64)>,
     /// What upstreams named, from when on.
     named: Vec<NamedRate>,
     /// What upstreams said of themselves in answers to single requests.
-    words: Vec<Word>,
+    announcements: Vec<Announcement>,
     verdict: Verdict,
 }
 
@@ -217,36 +219,36 @@
         history: &history,
         requests: HashMap::new(),
         holdings: Vec::new(),
-        takings: Vec::new(),
+        accepted_grants: Vec::new(),
         left: HashMap::new(),
         configured: Vec::new(),
         named: Vec::new(),
-        words: Vec::new(),
+        announcements: Vec::new(),
         verdict: Verdict::default(),
     };
     for report in &history.reports {
-        checker.take(report);
+        checker.record(report);
     }
     checker.end_holdings();
-    checker.judge_requests();
-    checker.judge_owners();
-    checker.judge_tokens();
-    checker.judge_work();
-    checker.judge_budget();
-    checker.judge_leavers();
-    checker.judge_rates();
-    checker.judge_words();
-    checker.judge_recovery();
+    checker.check_requests();
+    checker.check_owners();
+    checker.check_tokens();
+    checker.check_work();
+    checker.check_budget();
+    checker.check_cancellations();
+    checker.check_rates();
+    checker.check_announcements();
+    checker.check_recovery();
     checker.verdict
 }
 
 impl Checker<'_> {
-    fn take(&mut self, report: &Report) {
+    fn record(&mut self, report: &Report) {
         let at = report.at;
         let from = report.from.clone();
         match &report.observation {
             Observation::Started => {}
-            Observation::Asked {
+            Observation::RequestSent {
                 id,
                 node,
                 path,
@@ -258,14 +260,14 @@
                 request.path.clone_from(path);
                 request.repeatable = *repeatable;
             }
-            Observation::Ended { id, end } => {
+            Observation::RequestEnded { id, end } => {
                 self.requests.entry(id.clone()).or_default().ended = Some((at, end.clone()));
             }
-            Observation::Arrived { id } => {
+            Observation::RequestArrived { id } => {
                 let request = self.requests.entry(id.clone()).or_default();
                 request.arrived.push((at, from));
             }
-            Observation::Begun {
+            Observation::WorkStarted {
                 id,
                 path,
                 key,
@@ -275,18 +277,18 @@
                 .entry(id.clone())
                 .or_default()
                 .begun
-                .push(Begun {
+                .push(ExecutionStart {
                     at,
                     upstream: from,
                     path: path.clone(),
                     key: *key,
                     held_since: *held_since,
                 }),
-            Observation::Finished { id } => {
+            Observation::WorkFinished { id } => {
                 let request = self.requests.entry(id.clone()).or_default();
                 request.finished.push((at, from));
             }
-            Observation::Held {
+            Observation::KeysHeld {
                 first,
                 last,
                 since,
@@ -300,35 +302,37 @@
                 taken: at,
                 lease_ends: *ends,
             }),
-            Observation::Taken { first, last, token } => self.takings.push(Taking {
-                at,
-                upstream: from,
-                first: *first,
-                last: *last,
-                token: *token,
-            }),
-            Observation::Released { first, last } => self.release(at, &from, *first, *last),
-            Observation::SaidItLeaves { id } => self.words.push(Word {
+            Observation::GrantAccepted { first, last, token } => {
+                self.accepted_grants.push(AcceptedGrant {
+                    at,
+                    upstream: from,
+                    first: *first,
+                    last: *last,
+                    token: *token,
+                })
+            }
+            Observation::KeysReleased { first, last } => self.release(at, &from, *first, *last),
+            Observation::LeaveAnnounced { id } => self.announcements.push(Announcement {
                 at,
                 upstream: from,
                 request: id.clone(),
-                said: Said::Leaves,
+                kind: AnnouncementKind::Leaves,
             }),
-            Observation::AskedForRest { id, rest_ms } => self.words.push(Word {
+            Observation::PauseRequested { id, rest_ms } => self.announcements.push(Announcement {
                 at,
                 upstream: from,
                 request: id.clone(),
-                said: Said::Rest(Duration::from_millis((*rest_ms).into())),
+                kind: AnnouncementKind::Rest(Duration::from_millis((*rest_ms).into())),
             }),
-            Observation::Left { upstream } => {
+            Observation::UpstreamLeft { upstream } => {
                 self.left.entry(upstream.clone()).or_insert(at);
             }
-            Observation::NamesRate { rate_milli } => self.named.push(NamedRate {
+            Observation::RateAnnounced { rate_milli } => self.named.push(NamedRate {
                 at,
                 upstream: from,
                 rate_milli: *rate_milli,
             }),
-            Observation::Configured { version } => self.configured.push((at, *version)),
+            Observation::ConfigurationAccepted { version } => self.configured.push((at, *version)),
         }
     }
 
@@ -370,7 +374,7 @@
     }
 
     /// Whether a router was in touch from `from` to `until`.
-    fn in_touch(&self, node: usize, from: Time, until: Time) -> bool {
+    fn is_connected(&self, node: usize, from: Time, until: Time) -> bool {
         let disturbs =
             |whom: Disturbed| whom == Disturbed::Router(node) || whom == Disturbed::Store;
         let harmed = self.disturbed(from - CONTACT, until, disturbs);
--- a/crates/soak/src/checker/history.rs
+++ b/crates/soak/src/checker/history.rs
@@ -48,7 +48,7 @@
 /// The end of a trouble after which a grant may come that its sender would not send any
 /// more: a router ran again, or an upstream's link was whole again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Healed {
+pub struct FaultEnd {
     /// The incarnation of the upstream; any for none.
     pub upstream: Option<String>,
     /// When.
@@ -57,7 +57,7 @@
 
 /// Bytes came to an upstream that had been held up on their way.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldUp {
+pub struct DelayedDelivery {
     /// The incarnation.
     pub upstream: String,
     /// When.
@@ -76,9 +76,9 @@
     /// Upstreams that ended.
     pub upstream_ends: Vec<UpstreamEnd>,
     /// Ends of troubles.
-    pub healed: Vec<Healed>,
+    pub fault_ends: Vec<FaultEnd>,
     /// What was held up on its way.
-    pub held_up: Vec<HeldUp>,
+    pub delayed_deliveries: Vec<DelayedDelivery>,
     /// From when on requests must be served again.
     pub recovered: Time,
 }
--- a/crates/soak/src/checker/load.rs
+++ b/crates/soak/src/checker/load.rs
@@ -11,14 +11,14 @@
 /// Share of the late requests that must be served, as one in so many.
 const SERVED_ONE_IN: usize = 4;
 /// How long a router may take to pass on that a caller left.
-const LEAVE_TIME: Duration = Duration::from_millis(500);
+const CANCEL_PROPAGATION: Duration = Duration::from_millis(500);
 /// Requests at work after that, one in so many, that are borne.
-const LEFT_ONE_IN: usize = 4;
+const UNFINISHED_ONE_IN: usize = 4;
 /// Least number of them that says something.
-const FEW_LEFT: usize = 4;
+const MIN_CANCELLED: usize = 4;
 
 impl Checker<'_> {
-    pub(super) fn judge_budget(&mut self) {
+    pub(super) fn check_budget(&mut self) {
         for service in [KEYED, POOL] {
             let of_service = |request: &&Request| service_of(&request.path) == service;
             let requests: Vec<&Request> = self.requests.values().filter(of_service).collect();
@@ -48,21 +48,25 @@
         }
     }
 
-    pub(super) fn judge_leavers(&mut self) {
+    pub(super) fn check_cancellations(&mut self) {
         let mut lasting = 0;
         let mut at_work = Vec::new();
         for (id, request) in &self.requests {
-            let Some((left, CallerEnd::Left)) = &request.ended else {
+            let Some((left, CallerEnd::Cancelled)) = &request.ended else {
                 continue;
             };
             let Some(begun) = request.begun.first() else {
                 continue;
             };
-            let until = *left + LEAVE_TIME;
-            let hindered =
+            let until = *left + CANCEL_PROPAGATION;
+            let upstream_faulted =
                 self.disturbed(*left - CONTACT, until, |whom| whom == Disturbed::Upstream);
-            let touched = self.in_touch(request.node, *left, until);
-            if begun.at > *left || hindered || !touched || request.path.starts_with(ORDER) {
+            let was_connected = self.is_connected(request.node, *left, until);
+            if begun.at > *left
+                || upstream_faulted
+                || !was_connected
+                || request.path.starts_with(ORDER)
+            {
                 continue;
             }
             lasting += 1;
@@ -71,16 +75,16 @@
                 at_work.push(id.clone());
             }
         }
-        if lasting < FEW_LEFT {
+        if lasting < MIN_CANCELLED {
             return;
         }
-        let few = at_work.len() * LEFT_ONE_IN <= lasting;
+        let few = at_work.len() * UNFINISHED_ONE_IN <= lasting;
         self.verdict.test(Promise::Gone, few, Time::ZERO, || {
             format!("{} of {lasting} still at work, {at_work:?}", at_work.len())
         });
     }
 
-    pub(super) fn judge_recovery(&mut self) {
+    pub(super) fn check_recovery(&mut self) {
         let late = self.requests.values().filter(|request| {
             let asked = request
                 .asked
--- a/crates/soak/src/checker/owners.rs
+++ b/crates/soak/src/checker/owners.rs
@@ -1,6 +1,6 @@
 //! The promise that a key has one owner.
 
-use super::{Begun, Checker, Promise};
+use super::{Checker, ExecutionStart, Promise};
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 impl Checker<'_> {
     /// Two upstreams must not both begin requests on a key while both hold it. Grants right
     /// after trouble don't count: their sender could not know better.
-    pub(super) fn judge_owners(&mut self) {
+    pub(super) fn check_owners(&mut self) {
         let all = self.holdings.clone();
         let mut holdings = all.clone();
-        holdings.retain(|holding| !self.is_after_trouble(&holding.upstream, holding.taken));
+        holdings.retain(|holding| !self.follows_fault(&holding.upstream, holding.taken));
         for holding in &mut holdings {
-            if self.is_after_trouble(&holding.upstream, holding.since) {
+            if self.follows_fault(&holding.upstream, holding.since) {
                 holding.since = holding.taken;
             }
         }
         self.holdings = holdings;
-        self.judge_beginnings();
+        self.check_concurrent_starts();
         self.holdings = all;
-        self.judge_overlaps();
+        self.check_overlapping_holds();
     }
 
-    fn judge_beginnings(&mut self) {
-        let mut begun: Vec<(u16, Begun)> = self
+    fn check_concurrent_starts(&mut self) {
+        let mut begun: Vec<(u16, ExecutionStart)> = self
             .requests
             .values()
             .flat_map(|request| request.begun.iter())
@@ -60,8 +60,8 @@
     }
 
     /// Since when the upstream of a run has held its key under grants that count.
-    fn counted_since(&self, begun: &Begun, key: u16) -> Option<Time> {
-        if !self.is_after_trouble(&begun.upstream, begun.held_since) {
+    fn counted_since(&self, begun: &ExecutionStart, key: u16) -> Option<Time> {
+        if !self.follows_fault(&begun.upstream, begun.held_since) {
             return Some(begun.held_since);
         }
         let own = self.holdings.iter().filter(|holding| {
@@ -76,10 +76,10 @@
     /// Two upstreams must not hold the same keys for long, with requests or without. What
     /// was held up on its way does not count: it lasts from its arrival, later than its
     /// sender can know by any clock.
-    fn judge_overlaps(&mut self) {
+    fn check_overlapping_holds(&mut self) {
         let all = std::mem::take(&mut self.holdings);
         let mut holdings = all.clone();
-        holdings.retain(|holding| !self.is_held_up(&holding.upstream, holding.taken));
+        holdings.retain(|holding| !self.is_delayed_delivery(&holding.upstream, holding.taken));
         for (index, one) in holdings.iter().enumerate() {
             let other = holdings[index + 1..].iter().find(|other| {
                 let from = one.since.max(other.since);
--- a/crates/soak/src/checker/rates.rs
+++ b/crates/soak/src/checker/rates.rs
@@ -9,14 +9,14 @@
 /// Over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// How long a router has had an answer that names the rate when its requests count.
-const TOLD_FOR: Duration = Duration::from_millis(500);
+const RATE_KNOWN_FOR: Duration = Duration::from_millis(500);
 /// Requests that an upstream may get, as a multiple of what it takes.
 const OVERAGE: f64 = 1.5;
 /// Requests beyond that.
 const SLACK: f64 = 5.0;
 
 /// A time in which an upstream named a rate.
-struct Need {
+struct RateWindow {
     upstream: String,
     rate: f64,
     from: Time,
@@ -31,21 +31,21 @@
 }
 
 impl Checker<'_> {
-    pub(super) fn judge_rates(&mut self) {
-        for need in self.needs() {
+    pub(super) fn check_rates(&mut self) {
+        for need in self.rate_windows() {
             let arrivals = self.arrivals(&need.upstream);
-            self.judge_need(&need, &arrivals);
+            self.check_rate_window(&need, &arrivals);
         }
     }
 
-    fn needs(&self) -> Vec<Need> {
+    fn rate_windows(&self) -> Vec<RateWindow> {
         let begun = self.named.iter().enumerate();
         let begun = begun.filter_map(|(index, named)| Some((index, named, named.rate_milli?)));
         begun
             .map(|(index, named, rate_milli)| {
                 let is_next = |later: &&NamedRate| later.upstream == named.upstream;
                 let next = self.named[index + 1..].iter().find(is_next);
-                Need {
+                RateWindow {
                     upstream: named.upstream.clone(),
                     rate: f64::from(rate_milli) / 1e3,
                     from: named.at,
@@ -70,7 +70,7 @@
         arrivals
     }
 
-    fn judge_need(&mut self, need: &Need, arrivals: &[Arrival]) {
+    fn check_rate_window(&mut self, need: &RateWindow, arrivals: &[Arrival]) {
         let mut told: BTreeMap<usize, Time> = BTreeMap::new();
         for arrival in arrivals {
             let answered = arrival.finished.filter(|at| *at >= need.from);
@@ -87,7 +87,7 @@
         for end in ends {
             let counts = |node: usize| {
                 let told = told.get(&node);
-                told.is_some_and(|told| *told + TOLD_FOR <= end) && !self.is_excused(node, end)
+                told.is_some_and(|told| *told + RATE_KNOWN_FOR <= end) && !self.had_fault(node, end)
             };
             let within = arrivals
                 .iter()
@@ -116,7 +116,7 @@
 
     /// Whether a router was killed, stopped, stood still or was cut off of late, or its way
     /// to an upstream was harmed.
-    fn is_excused(&self, node: usize, until: Time) -> bool {
+    fn had_fault(&self, node: usize, until: Time) -> bool {
         let from = until - WINDOW - CONTACT;
         let disturbs = |whom: Disturbed| matches!(whom, Disturbed::Router(other) if other == node);
         let is_stopped = self
--- a/crates/soak/src/checker/requests.rs
+++ b/crates/soak/src/checker/requests.rs
@@ -1,7 +1,7 @@
 //! Promises about single requests.
 
 use super::{Checker, Disturbed, Promise, Request};
-use crate::config::{CONFIGURE, CONTACT, DRAIN, PROBE, service_of};
+use crate::config::{CONFIGURE_TIMEOUT, CONTACT, DRAIN, PROBE, service_of};
 use crate::message::CallerEnd;
 use beamtray_types::Time;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 /// A request that was not passed on may be cut this soon.
 const CUT_SLACK: Duration = Duration::from_millis(200);
 /// Part of a caller's patience after which a cut is the deadline's.
-const LAST_PART: Duration = Duration::from_millis(1_400);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(1_400);
 
 impl Checker<'_> {
-    pub(super) fn judge_requests(&mut self) {
+    pub(super) fn check_requests(&mut self) {
         let requests = std::mem::take(&mut self.requests);
         for (id, request) in &requests {
-            self.judge_asked(id, request);
-            self.judge_runs(id, request);
+            self.check_requested(id, request);
+            self.check_executions(id, request);
             if let Some((at, end)) = &request.ended {
-                self.judge_end(id, request, *at, end);
+                self.check_outcome(id, request, *at, end);
             }
-            self.judge_drain(id, request);
+            self.check_drain(id, request);
         }
         self.requests = requests;
     }
 
-    fn judge_asked(&mut self, id: &str, request: &Request) {
+    fn check_requested(&mut self, id: &str, request: &Request) {
         for begun in &request.begun {
             let asked = request.asked.is_some() && begun.path == request.path;
             self.verdict.test(Promise::Unasked, asked, begun.at, || {
@@ -42,7 +42,7 @@
         }
     }
 
-    fn judge_runs(&mut self, id: &str, request: &Request) {
+    fn check_executions(&mut self, id: &str, request: &Request) {
         if request.repeatable || request.begun.is_empty() {
             return;
         }
@@ -53,7 +53,7 @@
         });
     }
 
-    fn judge_end(&mut self, id: &str, request: &Request, at: Time, end: &CallerEnd) {
+    fn check_outcome(&mut self, id: &str, request: &Request, at: Time, end: &CallerEnd) {
         let Some(asked) = request.asked else { return };
         match end {
             CallerEnd::Answered {
@@ -73,21 +73,31 @@
                         format!("{id} got {status} and has run")
                     });
                 }
-                self.judge_probe(id, request, asked, *status);
+                self.check_probe(id, request, asked, *status);
             }
-            CallerEnd::BrokenOff | CallerEnd::Unsent | CallerEnd::Left | CallerEnd::TimedOut => {}
+            CallerEnd::Disconnected
+            | CallerEnd::NotSent
+            | CallerEnd::Cancelled
+            | CallerEnd::TimedOut => {}
         }
-        let is_cut = *end == CallerEnd::BrokenOff;
-        self.judge_stop(id, request, asked, at, is_cut);
-        self.judge_cut(id, request, asked, at, is_cut);
+        let is_cut = *end == CallerEnd::Disconnected;
+        self.check_planned_stop(id, request, asked, at, is_cut);
+        self.check_undisturbed_disconnect(id, request, asked, at, is_cut);
     }
 
     /// Judges a request of a router that nothing disturbed: the connection that it came on
     /// is not closed without an answer once it was passed on.
-    fn judge_cut(&mut self, id: &str, request: &Request, asked: Time, at: Time, cut: bool) {
+    fn check_undisturbed_disconnect(
+        &mut self,
+        id: &str,
+        request: &Request,
+        asked: Time,
+        at: Time,
+        cut: bool,
+    ) {
         let upstreams = self.disturbed(asked - CONTACT, at, |whom| whom == Disturbed::Upstream);
-        let is_calm = self.in_touch(request.node, asked, at) && !upstreams;
-        if !is_calm || request.arrived.is_empty() || at.since(asked) >= LAST_PART {
+        let is_calm = self.is_connected(request.node, asked, at) && !upstreams;
+        if !is_calm || request.arrived.is_empty() || at.since(asked) >= DEADLINE_MARGIN {
             return;
         }
         self.verdict.test(Promise::Lost, !cut, at, || {
@@ -98,7 +108,7 @@
         });
     }
 
-    fn judge_probe(&mut self, id: &str, request: &Request, asked: Time, status: u16) {
+    fn check_probe(&mut self, id: &str, request: &Request, asked: Time, status: u16) {
         let Some(rest) = request.path.strip_prefix(PROBE) else {
             return;
         };
@@ -107,18 +117,18 @@
             .next()
             .and_then(|text| text.parse::<u64>().ok());
         let Some(version) = version else { return };
-        if !self.in_touch(request.node, asked - CONFIGURE, asked) {
+        if !self.is_connected(request.node, asked - CONFIGURE_TIMEOUT, asked) {
             return;
         }
         // The version that must be in force, and whether a later one may be.
         let in_force = self
             .configured
             .iter()
-            .rfind(|(at, _)| *at + CONFIGURE < asked);
+            .rfind(|(at, _)| *at + CONFIGURE_TIMEOUT < asked);
         let newest = self
             .configured
             .iter()
-            .rfind(|(at, _)| *at <= asked + CONFIGURE);
+            .rfind(|(at, _)| *at <= asked + CONFIGURE_TIMEOUT);
         let (Some((_, in_force)), Some((_, newest))) = (in_force, newest) else {
             return;
         };
@@ -136,7 +146,14 @@
     }
 
     /// Judges a request of a router that was told to stop while it lasted.
-    fn judge_stop(&mut self, id: &str, request: &Request, asked: Time, at: Time, cut: bool) {
+    fn check_planned_stop(
+        &mut self,
+        id: &str,
+        request: &Request,
+        asked: Time,
+        at: Time,
+        cut: bool,
+    ) {
         let stops = &self.history.stops;
         let stopped = stops
             .iter()
@@ -145,7 +162,7 @@
             matches!(whom, Disturbed::Store | Disturbed::Upstream)
                 || whom == Disturbed::Router(request.node)
         });
-        if !stopped || unplanned || at.since(asked) >= LAST_PART {
+        if !stopped || unplanned || at.since(asked) >= DEADLINE_MARGIN {
             return;
         }
         let passed_on = !request.arrived.is_empty();
@@ -159,15 +176,16 @@
             });
     }
 
-    fn judge_drain(&mut self, id: &str, request: &Request) {
+    fn check_drain(&mut self, id: &str, request: &Request) {
         let Some(asked) = request.asked else { return };
         for (at, upstream) in &request.arrived {
             let Some(left) = self.left.get(upstream) else {
                 continue;
             };
-            let touched = self.in_touch(request.node, *left, *at);
-            let hindered = self.disturbed(asked - CONTACT, *at, |whom| whom == Disturbed::Upstream);
-            if !touched || hindered {
+            let was_connected = self.is_connected(request.node, *left, *at);
+            let upstream_faulted =
+                self.disturbed(asked - CONTACT, *at, |whom| whom == Disturbed::Upstream);
+            if !was_connected || upstream_faulted {
                 continue;
             }
             let late = at.since(*left);
--- a/crates/soak/src/checker/tokens.rs
+++ b/crates/soak/src/checker/tokens.rs
@@ -1,18 +1,18 @@
 //! The promises that tokens rise, and that no key is given away under its holder's work.
 
-use super::{Checker, Promise, Taking};
+use super::{AcceptedGrant, Checker, Promise};
 use beamtray_types::Time;
 use std::time::Duration;
 
 /// For so long after its sender ran again or its link was whole again, a grant that arrives
 /// does not tell against the router: it could not know better.
-const AFTER_TROUBLE: Duration = Duration::from_millis(300);
+const AFTER_FAULT_EXEMPTION: Duration = Duration::from_millis(300);
 /// How long after bytes that were held up have passed a grant may be one of them.
-const HELD_UP_TAKES: Duration = Duration::from_millis(100);
+const DELAYED_DELIVERY_WINDOW: Duration = Duration::from_millis(100);
 
 /// A token under which an upstream had a key; the order is that of tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Had<'a> {
+struct HeldToken<'a> {
     token: u64,
     upstream: &'a str,
 }
@@ -20,13 +20,13 @@
 /// Tokens under which upstreams had one key.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyTokens<'a> {
-    highest: Had<'a>,
+    highest: HeldToken<'a>,
     /// The highest of all but that holder.
-    of_others: Had<'a>,
+    of_others: HeldToken<'a>,
 }
 
 impl<'a> KeyTokens<'a> {
-    fn highest_of_others(&self, upstream: &str) -> Had<'a> {
+    fn highest_of_others(&self, upstream: &str) -> HeldToken<'a> {
         if self.highest.upstream == upstream {
             self.of_others
         } else {
@@ -34,7 +34,7 @@
         }
     }
 
-    fn note(&mut self, had: Had<'a>) {
+    fn note(&mut self, had: HeldToken<'a>) {
         if self.highest.upstream == had.upstream {
             self.highest = self.highest.max(had);
         } else if had.token > self.highest.token {
@@ -52,52 +52,54 @@
 
 impl Checker<'_> {
     /// Whether a grant came to an upstream right after trouble: it does not count.
-    pub(super) fn is_after_trouble(&self, upstream: &str, at: Time) -> bool {
-        self.history.healed.iter().any(|healed| {
-            let concerns = healed.upstream.as_ref().is_none_or(|one| one == upstream);
-            concerns && is_within(at, healed.at, AFTER_TROUBLE)
+    pub(super) fn follows_fault(&self, upstream: &str, at: Time) -> bool {
+        self.history.fault_ends.iter().any(|fault_end| {
+            let concerns = fault_end
+                .upstream
+                .as_ref()
+                .is_none_or(|one| one == upstream);
+            concerns && is_within(at, fault_end.at, AFTER_FAULT_EXEMPTION)
         })
     }
 
     /// Whether a grant that came to an upstream may have been held up on its way.
-    pub(super) fn is_held_up(&self, upstream: &str, at: Time) -> bool {
-        self.history
-            .held_up
-            .iter()
-            .any(|held_up| held_up.upstream == upstream && is_within(at, held_up.at, HELD_UP_TAKES))
+    pub(super) fn is_delayed_delivery(&self, upstream: &str, at: Time) -> bool {
+        self.history.delayed_deliveries.iter().any(|delivery| {
+            delivery.upstream == upstream && is_within(at, delivery.at, DELAYED_DELIVERY_WINDOW)
+        })
     }
 
     /// An upstream takes a key only under a token above all those under which others had
     /// it. A grant that was held up counts too: its token tells how old it is.
-    pub(super) fn judge_tokens(&mut self) {
-        let takings = std::mem::take(&mut self.takings);
+    pub(super) fn check_tokens(&mut self) {
+        let accepted_grants = std::mem::take(&mut self.accepted_grants);
         let mut keys = vec![KeyTokens::default(); usize::from(u16::MAX) + 1];
-        for taking in &takings {
-            let own = Had {
+        for taking in &accepted_grants {
+            let own = HeldToken {
                 token: taking.token,
                 upstream: &taking.upstream,
             };
-            let mut others = Had::default();
+            let mut others = HeldToken::default();
             for tokens in &mut keys[usize::from(taking.first)..=usize::from(taking.last)] {
                 others = others.max(tokens.highest_of_others(&taking.upstream));
                 tokens.note(own);
             }
-            let counts = !self.is_after_trouble(&taking.upstream, taking.at);
+            let counts = !self.follows_fault(&taking.upstream, taking.at);
             let holds = others.token < taking.token || !counts;
             self.verdict
                 .test(Promise::Owner, holds, taking.at, || too_low(taking, others));
         }
-        self.takings = takings;
+        self.accepted_grants = accepted_grants;
     }
 
     /// No key is given to an upstream while another one works on it, before the lease of
     /// that one would have run out. What was held up does not count: it lasts from its
     /// arrival, later than its sender can know by any clock.
-    pub(super) fn judge_work(&mut self) {
+    pub(super) fn check_work(&mut self) {
         let runs = self.runs();
-        let takings = std::mem::take(&mut self.takings);
-        for taking in &takings {
-            if self.is_held_up(&taking.upstream, taking.at) {
+        let accepted_grants = std::mem::take(&mut self.accepted_grants);
+        for taking in &accepted_grants {
+            if self.is_delayed_delivery(&taking.upstream, taking.at) {
                 continue;
             }
             let works = runs.iter().find(|run| {
@@ -115,7 +117,7 @@
                     format!("{upstream} takes {first} to {last}, on which {other} works")
                 });
         }
-        self.takings = takings;
+        self.accepted_grants = accepted_grants;
     }
 
     fn is_leased(&self, run: &KeyRun, at: Time) -> bool {
@@ -124,7 +126,7 @@
                 && (holding.first..=holding.last).contains(&run.key)
                 && holding.taken <= at
                 && at < holding.lease_ends
-                && !self.is_held_up(&holding.upstream, holding.taken)
+                && !self.is_delayed_delivery(&holding.upstream, holding.taken)
         })
     }
 
@@ -162,8 +164,8 @@
     ends: Time,
 }
 
-fn too_low(taking: &Taking, other: Had<'_>) -> String {
-    let Taking {
+fn too_low(taking: &AcceptedGrant, other: HeldToken<'_>) -> String {
+    let AcceptedGrant {
         upstream,
         first,
         last,
--- a/crates/soak/src/checker/words.rs
+++ b/crates/soak/src/checker/words.rs
@@ -1,32 +1,32 @@
 //! Promises about what upstreams say of themselves in answers: that they leave, that they want
 //! rest.
 
-use super::{Checker, Disturbed, Promise, Said};
+use super::{AnnouncementKind, Checker, Disturbed, Promise};
 use crate::config::DRAIN;
 use beamtray_types::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// How long after an answer that asks for rest requests that were under way may come.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// How long an answer may be on its way.
-const ON_ITS_WAY: Duration = Duration::from_secs(1);
+const RESPONSE_TRANSIT: Duration = Duration::from_secs(1);
 /// Requests that may come in the rest of it.
 const ALLOWED: usize = 2;
 
 /// A request as it came from a router to an upstream.
-struct Coming {
+struct ArrivedRequest {
     id: String,
     asked: Time,
     at: Time,
 }
 
 impl Checker<'_> {
-    pub(super) fn judge_words(&mut self) {
-        let words = std::mem::take(&mut self.words);
-        let comings = self.comings();
+    pub(super) fn check_announcements(&mut self) {
+        let announcements = std::mem::take(&mut self.announcements);
+        let arrivals = self.arrivals_by_router();
         let mut told: BTreeMap<(usize, &str), Time> = BTreeMap::new();
-        for word in &words {
+        for word in &announcements {
             let Some(request) = self.requests.get(&word.request) else {
                 continue;
             };
@@ -34,21 +34,21 @@
                 continue;
             }
             let (node, upstream) = (request.node, word.upstream.as_str());
-            match word.said {
-                Said::Leaves => {
+            match word.kind {
+                AnnouncementKind::Leaves => {
                     told.entry((node, upstream)).or_insert(word.at);
                 }
-                Said::Rest(rest) => {
-                    let of_pair = comings.get(&(node, upstream.to_owned()));
+                AnnouncementKind::Rest(rest) => {
+                    let of_pair = arrivals.get(&(node, upstream.to_owned()));
                     let of_pair = of_pair.map_or(&[][..], Vec::as_slice);
-                    self.judge_rest(node, upstream, word.at, rest, of_pair);
+                    self.check_requested_pause(node, upstream, word.at, rest, of_pair);
                 }
             }
         }
         for ((node, upstream), at) in told {
-            let of_pair = comings.get(&(node, upstream.to_owned()));
-            for coming in of_pair.into_iter().flatten() {
-                self.judge_leaving(node, upstream, at, coming);
+            let of_pair = arrivals.get(&(node, upstream.to_owned()));
+            for arrival in of_pair.into_iter().flatten() {
+                self.check_drain_after_announcement(node, upstream, at, arrival);
             }
         }
     }
@@ -56,55 +56,61 @@
     /// Whether an answer of that time may not have come to its router, the way to some upstream
     /// being harmed.
     fn may_be_lost(&self, at: Time) -> bool {
-        self.disturbed(at - ON_ITS_WAY, at + ON_ITS_WAY, |whom| {
+        self.disturbed(at - RESPONSE_TRANSIT, at + RESPONSE_TRANSIT, |whom| {
             whom == Disturbed::Upstream
         })
     }
 
     /// Requests by router and upstream.
-    fn comings(&self) -> BTreeMap<(usize, String), Vec<Coming>> {
-        let mut comings: BTreeMap<(usize, String), Vec<Coming>> = BTreeMap::new();
+    fn arrivals_by_router(&self) -> BTreeMap<(usize, String), Vec<ArrivedRequest>> {
+        let mut arrivals: BTreeMap<(usize, String), Vec<ArrivedRequest>> = BTreeMap::new();
         for (id, request) in &self.requests {
             let Some(asked) = request.asked else { continue };
             for (at, upstream) in &request.arrived {
-                let of_pair = comings.entry((request.node, upstream.clone()));
-                of_pair.or_default().push(Coming {
+                let of_pair = arrivals.entry((request.node, upstream.clone()));
+                of_pair.or_default().push(ArrivedRequest {
                     id: id.clone(),
                     asked,
                     at: *at,
                 });
             }
         }
-        comings
+        arrivals
     }
 
     /// A restart or a freeze of the router since the answer excuses it.
-    fn judge_leaving(&mut self, node: usize, upstream: &str, told: Time, coming: &Coming) {
-        if coming.asked <= told || self.is_interrupted(node, told, coming.at) {
+    fn check_drain_after_announcement(
+        &mut self,
+        node: usize,
+        upstream: &str,
+        told: Time,
+        arrival: &ArrivedRequest,
+    ) {
+        if arrival.asked <= told || self.is_interrupted(node, told, arrival.at) {
             return;
         }
-        let late = coming.asked.since(told);
+        let late = arrival.asked.since(told);
         self.verdict
-            .test(Promise::Drain, late <= DRAIN, coming.at, || {
-                let (id, late) = (&coming.id, late.as_millis());
+            .test(Promise::Drain, late <= DRAIN, arrival.at, || {
+                let (id, late) = (&arrival.id, late.as_millis());
                 format!("{upstream} gets {id} {late} ms after it told router {node} that it leaves")
             });
     }
 
-    fn judge_rest(
+    fn check_requested_pause(
         &mut self,
         node: usize,
         upstream: &str,
         at: Time,
         rest: Duration,
-        comings: &[Coming],
+        arrivals: &[ArrivedRequest],
     ) {
-        let counts = |coming: &&Coming| {
-            let since = coming.at.since(at);
-            coming.at > at && since > UNDER_WAY && since < rest
+        let counts = |arrival: &&ArrivedRequest| {
+            let since = arrival.at.since(at);
+            arrival.at > at && since > IN_FLIGHT_TIME && since < rest
         };
-        let late: Vec<&Coming> = comings.iter().filter(counts).collect();
-        let last = late.iter().map(|coming| coming.at).max().unwrap_or(at);
+        let late: Vec<&ArrivedRequest> = arrivals.iter().filter(counts).collect();
+        let last = late.iter().map(|arrival| arrival.at).max().unwrap_or(at);
         if self.is_interrupted(node, at, last) {
             return;
         }
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -21,15 +21,15 @@
 pub(crate) const ZONES: [&str; 2] = ["a", "b"];
 
 /// How long a caller waits.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(2_000);
+pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a router must have been undisturbed to count as in touch.
 pub(crate) const CONTACT: Duration = Duration::from_millis(3_000);
 /// How long a leaving upstream may get requests.
 pub(crate) const DRAIN: Duration = Duration::from_millis(2_000);
 /// How long a configuration may take to be in force.
-pub(crate) const CONFIGURE: Duration = Duration::from_millis(2_000);
+pub(crate) const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a stopping router may take.
-pub(crate) const GRACE: Duration = Duration::from_secs(6);
+pub(crate) const STOP_GRACE: Duration = Duration::from_secs(6);
 /// Longest hold of keys.
 pub(crate) const LONGEST_HOLD: Duration = Duration::from_secs(10);
 /// Between an upstream's writes of its entry.
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -19,17 +19,17 @@
 use std::time::Duration;
 
 /// Time before the first fault.
-const LEAD: Duration = Duration::from_secs(7);
+const WARM_UP: Duration = Duration::from_secs(7);
 /// Requests after the recovery that are counted.
-const COUNTED: Duration = Duration::from_secs(6);
+const MEASURED: Duration = Duration::from_secs(6);
 /// Time for the last requests to end.
 const LAST_REQUESTS: Duration = Duration::from_millis(2_500);
 /// Between looks at what is due.
-const STEP: Duration = Duration::from_millis(5);
+const TICK: Duration = Duration::from_millis(5);
 /// A step that takes so long shows that the machine had no time for its processes.
-const STALL: Duration = Duration::from_millis(150);
+const STALL_THRESHOLD: Duration = Duration::from_millis(150);
 /// Least time of troubles.
-const LEAST_TROUBLED: Duration = Duration::from_secs(3);
+const MIN_FAULT_TIME: Duration = Duration::from_secs(3);
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
@@ -49,8 +49,8 @@
 impl RunSettings {
     /// The plan of the seed.
     pub fn plan(&self) -> Plan {
-        let calm = LEAD + RECOVERY + COUNTED;
-        let troubled = self.length.saturating_sub(calm).max(LEAST_TROUBLED);
+        let calm = WARM_UP + RECOVERY + MEASURED;
+        let troubled = self.length.saturating_sub(calm).max(MIN_FAULT_TIME);
         Plan::draw(self.seed, troubled, self.size)
     }
 }
@@ -59,32 +59,32 @@
 ///
 /// # Errors
 /// When a process can't be started or told something.
-pub async fn play(settings: &RunSettings, plan: &Plan) -> Result<Verdict> {
+pub async fn run_plan(settings: &RunSettings, plan: &Plan) -> Result<Verdict> {
     std::fs::create_dir_all(&settings.folder)
         .wrap_err_with(|| format!("make {}", settings.folder.display()))?;
     let mut cluster = Cluster::start(settings).await?;
-    cluster.settle(LEAD).await?;
+    cluster.warm_up(WARM_UP).await?;
     let begin = clock::now();
     let end = begin + Duration::from_millis(plan.end_ms());
     let mut due: Vec<_> = plan.faults.clone();
     due.sort_by_key(|fault| std::cmp::Reverse(fault.at_ms));
-    while clock::now() < end || cluster.is_harmed() {
+    while clock::now() < end || cluster.has_active_faults() {
         let now = clock::now();
         while due
             .last()
             .is_some_and(|fault| at(begin, fault.at_ms) <= now)
         {
             if let Some(fault) = due.pop() {
-                cluster.harm(now, &fault)?;
+                cluster.inject(now, &fault)?;
             }
         }
-        cluster.heal(now)?;
-        watched_sleep(&mut cluster, STEP).await;
+        cluster.end_due_faults(now)?;
+        watched_sleep(&mut cluster, TICK).await;
     }
     watched_sleep(&mut cluster, RECOVERY).await;
     let recovered = clock::now();
-    watched_sleep(&mut cluster, COUNTED).await;
-    cluster.tell("caller", &Command::End);
+    watched_sleep(&mut cluster, MEASURED).await;
+    cluster.send_command("caller", &Command::StopTraffic);
     watched_sleep(&mut cluster, LAST_REQUESTS).await;
     cluster.require_routers()?;
     Ok(check(&cluster.history(recovered)))
@@ -100,10 +100,10 @@
         if left.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(STEP)).await;
+        tokio::time::sleep(left.min(TICK)).await;
         let after = clock::now();
-        if after.since(before) >= STALL {
-            cluster.stalled(before, after);
+        if after.since(before) >= STALL_THRESHOLD {
+            cluster.record_stall(before, after);
         }
     }
 }
@@ -121,7 +121,7 @@
     let mut index = 0;
     while index < plan.faults.len() {
         let shorter = plan.without(index);
-        if play(settings, &shorter).await?.is_clean() {
+        if run_plan(settings, &shorter).await?.is_clean() {
             index += 1;
         } else {
             plan = shorter;
--- a/crates/soak/src/driver/cluster.rs
+++ b/crates/soak/src/driver/cluster.rs
@@ -4,12 +4,14 @@
 use super::faults::{ActiveFault, Target};
 use super::ports::Ports;
 use crate::channel::MessageReader;
-use crate::checker::{Disturbance, Disturbed, Healed, HeldUp, History, PlannedStop, UpstreamEnd};
+use crate::checker::{
+    DelayedDelivery, Disturbance, Disturbed, FaultEnd, History, PlannedStop, UpstreamEnd,
+};
 use crate::children::{Process, router_program};
 use crate::clock;
 use crate::config::{
-    CONTACT, DRAIN, GRACE, HEARTBEAT, KEYED, LONGEST_HOLD, POOL, RETRY_ALLOWANCE, RETRY_RATIO,
-    RETRY_WINDOW, ZONES,
+    CONTACT, DRAIN, HEARTBEAT, KEYED, LONGEST_HOLD, POOL, RETRY_ALLOWANCE, RETRY_RATIO,
+    RETRY_WINDOW, STOP_GRACE, ZONES,
 };
 use crate::message::{Command, Report};
 use crate::proxy::Proxy;
@@ -73,8 +75,8 @@
     pub disturbances: Vec<Disturbance>,
     pub stops: Vec<PlannedStop>,
     pub upstream_ends: Vec<UpstreamEnd>,
-    pub healed: Vec<Healed>,
-    pub held_up: Vec<HeldUp>,
+    pub fault_ends: Vec<FaultEnd>,
+    pub delayed_deliveries: Vec<DelayedDelivery>,
 }
 
 impl Cluster {
@@ -84,7 +86,11 @@
         let driver = listener.local_addr()?;
         let commands = Commands::default();
         let reports = Reports::default();
-        tokio::task::spawn_local(hear(listener, commands.clone(), reports.clone()));
+        tokio::task::spawn_local(accept_processes(
+            listener,
+            commands.clone(),
+            reports.clone(),
+        ));
         let folder = settings.folder.clone();
         let own = std::env::current_exe()?;
         let size = settings.size;
@@ -135,8 +141,8 @@
             disturbances: Vec::new(),
             stops: Vec::new(),
             upstream_ends: Vec::new(),
-            healed: Vec::new(),
-            held_up: Vec::new(),
+            fault_ends: Vec::new(),
+            delayed_deliveries: Vec::new(),
         };
         for index in 0..size.upstreams() {
             cluster.start_upstream(index)?;
@@ -148,23 +154,23 @@
     }
 
     /// Gives everything time to come up, then lets the callers begin.
-    pub async fn settle(&mut self, time: Duration) -> Result<()> {
+    pub async fn warm_up(&mut self, time: Duration) -> Result<()> {
         tokio::time::sleep(time / 4).await;
         self.configure();
         tokio::time::sleep(time * 3 / 4).await;
-        self.tell("caller", &Command::Begin);
+        self.send_command("caller", &Command::StartTraffic);
         Ok(())
     }
 
     /// Puts the next configuration in force.
     pub fn configure(&mut self) {
         self.version += 1;
-        self.tell("store", &Command::Configure(self.version));
-        self.tell("caller", &Command::Probe(self.version));
+        self.send_command("store", &Command::Configure(self.version));
+        self.send_command("caller", &Command::Probe(self.version));
     }
 
     /// Tells a process something; one that is not there hears nothing.
-    pub fn tell(&self, name: &str, command: &Command) {
+    pub fn send_command(&self, name: &str, command: &Command) {
         if let Some(sender) = self.commands.borrow().get(name) {
             // One that has just ended needs no command.
             let _ = sender.send(command.clone());
@@ -222,7 +228,7 @@
     }
 
     /// Notes a fault that lasted from `from` until now.
-    pub fn disturbed(&mut self, fault: &ActiveFault, until: Time) {
+    pub fn record_disturbance(&mut self, fault: &ActiveFault, until: Time) {
         let from = fault.from;
         let whom = match fault.target {
             Target::Nobody => return,
@@ -251,7 +257,7 @@
     }
 
     /// Notes that the machine ran nobody.
-    pub fn stalled(&mut self, from: Time, until: Time) {
+    pub fn record_stall(&mut self, from: Time, until: Time) {
         let routers = (0..self.routers.len()).map(Disturbed::Router);
         let all = routers.chain([Disturbed::Store, Disturbed::Upstream]);
         let stalls = all.map(|whom| Disturbance { whom, from, until });
@@ -260,14 +266,14 @@
 
     /// What was seen so far.
     pub fn history(&mut self, recovered: Time) -> History {
-        self.follow_links();
+        self.collect_delayed_deliveries();
         History {
             reports: self.reports.borrow().clone(),
             disturbances: self.disturbances.clone(),
             stops: self.stops.clone(),
             upstream_ends: self.upstream_ends.clone(),
-            healed: self.healed.clone(),
-            held_up: self.held_up.clone(),
+            fault_ends: self.fault_ends.clone(),
+            delayed_deliveries: self.delayed_deliveries.clone(),
             recovered,
         }
     }
@@ -314,25 +320,25 @@
          [limits]\nmemory_mb = {MEMORY_MB}\ndescriptors = {DESCRIPTORS}\n",
         DRAIN.as_millis(),
         CONTACT.as_millis(),
-        GRACE.as_secs(),
+        STOP_GRACE.as_secs(),
         RETRY_WINDOW.as_secs(),
         LONGEST_HOLD.as_millis(),
         HEARTBEAT.as_millis(),
     ))
 }
 
-async fn hear(listener: TcpListener, commands: Commands, reports: Reports) {
+async fn accept_processes(listener: TcpListener, commands: Commands, reports: Reports) {
     while let Ok((stream, _)) = listener.accept().await {
         let commands = commands.clone();
         let reports = reports.clone();
         tokio::task::spawn_local(async move {
             // A process that is killed ends its connection.
-            let _ = hear_one(stream, commands, reports).await;
+            let _ = serve_process(stream, commands, reports).await;
         });
     }
 }
 
-async fn hear_one(stream: TcpStream, commands: Commands, reports: Reports) -> Result<()> {
+async fn serve_process(stream: TcpStream, commands: Commands, reports: Reports) -> Result<()> {
     stream.set_nodelay(true)?;
     let (reading, mut writing) = stream.into_split();
     let mut reader = MessageReader::new(reading);
--- a/crates/soak/src/driver/faults.rs
+++ b/crates/soak/src/driver/faults.rs
@@ -1,10 +1,10 @@
 //! Carries faults out and ends them.
 
 use super::cluster::{Cluster, now};
-use crate::checker::{Disturbed, Healed, HeldUp, PlannedStop};
+use crate::checker::{DelayedDelivery, Disturbed, FaultEnd, PlannedStop};
 use crate::message::{Command, StoreFaults};
 use crate::plan::{PlannedFault, SoakFault};
-use crate::proxy::LinkHarm;
+use crate::proxy::LinkFault;
 use beamtray_types::Time;
 use eyre::Result;
 use nix::sys::signal::Signal;
@@ -18,15 +18,15 @@
 const LOST_PERCENT: u32 = 30;
 /// Requests in a thousand seconds that an upstream in need takes: less than half of what it
 /// gets.
-const IN_NEED_MILLI: u32 = 3_000;
+const ANNOUNCED_RATE_MILLI: u32 = 3_000;
 /// Milliseconds of rest that an upstream asks for.
-const REST_MS: u32 = 3_000;
+const PAUSE_MS: u32 = 3_000;
 /// How old the copy is from which the store comes back, in milliseconds.
-const BACK_MS: u32 = 5_000;
+const SNAPSHOT_AGE_MS: u32 = 5_000;
 /// How long watches hear nothing before the history is dropped.
-const DEAF: Duration = Duration::from_secs(1);
+const WATCH_SILENCE: Duration = Duration::from_secs(1);
 /// How long a planned stop may take before the process is killed.
-const LONGEST_STOP: Duration = Duration::from_secs(8);
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Whom a fault harms, as the checks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,20 +80,20 @@
 
 impl Cluster {
     /// Whether any fault is under way.
-    pub fn is_harmed(&self) -> bool {
+    pub fn has_active_faults(&self) -> bool {
         let stopping = self.routers.iter().any(|slot| slot.stopping.is_some());
         stopping || !self.active.is_empty()
     }
 
     /// Begins a fault. One that hits a process which is down or stands still
     /// is left out.
-    pub fn harm(&mut self, now: Time, planned: &PlannedFault) -> Result<()> {
+    pub fn inject(&mut self, now: Time, planned: &PlannedFault) -> Result<()> {
         let fault = planned.fault;
         if self.is_busy(fault) {
             return Ok(());
         }
         let lasts = match fault {
-            SoakFault::StoreCompact => DEAF,
+            SoakFault::StoreCompact => WATCH_SILENCE,
             _ => Duration::from_millis(planned.for_ms),
         };
         self.begin(now, fault)?;
@@ -159,15 +159,15 @@
             SoakFault::UpstreamReset(index) => self.upstreams[index].proxy.reset(),
             SoakFault::AnswersLost(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::LoseAnswers(LOST_PERCENT));
+                self.send_command(&name, &Command::DropResponses(LOST_PERCENT));
             }
             SoakFault::UpstreamInNeed(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::NameRate(Some(IN_NEED_MILLI)));
+                self.send_command(&name, &Command::AnnounceRate(Some(ANNOUNCED_RATE_MILLI)));
             }
             SoakFault::UpstreamRests(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::Rest(Some(REST_MS)));
+                self.send_command(&name, &Command::RequestPause(Some(PAUSE_MS)));
             }
             SoakFault::Configure => self.configure(),
             _ => {}
@@ -190,11 +190,11 @@
     }
 
     /// Ends faults whose time is over, and starts again what has stopped.
-    pub fn heal(&mut self, at: Time) -> Result<()> {
+    pub fn end_due_faults(&mut self, at: Time) -> Result<()> {
         let mut over = Vec::new();
         let mut active = std::mem::take(&mut self.active);
         active.retain(|fault| {
-            let is_over = at >= fault.until && self.may_end(fault.fault);
+            let is_over = at >= fault.until && self.can_end(fault.fault);
             if is_over {
                 over.push(*fault);
             }
@@ -208,15 +208,15 @@
             self.apply_states();
         }
         for fault in over {
-            self.disturbed(&fault, now());
-            self.healed(fault.fault);
+            self.record_disturbance(&fault, now());
+            self.record_fault_end(fault.fault);
         }
-        self.follow_links();
-        self.follow_stops(at)
+        self.collect_delayed_deliveries();
+        self.restart_stopped_routers(at)
     }
 
     /// Whether a fault that lasts until a process has ended may end.
-    fn may_end(&mut self, fault: SoakFault) -> bool {
+    fn can_end(&mut self, fault: SoakFault) -> bool {
         match fault {
             SoakFault::UpstreamDrain(index) => {
                 let process = self.upstreams[index].process.as_mut();
@@ -243,18 +243,20 @@
             SoakFault::UpstreamPause(index) => self.signal_upstream(index, Signal::SIGCONT)?,
             SoakFault::AnswersLost(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::LoseAnswers(0));
+                self.send_command(&name, &Command::DropResponses(0));
             }
             SoakFault::UpstreamInNeed(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::NameRate(None));
+                self.send_command(&name, &Command::AnnounceRate(None));
             }
             SoakFault::UpstreamRests(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::Rest(None));
+                self.send_command(&name, &Command::RequestPause(None));
             }
-            SoakFault::StoreGoesBack => self.tell("store", &Command::GoBack(BACK_MS)),
-            SoakFault::StoreCompact => self.tell("store", &Command::Compact),
+            SoakFault::StoreGoesBack => {
+                self.send_command("store", &Command::RestoreSnapshot(SNAPSHOT_AGE_MS))
+            }
+            SoakFault::StoreCompact => self.send_command("store", &Command::Compact),
             _ => {}
         }
         Ok(())
@@ -262,7 +264,7 @@
 
     /// Notes the end of a trouble after which a grant may come that its sender would not
     /// send any more.
-    fn healed(&mut self, fault: SoakFault) {
+    fn record_fault_end(&mut self, fault: SoakFault) {
         let upstream = match fault {
             SoakFault::RouterPause(_) => None,
             SoakFault::UpstreamCut(index) | SoakFault::UpstreamUnreachable(index) => {
@@ -270,26 +272,29 @@
             }
             _ => return,
         };
-        self.healed.push(Healed {
+        self.fault_ends.push(FaultEnd {
             upstream,
             at: now(),
         });
     }
 
     /// Notes what came to upstreams that had been held up.
-    pub fn follow_links(&mut self) {
+    pub fn collect_delayed_deliveries(&mut self) {
         for index in 0..self.upstreams.len() {
             let upstream = self.upstream_name(index);
-            let times = self.upstreams[index].proxy.take_held_up().into_iter();
-            let held_up = times.map(|at| HeldUp {
+            let times = self.upstreams[index]
+                .proxy
+                .take_delayed_deliveries()
+                .into_iter();
+            let deliveries = times.map(|at| DelayedDelivery {
                 upstream: upstream.clone(),
                 at,
             });
-            self.held_up.extend(held_up);
+            self.delayed_deliveries.extend(deliveries);
         }
     }
 
-    fn follow_stops(&mut self, at: Time) -> Result<()> {
+    fn restart_stopped_routers(&mut self, at: Time) -> Result<()> {
         for node in 0..self.routers.len() {
             let slot = &mut self.routers[node];
             let Some(begun) = slot.stopping else { continue };
@@ -297,7 +302,7 @@
                 .process
                 .as_mut()
                 .is_none_or(|process| process.has_ended());
-            if !ended && at.since(begun) < LONGEST_STOP {
+            if !ended && at.since(begun) < STOP_TIMEOUT {
                 continue;
             }
             slot.stopping = None;
@@ -334,34 +339,35 @@
                 0
             },
             late: has(SoakFault::StoreLate),
-            deaf: has(SoakFault::StoreCompact),
+            watches_silent: has(SoakFault::StoreCompact),
         };
-        self.tell("store", &Command::Store(faults));
+        self.send_command("store", &Command::Store(faults));
         for (node, slot) in self.routers.iter().enumerate() {
-            slot.store_proxy.harm(if has(SoakFault::StoreCut(node)) {
-                LinkHarm::cut()
-            } else if has(SoakFault::StoreOneWay(node)) {
-                LinkHarm::one_way()
-            } else if has(SoakFault::StoreDelay(node)) {
-                LinkHarm::delayed(SLOW_LINK)
-            } else {
-                LinkHarm::default()
-            });
+            slot.store_proxy
+                .set_fault(if has(SoakFault::StoreCut(node)) {
+                    LinkFault::cut()
+                } else if has(SoakFault::StoreOneWay(node)) {
+                    LinkFault::one_way()
+                } else if has(SoakFault::StoreDelay(node)) {
+                    LinkFault::delayed(SLOW_LINK)
+                } else {
+                    LinkFault::default()
+                });
         }
         for (index, slot) in self.upstreams.iter().enumerate() {
             let is_unreachable = has(SoakFault::UpstreamUnreachable(index));
-            slot.store_proxy.harm(if is_unreachable {
-                LinkHarm::cut()
+            slot.store_proxy.set_fault(if is_unreachable {
+                LinkFault::cut()
             } else {
-                LinkHarm::default()
+                LinkFault::default()
             });
             let is_cut = is_unreachable || has(SoakFault::UpstreamCut(index));
-            slot.proxy.harm(if is_cut {
-                LinkHarm::cut()
+            slot.proxy.set_fault(if is_cut {
+                LinkFault::cut()
             } else if has(SoakFault::UpstreamDelay(index)) {
-                LinkHarm::delayed(SLOW_LINK)
+                LinkFault::delayed(SLOW_LINK)
             } else {
-                LinkHarm::default()
+                LinkFault::default()
             });
         }
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -25,14 +25,14 @@
 
 pub use caller::{CallerSettings, run as run_caller};
 pub use checker::{
-    Count, Disturbance, Disturbed, Finding, Healed, HeldUp, History, PlannedStop, Promise,
-    UpstreamEnd, Verdict, check,
+    Count, DelayedDelivery, Disturbance, Disturbed, FaultEnd, Finding, History, PlannedStop,
+    Promise, UpstreamEnd, Verdict, check,
 };
 pub use config::{HOST, ORDER, PROBE};
-pub use driver::{Ports, RunSettings, play, shorten};
+pub use driver::{Ports, RunSettings, run_plan, shorten};
 pub use message::{CallerEnd, Command, Observation, Report};
 pub use plan::{Plan, PlannedFault, SoakFault};
-pub use proxy::{Harm, LinkHarm, Proxy};
+pub use proxy::{DirectionFault, LinkFault, Proxy};
 pub use regressions::{Regression, load as load_regressions};
 pub use size::Size;
 pub use store::{StoreSettings, run as run_store};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -2,7 +2,7 @@
 
 use beamtray_soak::{
     CallerSettings, Plan, RunSettings, Size, StoreSettings, UpstreamSettings, load_regressions,
-    play, run_caller, run_store, run_upstream, shorten,
+    run_caller, run_plan, run_store, run_upstream, shorten,
 };
 use eyre::{Result, WrapErr, bail, eyre};
 use gumdrop::Options;
@@ -246,7 +246,7 @@
 }
 
 async fn run_one(settings: &RunSettings, plan: &Plan, shortens: bool) -> Result<bool> {
-    let verdict = play(settings, plan).await?;
+    let verdict = run_plan(settings, plan).await?;
     println!(
         "seed={} faults={} {verdict}",
         settings.seed,
--- a/crates/soak/src/message.rs
+++ b/crates/soak/src/message.rs
@@ -16,11 +16,11 @@
         sound: bool,
     },
     /// The connection ended without an answer.
-    BrokenOff,
+    Disconnected,
     /// No connection came up, or it ended before the request was written.
-    Unsent,
+    NotSent,
     /// The caller left.
-    Left,
+    Cancelled,
     /// The deadline passed.
     TimedOut,
 }
@@ -31,7 +31,7 @@
     /// It is there.
     Started,
     /// A caller sent a request.
-    Asked {
+    RequestSent {
         /// Its id.
         id: String,
         /// The router's number.
@@ -42,19 +42,19 @@
         repeatable: bool,
     },
     /// A caller's request ended.
-    Ended {
+    RequestEnded {
         /// Its id.
         id: String,
         /// How.
         end: CallerEnd,
     },
     /// A request reached an upstream.
-    Arrived {
+    RequestArrived {
         /// The request.
         id: String,
     },
     /// An upstream begins to work on a request.
-    Begun {
+    WorkStarted {
         /// The request.
         id: String,
         /// Its path.
@@ -65,12 +65,12 @@
         held_since: Time,
     },
     /// An upstream's work on a request ended, or was broken off.
-    Finished {
+    WorkFinished {
         /// The request.
         id: String,
     },
     /// An upstream holds keys.
-    Held {
+    KeysHeld {
         /// First key.
         first: u16,
         /// Last key.
@@ -81,7 +81,7 @@
         ends: Time,
     },
     /// An upstream took a grant.
-    Taken {
+    GrantAccepted {
         /// First key.
         first: u16,
         /// Last key.
@@ -90,7 +90,7 @@
         token: u64,
     },
     /// An upstream gave keys back.
-    Released {
+    KeysReleased {
         /// First key.
         first: u16,
         /// Last key.
@@ -98,29 +98,29 @@
     },
     /// An upstream's answers name from now on how many requests in a thousand seconds it
     /// takes; none if they name nothing.
-    NamesRate {
+    RateAnnounced {
         /// The rate.
         rate_milli: Option<u32>,
     },
     /// An upstream's answer to a request says that it leaves.
-    SaidItLeaves {
+    LeaveAnnounced {
         /// The request.
         id: String,
     },
     /// An upstream turned a request away and asked its router for rest.
-    AskedForRest {
+    PauseRequested {
         /// The request.
         id: String,
         /// Milliseconds.
         rest_ms: u32,
     },
     /// The store accepted that an upstream leaves, or its entry is gone.
-    Left {
+    UpstreamLeft {
         /// The upstream's incarnation.
         upstream: String,
     },
     /// The store accepted a configuration.
-    Configured {
+    ConfigurationAccepted {
         /// Its version.
         version: u64,
     },
@@ -153,7 +153,7 @@
     /// Whether those are done up to 6 s later.
     pub late: bool,
     /// Watches hear nothing.
-    pub deaf: bool,
+    pub watches_silent: bool,
 }
 
 /// What the driver tells a process.
@@ -166,19 +166,19 @@
     /// The store takes this configuration.
     Configure(u64),
     /// Percent of the answers that an upstream loses from now on.
-    LoseAnswers(u32),
+    DropResponses(u32),
     /// Requests in a thousand seconds that an upstream's answers name from now on as what it
     /// takes; none if they name nothing.
-    NameRate(Option<u32>),
+    AnnounceRate(Option<u32>),
     /// An upstream turns all requests away from now on and asks for so many milliseconds of
     /// rest; none if it does not.
-    Rest(Option<u32>),
+    RequestPause(Option<u32>),
     /// The store comes back from a copy of itself that is so many milliseconds old.
-    GoBack(u32),
+    RestoreSnapshot(u32),
     /// Newest version that callers probe for.
     Probe(u64),
     /// Callers begin.
-    Begin,
+    StartTraffic,
     /// Callers send nothing more.
-    End,
+    StopTraffic,
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -24,7 +24,7 @@
 
 /// What a proxy does to the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Harm {
+pub struct DirectionFault {
     /// Bytes wait until this is over.
     pub silent: bool,
     /// Time that bytes take longer.
@@ -33,17 +33,17 @@
 
 /// Harm in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkHarm {
+pub struct LinkFault {
     /// Towards the target.
-    pub towards: Harm,
+    pub towards: DirectionFault,
     /// Away from it.
-    pub back: Harm,
+    pub back: DirectionFault,
 }
 
-impl LinkHarm {
+impl LinkFault {
     /// Nothing passes either way.
     pub fn cut() -> Self {
-        let silent = Harm {
+        let silent = DirectionFault {
             silent: true,
             delay: Duration::ZERO,
         };
@@ -56,14 +56,14 @@
     /// Only what goes towards the target passes.
     pub fn one_way() -> Self {
         Self {
-            towards: Harm::default(),
+            towards: DirectionFault::default(),
             ..Self::cut()
         }
     }
 
     /// Both ways take longer.
     pub fn delayed(delay: Duration) -> Self {
-        let slow = Harm {
+        let slow = DirectionFault {
             silent: false,
             delay,
         };
@@ -76,19 +76,19 @@
 
 #[derive(Default)]
 struct Link {
-    harm: Cell<LinkHarm>,
+    fault: Cell<LinkFault>,
     changed: Notify,
     reset: Notify,
     /// Whether nobody owns the proxy any more.
     is_over: Cell<bool>,
     /// When bytes came to the target that had been held up.
-    held_up: RefCell<Vec<Time>>,
+    delayed_deliveries: RefCell<Vec<Time>>,
 }
 
 impl Link {
     /// Waits until a direction is not silent, or the proxy is over.
-    async fn heard(&self, side: impl Fn(LinkHarm) -> Harm) {
-        while side(self.harm.get()).silent && !self.is_over.get() {
+    async fn wait_until_passing(&self, side: impl Fn(LinkFault) -> DirectionFault) {
+        while side(self.fault.get()).silent && !self.is_over.get() {
             self.changed.notified().await;
         }
     }
@@ -130,8 +130,8 @@
     }
 
     /// Harms the link from now on.
-    pub fn harm(&self, harm: LinkHarm) {
-        self.link.harm.set(harm);
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.link.fault.set(fault);
         self.link.changed.notify_waiters();
     }
 
@@ -141,17 +141,17 @@
     }
 
     /// When bytes came to the target that had been held up, since the last question.
-    pub fn take_held_up(&self) -> Vec<Time> {
-        self.link.held_up.take()
+    pub fn take_delayed_deliveries(&self) -> Vec<Time> {
+        self.link.delayed_deliveries.take()
     }
 }
 
 /// Accepts connections while bytes pass towards the target.
 async fn accept(mut gate: Gate, target: SocketAddr, link: Rc<Link>) {
     loop {
-        if link.harm.get().towards.silent {
+        if link.fault.get().towards.silent {
             gate.close().await;
-            link.heard(|harm| harm.towards).await;
+            link.wait_until_passing(|fault| fault.towards).await;
             gate.open();
         }
         tokio::select! {
@@ -178,19 +178,19 @@
     let _ = server.set_nodelay(true);
     let (mut from_client, mut to_client) = client.into_split();
     let (mut from_server, mut to_server) = server.into_split();
-    let held_up = || link.held_up.borrow_mut().push(clock::now());
+    let on_delayed_delivery = || link.delayed_deliveries.borrow_mut().push(clock::now());
     let towards = copy(
         &mut from_client,
         &mut to_server,
         &link,
-        |harm| harm.towards,
-        held_up,
+        |fault| fault.towards,
+        on_delayed_delivery,
     );
     let back = copy(
         &mut from_server,
         &mut to_client,
         &link,
-        |harm| harm.back,
+        |fault| fault.back,
         || {},
     );
     let end = tokio::select! {
@@ -199,8 +199,8 @@
         () = link.reset.notified() => CopyEnd::Reset,
     };
     // The word of an end does not pass a cut either.
-    link.heard(|harm| harm.towards).await;
-    link.heard(|harm| harm.back).await;
+    link.wait_until_passing(|fault| fault.towards).await;
+    link.wait_until_passing(|fault| fault.back).await;
     if end == CopyEnd::Reset {
         let _ = from_client.as_ref().set_zero_linger();
         let _ = from_server.as_ref().set_zero_linger();
--- a/crates/soak/src/proxy/gate.rs
+++ b/crates/soak/src/proxy/gate.rs
@@ -14,9 +14,9 @@
 /// further ones as a cut would.
 const CLOSED_BACKLOG: i32 = 0;
 /// A connection over loopback that takes longer does not come up.
-const COMES_UP: Duration = Duration::from_millis(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 /// Most connections that are needed to fill the queue.
-const MOST_BLOCKERS: usize = 4;
+const MAX_BLOCKERS: usize = 4;
 
 /// A listener whose queue can be filled, so that nobody gets through, and nobody is refused.
 pub(super) struct Gate {
@@ -52,8 +52,9 @@
         let Ok(address) = self.listener.local_addr() else {
             return;
         };
-        for _ in 0..MOST_BLOCKERS {
-            let Ok(Ok(blocker)) = timeout(COMES_UP, TcpStream::connect(address)).await else {
+        for _ in 0..MAX_BLOCKERS {
+            let Ok(Ok(blocker)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await
+            else {
                 return;
             };
             self.own.extend(blocker.local_addr());
--- a/crates/soak/src/proxy/retransmit.rs
+++ b/crates/soak/src/proxy/retransmit.rs
@@ -1,6 +1,6 @@
 //! Copies one direction of a connection as kernels carry bytes over a network.
 
-use super::{Harm, Link, LinkHarm};
+use super::{DirectionFault, Link, LinkFault};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -8,14 +8,14 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes that are kept for a side that hears nothing, about a socket's buffers.
-const MOST_KEPT_BYTES: usize = 256 * 1024;
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 /// How long after it was sent an unacknowledged packet is sent again; each further wait is
 /// twice as long. The least that Linux takes (`TCP_RTO_MIN`).
 const FIRST_RETRANSMISSION: Duration = Duration::from_millis(200);
 
 /// After packets were sent again, the next one waits until they are acknowledged: the word
 /// of a close comes that much after the bytes before it.
-const ROUND_TRIP: Duration = Duration::from_millis(10);
+const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 /// How a direction ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 }
 
 /// What was sent and not heard.
-struct Unheard {
+struct Unacknowledged {
     bytes: Vec<u8>,
     /// Whether the word of the sender's close belongs to it.
     closes: bool,
@@ -36,7 +36,7 @@
     again: Instant,
 }
 
-impl Unheard {
+impl Unacknowledged {
     fn first_sent_now() -> Self {
         let wait = FIRST_RETRANSMISSION;
         Self {
@@ -53,60 +53,62 @@
     }
 
     fn has_room(&self) -> bool {
-        !self.closes && self.bytes.len() < MOST_KEPT_BYTES
+        !self.closes && self.bytes.len() < MAX_BUFFERED_BYTES
     }
 }
 
-/// Copies until one side ends; `held_up` is told when bytes pass that had been kept.
+/// Copies until one side ends; `on_delayed_delivery` is told when bytes pass that had been kept.
 pub(super) async fn copy(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
     link: &Link,
-    side: impl Fn(LinkHarm) -> Harm,
-    held_up: impl Fn(),
+    side: impl Fn(LinkFault) -> DirectionFault,
+    on_delayed_delivery: impl Fn(),
 ) -> CopyEnd {
     let mut buffer = vec![0; CHUNK_BYTES];
-    let mut unheard: Option<Unheard> = None;
+    let mut unacknowledged: Option<Unacknowledged> = None;
     loop {
-        let again = unheard.as_ref().map(|unheard| unheard.again);
-        let has_room = unheard.as_ref().is_none_or(Unheard::has_room);
+        let again = unacknowledged
+            .as_ref()
+            .map(|unacknowledged| unacknowledged.again);
+        let has_room = unacknowledged.as_ref().is_none_or(Unacknowledged::has_room);
         let read = tokio::select! {
             read = from.read(&mut buffer), if has_room => Some(read),
             () = sleep_until(again.unwrap_or_else(Instant::now)), if again.is_some() => None,
         };
-        let is_silent = || side(link.harm.get()).silent;
-        match (read, &mut unheard) {
+        let is_silent = || side(link.fault.get()).silent;
+        match (read, &mut unacknowledged) {
             (Some(Err(_)), _) => return CopyEnd::Reset,
-            (Some(Ok(length)), Some(unheard)) => {
-                unheard.bytes.extend(&buffer[..length]);
-                unheard.closes = length == 0;
+            (Some(Ok(length)), Some(unacknowledged)) => {
+                unacknowledged.bytes.extend(&buffer[..length]);
+                unacknowledged.closes = length == 0;
             }
             (Some(Ok(length)), None) if is_silent() => {
-                let mut first = Unheard::first_sent_now();
+                let mut first = Unacknowledged::first_sent_now();
                 first.bytes.extend(&buffer[..length]);
                 first.closes = length == 0;
-                unheard = Some(first);
+                unacknowledged = Some(first);
             }
             (Some(Ok(0)), None) => return CopyEnd::Closed,
             (Some(Ok(length)), None) => {
-                sleep(side(link.harm.get()).delay).await;
+                sleep(side(link.fault.get()).delay).await;
                 if to.write_all(&buffer[..length]).await.is_err() {
                     return CopyEnd::Reset;
                 }
             }
-            (None, Some(unheard)) if is_silent() => unheard.wait_longer(),
+            (None, Some(unacknowledged)) if is_silent() => unacknowledged.wait_longer(),
             (None, _) => {
-                let Some(unheard) = unheard.take() else {
+                let Some(unacknowledged) = unacknowledged.take() else {
                     continue;
                 };
-                if !unheard.bytes.is_empty() {
-                    held_up();
+                if !unacknowledged.bytes.is_empty() {
+                    on_delayed_delivery();
                 }
-                if to.write_all(&unheard.bytes).await.is_err() {
+                if to.write_all(&unacknowledged.bytes).await.is_err() {
                     return CopyEnd::Reset;
                 }
-                if unheard.closes {
-                    sleep(ROUND_TRIP).await;
+                if unacknowledged.closes {
+                    sleep(CLOSE_DELAY).await;
                     return CopyEnd::Closed;
                 }
             }
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -28,17 +28,17 @@
 use tokio::net::TcpListener;
 
 /// Path below which upstreams keep their entries.
-pub(crate) const REGISTER: &str = "/soak/register/";
+pub(crate) const REGISTRATION_PREFIX: &str = "/soak/register/";
 /// How long the store remembers changes.
 const HISTORY: Duration = Duration::from_secs(20);
 /// Heartbeats without a write after which an entry goes.
-const HEARTBEATS: u32 = 3;
+const MISSED_HEARTBEATS: u32 = 3;
 /// Between looks at waiting watches, leases and entries.
 const POLL: Duration = Duration::from_millis(10);
 /// Between two copies of the store.
-const COPY_PAUSE: Duration = Duration::from_millis(250);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
 /// How long copies are kept.
-const COPIES_KEPT: Duration = Duration::from_secs(20);
+const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
 /// The store's era at first.
 const FIRST_ERA: u32 = 1;
 /// Range of the time after which a late write is done.
@@ -64,7 +64,7 @@
     faults: Cell<StoreFaults>,
     era: Cell<u32>,
     /// Copies of the store, the oldest first.
-    copies: RefCell<VecDeque<(Time, StoreEmulator)>>,
+    snapshots: RefCell<VecDeque<(Time, StoreEmulator)>>,
     /// The newest configuration.
     configuration: RefCell<Option<Vec<u8>>>,
     reporter: Reporter,
@@ -82,12 +82,12 @@
         entries: RefCell::default(),
         faults: Cell::default(),
         era: Cell::new(FIRST_ERA),
-        copies: RefCell::default(),
+        snapshots: RefCell::default(),
         configuration: RefCell::default(),
         reporter,
     });
     tokio::task::spawn_local(accept(listener, store.clone()));
-    tokio::task::spawn_local(keep_time(store.clone()));
+    tokio::task::spawn_local(run_timers(store.clone()));
     while let Some(command) = commands.recv().await {
         store.command(&command);
     }
@@ -108,10 +108,10 @@
     }
 }
 
-async fn keep_time(store: Rc<Store>) {
+async fn run_timers(store: Rc<Store>) {
     loop {
         tokio::time::sleep(POLL).await;
-        store.keep_time();
+        store.run_timers();
     }
 }
 
@@ -129,12 +129,12 @@
         return pending().await;
     }
     tokio::time::sleep(Duration::from_millis(faults.delay_ms.into())).await;
-    let mut answer = carry(&store, faults, &method, &target, &body).await;
-    store.tell_era(&mut answer);
+    let mut answer = handle_call(&store, faults, &method, &target, &body).await;
+    store.add_era_header(&mut answer);
     Ok(answer)
 }
 
-async fn carry(
+async fn handle_call(
     store: &Rc<Store>,
     faults: StoreFaults,
     method: &Method,
@@ -144,7 +144,7 @@
     if faults.busy {
         return status(503);
     }
-    if let Some(id) = target.strip_prefix(REGISTER) {
+    if let Some(id) = target.strip_prefix(REGISTRATION_PREFIX) {
         store.register(id, method, body);
         return status(200);
     }
@@ -159,7 +159,7 @@
     if store.loses(&call) {
         return pending().await;
     }
-    let outcome = store.carry_out(&call).await;
+    let outcome = store.execute(&call).await;
     match reverse::write_store_outcome(&outcome) {
         Some(answer) => {
             let mut response = Response::new(Full::from(answer.body));
@@ -181,7 +181,7 @@
 }
 
 impl Store {
-    fn tell_era(&self, answer: &mut Answer) {
+    fn add_era_header(&self, answer: &mut Answer) {
         let era = self.era.get().into();
         answer
             .headers_mut()
@@ -193,8 +193,8 @@
         match command {
             Command::Store(faults) => self.set_faults(now, *faults),
             Command::Compact => self.emulator.borrow_mut().compact(),
-            Command::GoBack(millis) => {
-                self.go_back(now, Duration::from_millis((*millis).into()));
+            Command::RestoreSnapshot(millis) => {
+                self.restore_snapshot(now, Duration::from_millis((*millis).into()));
             }
             Command::Configure(version) => {
                 let value = reverse::write_configuration(&configuration(*version));
@@ -202,29 +202,30 @@
                 self.emulator.borrow_mut().put(now, key, value.clone());
                 self.configuration.replace(Some(value));
                 let version = *version;
-                self.reporter.tell(Observation::Configured { version });
+                self.reporter
+                    .report(Observation::ConfigurationAccepted { version });
             }
-            Command::LoseAnswers(_)
-            | Command::NameRate(_)
-            | Command::Rest(_)
+            Command::DropResponses(_)
+            | Command::AnnounceRate(_)
+            | Command::RequestPause(_)
             | Command::Probe(_)
-            | Command::Begin
-            | Command::End => {}
+            | Command::StartTraffic
+            | Command::StopTraffic => {}
         }
     }
 
     /// Comes back from an older copy; what upstreams and operators wrote since is written
     /// again.
-    fn go_back(&self, now: Time, age: Duration) {
-        let mut copies = self.copies.borrow_mut();
-        let old = copies.iter().rev().find(|(at, _)| now.since(*at) >= age);
-        let Some((_, copy)) = old.or(copies.front()).cloned() else {
+    fn restore_snapshot(&self, now: Time, age: Duration) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        let old = snapshots.iter().rev().find(|(at, _)| now.since(*at) >= age);
+        let Some((_, snapshot)) = old.or(snapshots.front()).cloned() else {
             return;
         };
-        copies.clear();
+        snapshots.clear();
         self.era.set(self.era.get() + 1);
         let mut emulator = self.emulator.borrow_mut();
-        emulator.go_back_to(copy);
+        emulator.go_back_to(snapshot);
         emulator.renew_all(now);
         if let Some(value) = self.configuration.borrow().clone() {
             emulator.put(now, Platform.keys().configuration, value);
@@ -242,15 +243,15 @@
     }
 
     /// Notes how the store stands, so that it can go back to that.
-    fn copy(&self, now: Time) {
-        let mut copies = self.copies.borrow_mut();
-        let last = copies.back().map(|(at, _)| *at);
-        if last.is_some_and(|last| now.since(last) < COPY_PAUSE) {
+    fn snapshot(&self, now: Time) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        let last = snapshots.back().map(|(at, _)| *at);
+        if last.is_some_and(|last| now.since(last) < SNAPSHOT_INTERVAL) {
             return;
         }
-        copies.push_back((now, self.emulator.borrow().clone()));
-        while now.since(copies[0].0) > COPIES_KEPT {
-            copies.pop_front();
+        snapshots.push_back((now, self.emulator.borrow().clone()));
+        while now.since(snapshots[0].0) > SNAPSHOT_RETENTION {
+            snapshots.pop_front();
         }
     }
 
@@ -268,17 +269,17 @@
         }
     }
 
-    fn keep_time(&self) {
+    fn run_timers(&self) {
         let now = clock::now();
         self.emulator.borrow_mut().advance(now);
         let faults = self.faults.get();
         if !faults.silent {
-            self.copy(now);
+            self.snapshot(now);
         }
         if faults.silent && !faults.lapse {
             return;
         }
-        let limit = HEARTBEAT * HEARTBEATS;
+        let limit = HEARTBEAT * MISSED_HEARTBEATS;
         let silent: Vec<String> = {
             let entries = self.entries.borrow();
             let silent = entries.iter();
@@ -296,7 +297,7 @@
         let now = clock::now();
         if *method == Method::DELETE {
             self.remove_entry(now, id);
-            self.left(id);
+            self.report_left(id);
             return;
         }
         let mut entries = self.entries.borrow_mut();
@@ -317,13 +318,13 @@
             .is_ok_and(|record| record.state == beamtray_catalog::UpstreamState::Draining);
         self.emulator.borrow_mut().put(now, &key, value.to_vec());
         if draining {
-            self.left(id);
+            self.report_left(id);
         }
     }
 
-    fn left(&self, id: &str) {
+    fn report_left(&self, id: &str) {
         let upstream = id.to_owned();
-        self.reporter.tell(Observation::Left { upstream });
+        self.reporter.report(Observation::UpstreamLeft { upstream });
     }
 
     fn remove_entry(&self, now: Time, id: &str) {
@@ -355,7 +356,7 @@
         true
     }
 
-    async fn carry_out(&self, call: &StoreCall) -> StoreOutcome {
+    async fn execute(&self, call: &StoreCall) -> StoreOutcome {
         let reply = self.emulator.borrow_mut().call(clock::now(), call);
         match reply {
             StoreReply::Done(outcome) => outcome,
@@ -367,7 +368,7 @@
         loop {
             tokio::time::sleep(POLL).await;
             let faults = self.faults.get();
-            if faults.silent || faults.deaf {
+            if faults.silent || faults.watches_silent {
                 continue;
             }
             if let Some(outcome) = self.emulator.borrow().watch(clock::now(), wait) {
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::config::{DRAIN, HEARTBEAT, KEYED};
 use crate::message::{Command, Observation};
-use crate::store::REGISTER;
+use crate::store::REGISTRATION_PREFIX;
 use beamtray_adapter::{Platform, reverse};
 use beamtray_catalog::{UpstreamId, UpstreamState};
 use beamtray_dialect::Dialect;
@@ -39,7 +39,7 @@
 /// Longest wait for the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How much longer than the drain time it serves before it ends.
-const LINGER: Duration = Duration::from_millis(1_500);
+const EXIT_DELAY: Duration = Duration::from_millis(1_500);
 /// Between looks at releases that wait for work to end.
 const RELEASE_POLL: Duration = Duration::from_millis(5);
 
@@ -120,14 +120,14 @@
         reporter,
     });
     tokio::task::spawn_local(accept(listener, upstream.clone()));
-    tokio::task::spawn_local(keep_entry(upstream.clone()));
+    tokio::task::spawn_local(refresh_entry(upstream.clone()));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             command = commands.recv() => match command {
-                Some(Command::LoseAnswers(percent)) => upstream.lost_percent.set(percent),
-                Some(Command::NameRate(rate_milli)) => upstream.set_rate(rate_milli),
-                Some(Command::Rest(rest_ms)) => upstream.rest_ms.set(rest_ms),
+                Some(Command::DropResponses(percent)) => upstream.lost_percent.set(percent),
+                Some(Command::AnnounceRate(rate_milli)) => upstream.set_rate(rate_milli),
+                Some(Command::RequestPause(rest_ms)) => upstream.rest_ms.set(rest_ms),
                 Some(_) => {}
                 None => return Ok(()),
             },
@@ -136,12 +136,12 @@
     upstream.emulator.borrow_mut().state = UpstreamState::Draining;
     // The store may be silent; the entry says so with its next write.
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
-    tokio::time::sleep(DRAIN + LINGER).await;
+    tokio::time::sleep(DRAIN + EXIT_DELAY).await;
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::DELETE)).await;
     Ok(())
 }
 
-async fn keep_entry(upstream: Rc<Upstream>) {
+async fn refresh_entry(upstream: Rc<Upstream>) {
     loop {
         // A write that fails is made good by the next one.
         let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
@@ -170,7 +170,7 @@
     };
     let body = body.to_bytes();
     let path = head.uri.path().to_owned();
-    if upstream.is_other(&head.headers) {
+    if upstream.is_misrouted(&head.headers) {
         return Ok(upstream.not_executed(421));
     }
     let call = CallId(upstream.calls.get());
@@ -186,18 +186,18 @@
         return Ok(answer.unwrap_or_else(|_| upstream.status(500)));
     }
     let mut answer = upstream.request(&head.headers, &path).await;
-    upstream.name_rate(&mut answer);
-    upstream.say_it_leaves(&head.headers, &mut answer);
+    upstream.add_rate_header(&mut answer);
+    upstream.announce_leaving(&head.headers, &mut answer);
     Ok(answer)
 }
 
 /// Tells when a request's work ended, also when its caller left.
-struct AtWork {
+struct RunningRequest {
     upstream: Rc<Upstream>,
     run: Run,
 }
 
-impl Drop for AtWork {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.upstream.finish(&self.run);
     }
@@ -222,7 +222,7 @@
 }
 
 impl Upstream {
-    fn is_other(&self, headers: &HeaderMap) -> bool {
+    fn is_misrouted(&self, headers: &HeaderMap) -> bool {
         let target = header(headers, Platform.headers().target_upstream);
         target.is_some_and(|target| target != self.settings.id)
     }
@@ -231,7 +231,7 @@
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() =
             StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        self.sign(
+        self.set_header(
             &mut response,
             Platform.headers().answering_upstream,
             &self.settings.id,
@@ -239,7 +239,7 @@
         response
     }
 
-    fn sign(&self, response: &mut Answer, name: &'static str, value: &str) {
+    fn set_header(&self, response: &mut Answer, name: &'static str, value: &str) {
         if let Ok(value) = value.parse() {
             response.headers_mut().insert(name, value);
         }
@@ -248,38 +248,39 @@
     /// Has answers name a rate from now on, or none.
     fn set_rate(&self, rate_milli: Option<u32>) {
         self.rate_milli.set(rate_milli);
-        self.reporter.tell(Observation::NamesRate { rate_milli });
+        self.reporter
+            .report(Observation::RateAnnounced { rate_milli });
     }
 
     /// Has an answer name the rate that this upstream takes.
-    fn name_rate(&self, response: &mut Answer) {
+    fn add_rate_header(&self, response: &mut Answer) {
         if let Some(milli) = self.rate_milli.get() {
             let rate = f64::from(milli) / 1e3;
-            self.sign(response, Platform.headers().rate_limit, &rate.to_string());
+            self.set_header(response, Platform.headers().rate_limit, &rate.to_string());
         }
     }
 
     /// Has an answer say that this upstream leaves, if it does.
-    fn say_it_leaves(&self, headers: &HeaderMap, response: &mut Answer) {
+    fn announce_leaving(&self, headers: &HeaderMap, response: &mut Answer) {
         if self.emulator.borrow().state != UpstreamState::Draining {
             return;
         }
-        self.sign(response, Platform.headers().leaving, "1");
+        self.set_header(response, Platform.headers().leaving, "1");
         if let Some(id) = header(headers, Platform.headers().request_id) {
-            self.reporter.tell(Observation::SaidItLeaves { id });
+            self.reporter.report(Observation::LeaveAnnounced { id });
         }
     }
 
     /// Turns a request away and asks its router for rest.
-    fn ask_for_rest(&self, id: &str, rest_ms: u32) -> Answer {
+    fn reject_with_pause(&self, id: &str, rest_ms: u32) -> Answer {
         let mut response = self.not_executed(503);
         let seconds = f64::from(rest_ms) / 1e3;
-        self.sign(
+        self.set_header(
             &mut response,
             Platform.headers().retry_after,
             &seconds.to_string(),
         );
-        self.reporter.tell(Observation::AskedForRest {
+        self.reporter.report(Observation::PauseRequested {
             id: id.to_owned(),
             rest_ms,
         });
@@ -288,7 +289,7 @@
 
     fn not_executed(&self, status: u16) -> Answer {
         let mut response = self.status(status);
-        self.sign(&mut response, Platform.headers().not_executed, "1");
+        self.set_header(&mut response, Platform.headers().not_executed, "1");
         response
     }
 
@@ -299,35 +300,36 @@
         let reply = self.emulator.borrow_mut().order(clock::now(), &order);
         if matches!(order.kind, OrderKind::Release) {
             let (first, last) = (order.range.first.0, order.range.last.0);
-            self.reporter.tell(Observation::Released { first, last });
+            self.reporter
+                .report(Observation::KeysReleased { first, last });
         }
         let reply = match reply {
             Some(reply) => reply,
             None => self.released(order.call).await,
         };
         if reply == GrantReply::Granted {
-            self.tell_held(&order);
+            self.report_grant(&order);
         }
         let Some(written) = reverse::write_order_reply(&reply) else {
             return pending().await;
         };
         let mut response = self.status(written.status);
         if let Some(handover) = written.handover {
-            self.sign(&mut response, Platform.headers().handover, &handover);
+            self.set_header(&mut response, Platform.headers().handover, &handover);
         }
         *response.body_mut() = Full::from(written.body);
         response
     }
 
-    fn tell_held(&self, order: &beamtray_sharding::GrantOrder) {
-        self.reporter.tell(Observation::Taken {
+    fn report_grant(&self, order: &beamtray_sharding::GrantOrder) {
+        self.reporter.report(Observation::GrantAccepted {
             first: order.range.first.0,
             last: order.range.last.0,
             token: order.token.0,
         });
         let emulator = self.emulator.borrow();
         if let Some(grant) = emulator.grant(clock::now(), order.range.first) {
-            self.reporter.tell(Observation::Held {
+            self.reporter.report(Observation::KeysHeld {
                 first: order.range.first.0,
                 last: order.range.last.0,
                 since: grant.since,
@@ -352,9 +354,10 @@
         let Some(id) = header(headers, names.request_id) else {
             return self.not_executed(400);
         };
-        self.reporter.tell(Observation::Arrived { id: id.clone() });
+        self.reporter
+            .report(Observation::RequestArrived { id: id.clone() });
         if let Some(rest_ms) = self.rest_ms.get() {
-            return self.ask_for_rest(&id, rest_ms);
+            return self.reject_with_pause(&id, rest_ms);
         }
         let key = header(headers, names.shard_key).and_then(|key| key.parse().ok());
         let request = WorkRequest {
@@ -398,7 +401,7 @@
             grant.map_or(now, |grant| grant.since)
         };
         let divided = self.settings.service == KEYED;
-        self.reporter.tell(Observation::Begun {
+        self.reporter.report(Observation::WorkStarted {
             id: id.to_owned(),
             path: path.to_owned(),
             key: key.filter(|_| divided).map(|key| key.0),
@@ -409,20 +412,20 @@
             std::process::exit(1);
         }
         let lasts = run.ends.since(now);
-        let at_work = AtWork {
+        let running = RunningRequest {
             upstream: self.clone(),
             run,
         };
         tokio::time::sleep(lasts).await;
-        drop(at_work);
+        drop(running);
         if rand::rng().random_range(0..100) < self.lost_percent.get() {
             return pending().await;
         }
         let body = bodies::body(id, &self.settings.id);
         let mut response = self.status(200);
         let names = Platform.headers();
-        self.sign(&mut response, names.request_id, id);
-        self.sign(
+        self.set_header(&mut response, names.request_id, id);
+        self.set_header(
             &mut response,
             names.signature,
             &bodies::signature(body.as_bytes()),
@@ -433,7 +436,7 @@
 
     fn finish(&self, run: &Run) {
         let id = run.request.id.clone();
-        self.reporter.tell(Observation::Finished { id });
+        self.reporter.report(Observation::WorkFinished { id });
         let mut ended = vec![run.id];
         while let Some(run) = ended.pop() {
             let (_, begun, refused) = self.emulator.borrow_mut().end(clock::now(), run);
@@ -464,7 +467,7 @@
         let body = reverse::write_upstream(&record, 0);
         let request = Request::builder()
             .method(method)
-            .uri(format!("{REGISTER}{}", self.settings.id))
+            .uri(format!("{REGISTRATION_PREFIX}{}", self.settings.id))
             .header(HOST, self.settings.store.to_string())
             .body(Full::new(Bytes::from(body)))?;
         sender.send_request(request).await?;
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -14,12 +14,12 @@
 }
 
 #[derive(Default)]
-struct Story {
+struct HistoryBuilder {
     history: History,
 }
 
-impl Story {
-    fn tell(mut self, millis: u64, from: &str, observation: Observation) -> Self {
+impl HistoryBuilder {
+    fn report(mut self, millis: u64, from: &str, observation: Observation) -> Self {
         self.history.reports.push(Report {
             at: at(millis),
             from: from.to_owned(),
@@ -29,13 +29,13 @@
     }
 
     fn asked(self, millis: u64, id: &str, path: &str) -> Self {
-        let asked = Observation::Asked {
+        let asked = Observation::RequestSent {
             id: id.to_owned(),
             node: 0,
             path: path.to_owned(),
             repeatable: !path.starts_with("/order/"),
         };
-        self.tell(millis, "caller", asked)
+        self.report(millis, "caller", asked)
     }
 
     fn begun(self, millis: u64, upstream: &str, id: &str, path: &str) -> Self {
@@ -52,25 +52,25 @@
         since: u64,
     ) -> Self {
         let id = id.to_owned();
-        let arrived = Observation::Arrived { id: id.clone() };
-        let begun = Observation::Begun {
+        let arrived = Observation::RequestArrived { id: id.clone() };
+        let begun = Observation::WorkStarted {
             id,
             path: path.to_owned(),
             key,
             held_since: at(since),
         };
-        self.tell(millis, upstream, arrived)
-            .tell(millis, upstream, begun)
+        self.report(millis, upstream, arrived)
+            .report(millis, upstream, begun)
     }
 
     fn finished(self, millis: u64, upstream: &str, id: &str) -> Self {
         let id = id.to_owned();
-        self.tell(millis, upstream, Observation::Finished { id })
+        self.report(millis, upstream, Observation::WorkFinished { id })
     }
 
     fn ended(self, millis: u64, id: &str, end: CallerEnd) -> Self {
         let id = id.to_owned();
-        self.tell(millis, "caller", Observation::Ended { id, end })
+        self.report(millis, "caller", Observation::RequestEnded { id, end })
     }
 
     fn answered(self, millis: u64, id: &str, status: u16) -> Self {
@@ -83,13 +83,13 @@
     }
 
     fn held(self, millis: u64, upstream: &str, since: u64, ends: u64) -> Self {
-        let held = Observation::Held {
+        let held = Observation::KeysHeld {
             first: 0,
             last: 99,
             since: at(since),
             ends: at(ends),
         };
-        self.tell(millis, upstream, held)
+        self.report(millis, upstream, held)
     }
 
     fn disturbed(mut self, whom: Disturbed, from: u64, until: u64) -> Self {
@@ -110,23 +110,23 @@
         self
     }
 
-    fn objections(mut self) -> Vec<Promise> {
+    fn violations(mut self) -> Vec<Promise> {
         if self.history.recovered == Time::ZERO {
             self.history.recovered = at(1_000 * SECOND);
         }
         let verdict = check(&self.history);
-        let mut objections: Vec<Promise> = verdict
+        let mut violations: Vec<Promise> = verdict
             .findings
             .iter()
             .map(|finding| finding.promise)
             .collect();
-        objections.dedup();
-        objections
+        violations.dedup();
+        violations
     }
 }
 
-fn served() -> Story {
-    Story::default()
+fn served() -> HistoryBuilder {
+    HistoryBuilder::default()
         .asked(0, "a", "/order/20")
         .begun(5, "pool-1", "a", "/order/20")
         .finished(25, "pool-1", "a")
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_request_that_is_served_breaks_nothing() {
-    assert!(served().objections().is_empty());
+    assert!(served().violations().is_empty());
 }
 
 #[test]
@@ -145,60 +145,62 @@
         signed: true,
         sound: false,
     };
-    let story = Story::default()
+    let story = HistoryBuilder::default()
         .asked(0, "a", "/order/20")
         .begun(5, "pool-1", "a", "/order/20")
         .ended(30, "a", end);
-    assert_eq!(story.objections(), [Promise::Mixed]);
+    assert_eq!(story.violations(), [Promise::Mixed]);
 }
 
 #[test]
 fn a_run_that_nobody_asked_for_is_unasked() {
-    let story = Story::default().begun(5, "pool-1", "a", "/order/20");
-    assert_eq!(story.objections(), [Promise::Unasked]);
-    let changed = Story::default()
-        .asked(0, "a", "/order/20")
-        .begun(5, "pool-1", "a", "/order/21");
-    assert_eq!(changed.objections(), [Promise::Unasked]);
+    let story = HistoryBuilder::default().begun(5, "pool-1", "a", "/order/20");
+    assert_eq!(story.violations(), [Promise::Unasked]);
+    let changed =
+        HistoryBuilder::default()
+            .asked(0, "a", "/order/20")
+            .begun(5, "pool-1", "a", "/order/21");
+    assert_eq!(changed.violations(), [Promise::Unasked]);
 }
 
 #[test]
 fn what_may_not_be_repeated_and_runs_again_is_twice() {
     let story = served().begun(40, "pool-2", "a", "/order/20");
-    assert_eq!(story.objections(), [Promise::Twice]);
-    let read = Story::default()
+    assert_eq!(story.violations(), [Promise::Twice]);
+    let read = HistoryBuilder::default()
         .asked(0, "a", "/read/1/5")
         .begun(5, "keyed-1", "a", "/read/1/5")
         .begun(9, "keyed-2", "a", "/read/1/5");
-    assert!(read.objections().is_empty());
+    assert!(read.violations().is_empty());
 }
 
 #[test]
 fn a_refusal_of_what_has_run_is_refused() {
-    let story = Story::default()
+    let story = HistoryBuilder::default()
         .asked(0, "a", "/order/20")
         .begun(5, "pool-1", "a", "/order/20")
         .answered(30, "a", 503);
-    assert_eq!(story.objections(), [Promise::Refused]);
-    let later = Story::default()
+    assert_eq!(story.violations(), [Promise::Refused]);
+    let later = HistoryBuilder::default()
         .asked(0, "a", "/order/20")
         .answered(3, "a", 503)
         .begun(500, "pool-1", "a", "/order/20");
-    assert_eq!(later.objections(), [Promise::Refused]);
+    assert_eq!(later.violations(), [Promise::Refused]);
 }
 
 #[test]
 fn a_request_at_a_foreign_service_is_route() {
-    let story = Story::default()
-        .asked(0, "a", "/order/20")
-        .begun(5, "keyed-1", "a", "/order/20");
-    assert_eq!(story.objections(), [Promise::Route]);
+    let story =
+        HistoryBuilder::default()
+            .asked(0, "a", "/order/20")
+            .begun(5, "keyed-1", "a", "/order/20");
+    assert_eq!(story.violations(), [Promise::Route]);
 }
 
 #[test]
 fn two_that_work_on_a_key_are_owner() {
     let story = |ends| {
-        Story::default()
+        HistoryBuilder::default()
             .asked(0, "a", "/read/7/5")
             .asked(0, "b", "/read/7/5")
             .held(0, "keyed-1", 0, ends)
@@ -206,121 +208,120 @@
             .keyed(310, "keyed-1", "a", "/read/7/5", Some(7), 0)
             .keyed(320, "keyed-2", "b", "/read/7/5", Some(7), 300)
     };
-    assert_eq!(story(600).objections(), [Promise::Owner]);
-    assert!(story(315).objections().is_empty());
-    let idle = Story::default()
+    assert_eq!(story(600).violations(), [Promise::Owner]);
+    assert!(story(315).violations().is_empty());
+    let idle = HistoryBuilder::default()
         .held(0, "keyed-1", 0, 2_000)
         .held(300, "keyed-2", 300, 9_000);
-    assert_eq!(idle.objections(), [Promise::Owner]);
+    assert_eq!(idle.violations(), [Promise::Owner]);
 }
 
 #[test]
 fn a_release_ends_a_holding() {
-    let released = Observation::Released { first: 0, last: 99 };
-    let story = Story::default()
+    let released = Observation::KeysReleased { first: 0, last: 99 };
+    let story = HistoryBuilder::default()
         .held(0, "keyed-1", 0, 8_000)
-        .tell(200, "keyed-1", released)
+        .report(200, "keyed-1", released)
         .held(300, "keyed-2", 300, 9_000);
-    assert!(story.objections().is_empty());
+    assert!(story.violations().is_empty());
 }
 
 #[test]
 fn an_upstream_that_has_ended_holds_nothing() {
-    let mut story = Story::default()
+    let mut story = HistoryBuilder::default()
         .held(0, "keyed-1", 0, 8_000)
         .held(300, "keyed-2", 300, 9_000);
     story.history.upstream_ends.push(UpstreamEnd {
         upstream: "keyed-1".to_owned(),
         at: at(250),
     });
-    assert!(story.objections().is_empty());
+    assert!(story.violations().is_empty());
 }
 
 #[test]
 fn a_request_long_after_the_upstream_left_is_drain() {
-    let left = Observation::Left {
+    let left = Observation::UpstreamLeft {
         upstream: "pool-1".to_owned(),
     };
     let story = |millis| {
-        Story::default()
-            .tell(0, "store", left.clone())
+        HistoryBuilder::default()
+            .report(0, "store", left.clone())
             .asked(millis, "a", "/order/20")
             .begun(millis, "pool-1", "a", "/order/20")
     };
-    assert!(story(1_900).objections().is_empty());
-    assert_eq!(story(2_100).objections(), [Promise::Drain]);
+    assert!(story(1_900).violations().is_empty());
+    assert_eq!(story(2_100).violations(), [Promise::Drain]);
     let cut_off = story(2_100).disturbed(Disturbed::Router(0), 500, 700);
-    assert!(cut_off.objections().is_empty());
+    assert!(cut_off.violations().is_empty());
 }
 
 #[test]
 fn a_request_cut_at_a_planned_stop_is_lost() {
     let story = || {
-        Story::default()
+        HistoryBuilder::default()
             .asked(4_000, "a", "/order/900")
             .begun(4_005, "pool-1", "a", "/order/900")
-            .ended(4_500, "a", CallerEnd::BrokenOff)
+            .ended(4_500, "a", CallerEnd::Disconnected)
     };
     let before = story().disturbed(Disturbed::Upstream, 3_900, 4_400);
-    assert!(before.objections().is_empty());
-    assert_eq!(story().stopped(4_100, 5_000).objections(), [Promise::Lost]);
+    assert!(before.violations().is_empty());
+    assert_eq!(story().stopped(4_100, 5_000).violations(), [Promise::Lost]);
     let harmed = story()
         .stopped(4_100, 5_000)
         .disturbed(Disturbed::Upstream, 3_900, 4_400);
-    assert!(harmed.objections().is_empty());
+    assert!(harmed.violations().is_empty());
 }
 
 #[test]
 fn a_request_cut_while_nothing_is_disturbed_is_lost() {
     let story = |end| {
-        Story::default()
+        HistoryBuilder::default()
             .asked(4_000, "a", "/order/900")
             .begun(4_005, "pool-1", "a", "/order/900")
             .ended(4_500, "a", end)
     };
-    let cut = || story(CallerEnd::BrokenOff);
-    assert_eq!(cut().objections(), [Promise::Lost]);
-    assert!(story(CallerEnd::Left).objections().is_empty());
+    let cut = || story(CallerEnd::Disconnected);
+    assert_eq!(cut().violations(), [Promise::Lost]);
+    assert!(story(CallerEnd::Cancelled).violations().is_empty());
     for whom in [Disturbed::Router(0), Disturbed::Store, Disturbed::Upstream] {
         let harmed = cut().disturbed(whom, 3_000, 3_500);
-        assert!(harmed.objections().is_empty(), "{whom:?}");
+        assert!(harmed.violations().is_empty(), "{whom:?}");
     }
     assert_eq!(
         cut()
             .disturbed(Disturbed::Router(1), 3_000, 3_500)
-            .objections(),
+            .violations(),
         [Promise::Lost]
     );
     // One that was not passed on may have crossed the close.
-    let not_passed_on =
-        Story::default()
-            .asked(4_000, "a", "/order/900")
-            .ended(4_010, "a", CallerEnd::BrokenOff);
-    assert!(not_passed_on.objections().is_empty());
+    let not_passed_on = HistoryBuilder::default()
+        .asked(4_000, "a", "/order/900")
+        .ended(4_010, "a", CallerEnd::Disconnected);
+    assert!(not_passed_on.violations().is_empty());
 }
 
 #[test]
 fn an_old_configuration_in_force_is_config() {
-    let configured = |version| Observation::Configured { version };
+    let configured = |version| Observation::ConfigurationAccepted { version };
     let story = |path: &str, status| {
-        Story::default()
-            .tell(0, "store", configured(3))
-            .tell(10_000, "store", configured(4))
+        HistoryBuilder::default()
+            .report(0, "store", configured(3))
+            .report(10_000, "store", configured(4))
             .asked(13_000, "a", path)
             .answered(13_010, "a", status)
     };
-    assert_eq!(story("/probe/4/5", 404).objections(), [Promise::Config]);
-    assert!(story("/probe/4/5", 503).objections().is_empty());
-    assert_eq!(story("/probe/3/5", 503).objections(), [Promise::Config]);
-    assert!(story("/probe/3/5", 404).objections().is_empty());
+    assert_eq!(story("/probe/4/5", 404).violations(), [Promise::Config]);
+    assert!(story("/probe/4/5", 503).violations().is_empty());
+    assert_eq!(story("/probe/3/5", 503).violations(), [Promise::Config]);
+    assert!(story("/probe/3/5", 404).violations().is_empty());
     let cut = story("/probe/4/5", 404).disturbed(Disturbed::Store, 9_000, 11_000);
-    assert!(cut.objections().is_empty());
+    assert!(cut.violations().is_empty());
 }
 
 #[test]
 fn repeats_beyond_their_share_are_budget() {
     let story = |repeats: u64| {
-        (0..repeats).fold(Story::default(), |story, index| {
+        (0..repeats).fold(HistoryBuilder::default(), |story, index| {
             let id = format!("r{index}");
             let path = "/read/1/5";
             story
@@ -329,25 +330,25 @@
                 .begun(index + 2, "keyed-2", &id, path)
         })
     };
-    assert!(story(30).objections().is_empty());
-    assert_eq!(story(60).objections(), [Promise::Budget]);
+    assert!(story(30).violations().is_empty());
+    assert_eq!(story(60).violations(), [Promise::Budget]);
 }
 
 #[test]
 fn work_that_goes_on_without_its_caller_is_gone() {
     let story = |finished: u64| {
-        (0..8).fold(Story::default(), |story, index| {
+        (0..8).fold(HistoryBuilder::default(), |story, index| {
             let id = format!("l{index}");
             let path = "/read/1/1200";
             story
                 .asked(0, &id, path)
                 .begun(5, "keyed-1", &id, path)
-                .ended(60, &id, CallerEnd::Left)
+                .ended(60, &id, CallerEnd::Cancelled)
                 .finished(finished, "keyed-1", &id)
         })
     };
-    assert!(story(90).objections().is_empty());
-    assert_eq!(story(1_200).objections(), [Promise::Gone]);
+    assert!(story(90).violations().is_empty());
+    assert_eq!(story(1_200).violations(), [Promise::Gone]);
 }
 
 #[test]
@@ -356,5 +357,5 @@
         .asked(50_000, "b", "/order/20")
         .answered(50_010, "b", 503);
     story.history.recovered = at(40_000);
-    assert_eq!(story.objections(), [Promise::Recover]);
+    assert_eq!(story.violations(), [Promise::Recover]);
 }
--- a/crates/soak/tests/common/links.rs
+++ b/crates/soak/tests/common/links.rs
@@ -1,6 +1,6 @@
 //! The links of an upstream, which can be cut.
 
-use beamtray_soak::{LinkHarm, Proxy};
+use beamtray_soak::{LinkFault, Proxy};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -18,16 +18,16 @@
 pub struct Links {
     /// Where each target is reached, in the order of the targets.
     pub addresses: Vec<SocketAddr>,
-    harm: UnboundedSender<LinkHarm>,
-    held_up: Arc<Mutex<Vec<Time>>>,
+    fault: UnboundedSender<LinkFault>,
+    delayed_deliveries: Arc<Mutex<Vec<Time>>>,
 }
 
 impl Links {
     pub fn start(targets: &[SocketAddr]) -> Self {
-        let (harm, commands) = unbounded_channel();
+        let (fault, commands) = unbounded_channel();
         let (ready, started) = mpsc::channel();
-        let held_up = Arc::<Mutex<Vec<Time>>>::default();
-        let (targets, times) = (targets.to_vec(), held_up.clone());
+        let delayed_deliveries = Arc::<Mutex<Vec<Time>>>::default();
+        let (targets, times) = (targets.to_vec(), delayed_deliveries.clone());
         thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build();
             let runtime = runtime.expect("a runtime");
@@ -36,31 +36,34 @@
         });
         Self {
             addresses: started.recv().expect("the proxies start"),
-            harm,
-            held_up,
+            fault,
+            delayed_deliveries,
         }
     }
 
     pub fn cut(&self) {
-        self.harm.send(LinkHarm::cut()).expect("the proxies run");
+        self.fault.send(LinkFault::cut()).expect("the proxies run");
     }
 
     pub fn heal(&self) {
-        let whole = LinkHarm::default();
-        self.harm.send(whole).expect("the proxies run");
+        let whole = LinkFault::default();
+        self.fault.send(whole).expect("the proxies run");
     }
 
     /// When bytes came to a target that had been held up.
-    pub fn held_up(&self) -> Vec<Time> {
-        self.held_up.lock().expect("not poisoned").clone()
+    pub fn delayed_deliveries(&self) -> Vec<Time> {
+        self.delayed_deliveries
+            .lock()
+            .expect("not poisoned")
+            .clone()
     }
 }
 
 async fn pass_on(
     targets: Vec<SocketAddr>,
     ready: mpsc::Sender<Vec<SocketAddr>>,
-    mut commands: UnboundedReceiver<LinkHarm>,
-    held_up: &Mutex<Vec<Time>>,
+    mut commands: UnboundedReceiver<LinkFault>,
+    delayed_deliveries: &Mutex<Vec<Time>>,
 ) {
     let mut proxies = Vec::new();
     for target in targets {
@@ -70,13 +73,16 @@
     ready.send(addresses).expect("the test waits");
     loop {
         tokio::select! {
-            harm = commands.recv() => match harm {
-                Some(harm) => proxies.iter().for_each(|proxy| proxy.harm(harm)),
+            fault = commands.recv() => match fault {
+                Some(fault) => proxies.iter().for_each(|proxy| proxy.set_fault(fault)),
                 None => return,
             },
             () = tokio::time::sleep(STEP) => {}
         }
-        let times = proxies.iter().flat_map(Proxy::take_held_up);
-        held_up.lock().expect("not poisoned").extend(times);
+        let times = proxies.iter().flat_map(Proxy::take_delayed_deliveries);
+        delayed_deliveries
+            .lock()
+            .expect("not poisoned")
+            .extend(times);
     }
 }
--- a/crates/soak/tests/common/mod.rs
+++ b/crates/soak/tests/common/mod.rs
@@ -19,9 +19,9 @@
 
 /// How long all routers may take to hear of something.
 pub const CONTACT: Duration = Duration::from_secs(3);
-pub const PATIENCE: Duration = Duration::from_secs(60);
-pub const PAUSE: Duration = Duration::from_millis(250);
-const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
+pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Ends with the test.
 pub struct Process(Child);
@@ -75,11 +75,11 @@
 /// Stands in for the soak's driver: it gives the store its configuration.
 pub fn drive(listener: TcpListener) {
     // Nobody reads them; they end with the test's process.
-    let _ = drive_and_listen(listener);
+    let _ = drive_and_collect(listener);
 }
 
 /// The same; what the processes tell.
-pub fn drive_and_listen(listener: TcpListener) -> Arc<Mutex<Vec<Report>>> {
+pub fn drive_and_collect(listener: TcpListener) -> Arc<Mutex<Vec<Report>>> {
     let told = Arc::<Mutex<Vec<Report>>>::default();
     let reports = told.clone();
     thread::spawn(move || {
@@ -113,7 +113,7 @@
 }
 
 /// Plays runs of the soak, each of which has to keep every promise.
-pub fn plays_clean(arguments: &[&str], folder: &str) {
+pub fn assert_clean_run(arguments: &[&str], folder: &str) {
     let router = soak().with_file_name("beamtray");
     assert!(
         router.exists(),
@@ -224,7 +224,7 @@
 pub fn ask(router: SocketAddr, method: &str, path: &str, patience: Duration) -> Option<String> {
     let names = Platform.headers();
     let mut stream = TcpStream::connect(router).ok()?;
-    stream.set_read_timeout(Some(ANSWER_PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let id = format!("{:x}", rand::random::<u64>());
     let patience = patience.as_millis();
     let request = format!(
--- a/crates/soak/tests/given_up_calls.rs
+++ b/crates/soak/tests/given_up_calls.rs
@@ -16,9 +16,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CLIENT_PATIENCE: Duration = Duration::from_millis(500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long after its last byte a given-up connection may stay open.
-const END_PATIENCE: Duration = Duration::from_secs(4);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How a connection of the router ended that had a call under way.
 #[derive(Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 }
 
 fn read(router: SocketAddr) -> Option<String> {
-    ask(router, "GET", &format!("{PROBE}1/1"), CLIENT_PATIENCE)
+    ask(router, "GET", &format!("{PROBE}1/1"), CLIENT_TIMEOUT)
 }
 
 fn serve_and_cut(name: &str) -> Served {
@@ -123,10 +123,10 @@
         driver,
     };
     let others = vec![store_process, upstream.start(&folder)];
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !is_served(&read(router)) {
         assert!(Instant::now() < deadline, "the router does not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     path.cut();
     Served {
@@ -141,7 +141,7 @@
 fn a_call_that_is_given_up_is_reset() {
     let served = serve_and_cut("given-up-calls");
     assert!(!is_served(&read(served.router)));
-    let end = served.path.ends.recv_timeout(END_PATIENCE);
+    let end = served.path.ends.recv_timeout(CLOSE_TIMEOUT);
     assert_eq!(end, Ok(End::Reset));
 }
 
@@ -151,9 +151,9 @@
     let router = served.router;
     let reader = thread::spawn(move || read(router));
     // The request is on its way to the upstream by then, and not given up yet.
-    thread::sleep(CLIENT_PATIENCE / 4);
+    thread::sleep(CLIENT_TIMEOUT / 4);
     drop(served.process);
-    let end = served.path.ends.recv_timeout(END_PATIENCE);
+    let end = served.path.ends.recv_timeout(CLOSE_TIMEOUT);
     assert_eq!(end, Ok(End::Reset));
     let answer = reader.join().expect("it ends");
     assert!(!is_served(&answer));
--- a/crates/soak/tests/named_rates.rs
+++ b/crates/soak/tests/named_rates.rs
@@ -26,13 +26,13 @@
 const LASTS: Duration = Duration::from_secs(12);
 /// Between two requests of the clients of a router.
 const REQUEST_EVERY: Duration = Duration::from_millis(120);
-const CLIENT_PATIENCE: Duration = Duration::from_millis(400);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Has the clients of a router send requests for a while.
 fn send(router: SocketAddr) {
     let until = Instant::now() + LASTS;
     while Instant::now() < until {
-        thread::spawn(move || ask(router, "POST", &format!("{ORDER}20"), CLIENT_PATIENCE));
+        thread::spawn(move || ask(router, "POST", &format!("{ORDER}20"), CLIENT_TIMEOUT));
         thread::sleep(REQUEST_EVERY);
     }
 }
@@ -42,7 +42,7 @@
     let told = told.lock().expect("not poisoned");
     let arrived = told
         .iter()
-        .filter(|report| matches!(report.observation, Observation::Arrived { .. }));
+        .filter(|report| matches!(report.observation, Observation::RequestArrived { .. }));
     let mut times: Vec<Time> = arrived.map(|report| report.at).collect();
     times.sort_unstable();
     times
@@ -53,7 +53,7 @@
     let folder = folder("named-rates");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let driver = listener.local_addr().expect("an address");
-    let told = drive_and_listen(listener);
+    let told = drive_and_collect(listener);
     let (store, _store_process) = store(&folder, driver);
     let routers: Vec<(SocketAddr, Process)> = (0..ROUTERS)
         .map(|node| router(&folder, node, store))
@@ -67,14 +67,14 @@
         driver,
     };
     let _upstream_process = upstream.start_in_need((RATE * 1e3) as u32, &folder);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     let serves = |router: SocketAddr| {
         let order = format!("{ORDER}5");
-        is_served(&ask(router, "POST", &order, CLIENT_PATIENCE))
+        is_served(&ask(router, "POST", &order, CLIENT_TIMEOUT))
     };
     while !routers.iter().all(|(router, _)| serves(*router)) {
         assert!(Instant::now() < deadline, "the routers do not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let clients: Vec<_> = routers
         .iter()
--- a/crates/soak/tests/old_grants.rs
+++ b/crates/soak/tests/old_grants.rs
@@ -11,7 +11,9 @@
 #[path = "common/links.rs"]
 mod links;
 
-use beamtray_soak::{Healed, HeldUp, History, Observation, Promise, Report, check, clock};
+use beamtray_soak::{
+    DelayedDelivery, FaultEnd, History, Observation, Promise, Report, check, clock,
+};
 use common::*;
 use links::Links;
 use std::net::{SocketAddr, TcpListener};
@@ -60,7 +62,7 @@
 fn all_keys_taken(reports: &Reports) -> bool {
     let mut taken = vec![false; KEYS];
     for report in reports.lock().expect("not poisoned").iter() {
-        if let Observation::Taken { first, last, .. } = report.observation {
+        if let Observation::GrantAccepted { first, last, .. } = report.observation {
             taken[usize::from(first)..=usize::from(last)].fill(true);
         }
     }
@@ -72,16 +74,16 @@
     let folder = folder("old-grants");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let driver = listener.local_addr().expect("an address");
-    let reports = drive_and_listen(listener);
+    let reports = drive_and_collect(listener);
     let (store, _store) = store(&folder, driver);
     let start_router = |node| router(&folder, node, store);
     let _routers: Vec<_> = (0..ROUTERS).map(start_router).collect();
     let start_upstream = |index| upstream(&folder, index, store, driver);
     let upstreams: Vec<_> = (0..UPSTREAMS).map(start_upstream).collect();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !all_keys_taken(&reports) {
         assert!(Instant::now() < deadline, "not all keys are granted");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     thread::sleep(SETTLED);
 
@@ -89,20 +91,23 @@
     cut_off.cut();
     thread::sleep(CUT);
     cut_off.heal();
-    let healed = Healed {
+    let healed = FaultEnd {
         upstream: Some(name(0)),
         at: clock::now(),
     };
     thread::sleep(UNTIL_SENT_AGAIN);
 
-    let held_up = cut_off.held_up().into_iter().map(|at| HeldUp {
-        upstream: name(0),
-        at,
-    });
+    let delayed_deliveries = cut_off
+        .delayed_deliveries()
+        .into_iter()
+        .map(|at| DelayedDelivery {
+            upstream: name(0),
+            at,
+        });
     let history = History {
         reports: reports.lock().expect("not poisoned").clone(),
-        healed: vec![healed],
-        held_up: held_up.collect(),
+        fault_ends: vec![healed],
+        delayed_deliveries: delayed_deliveries.collect(),
         ..History::default()
     };
     let mut findings = check(&history).findings;
--- a/crates/soak/tests/poison_request.rs
+++ b/crates/soak/tests/poison_request.rs
@@ -14,7 +14,7 @@
 const UPSTREAMS: usize = 4;
 /// Upstreams that may end before the request is kept off.
 const ALLOWED: usize = 3;
-const CLIENT_PATIENCE: Duration = Duration::from_secs(2);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 struct Cluster {
     folder: PathBuf,
@@ -81,7 +81,7 @@
 
     /// Sends an order to a router; its answer.
     fn order(&self, node: usize, path: &str) -> Option<String> {
-        ask(self.routers[node], "POST", path, CLIENT_PATIENCE)
+        ask(self.routers[node], "POST", path, CLIENT_TIMEOUT)
     }
 
     fn serves(&self, node: usize) -> bool {
@@ -92,10 +92,10 @@
 #[test]
 fn routers_keep_off_a_request_that_ends_upstreams() {
     let mut cluster = Cluster::start();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !(0..ROUTERS).all(|node| cluster.serves(node)) {
         assert!(Instant::now() < deadline, "the routers do not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let poison = format!(
         "{}{}",
@@ -111,7 +111,7 @@
         );
         cluster.order(sent % ROUTERS, &poison);
         sent += 1;
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
         cluster.replace_ended();
     }
     thread::sleep(CONTACT);
@@ -126,7 +126,7 @@
         let later: f64 = later.and_then(|text| text.parse().ok()).expect("a time");
         assert!(later > 60.0, "{answer}");
     }
-    thread::sleep(PAUSE);
+    thread::sleep(POLL_INTERVAL);
     cluster.replace_ended();
     assert_eq!(cluster.ended, before, "an upstream ended under it");
     assert!(
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy carries bytes over a cut as kernels do.
 
-use beamtray_soak::{LinkHarm, Proxy};
+use beamtray_soak::{LinkFault, Proxy};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -40,13 +40,13 @@
     }
 
     async fn cut(&self) {
-        self.proxy.harm(LinkHarm::cut());
+        self.proxy.set_fault(LinkFault::cut());
         // No connection comes up once the queue is full.
         sleep(SOON).await;
     }
 
     fn heal(&self) {
-        self.proxy.harm(LinkHarm::default());
+        self.proxy.set_fault(LinkFault::default());
     }
 }
 
@@ -58,7 +58,7 @@
     Some(buffer)
 }
 
-fn play(story: impl Future<Output = ()>) {
+fn run_plan(story: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, story);
@@ -66,7 +66,7 @@
 
 #[test]
 fn bytes_pass_a_cut_when_they_are_sent_again() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -79,13 +79,13 @@
         let passed = written.elapsed();
         let sent_again = passed > CUT && passed < SENT_AGAIN + SOON;
         assert!(sent_again, "after {passed:?}");
-        assert_eq!(path.proxy.take_held_up().len(), 1);
+        assert_eq!(path.proxy.take_delayed_deliveries().len(), 1);
     });
 }
 
 #[test]
 fn an_ordinary_close_does_not_end_what_was_written() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_reset_drops_what_was_written() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -111,13 +111,13 @@
         assert_eq!(read(&mut server, CUT).await, None, "nothing passes a cut");
         path.heal();
         assert_eq!(read(&mut server, LONG).await, Some(Vec::new()), "its end");
-        assert!(path.proxy.take_held_up().is_empty());
+        assert!(path.proxy.take_delayed_deliveries().is_empty());
     });
 }
 
 #[test]
 fn no_connection_comes_up_in_a_cut_nor_is_one_refused() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         path.cut().await;
         for _ in 0..3 {
@@ -133,7 +133,7 @@
 /// Neither what waits to be accepted nor what is open passes on anything later.
 #[test]
 fn nothing_passes_after_the_end_of_a_proxy() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (client, mut server) = path.connection().await;
         let Path { proxy, listener } = path;
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_target_that_is_gone_resets() {
-    play(async {
+    run_plan(async {
         let Path { proxy, listener } = Path::start().await;
         drop(listener);
         let client = TcpStream::connect(proxy.address).await;
--- a/crates/soak/tests/rates.rs
+++ b/crates/soak/tests/rates.rs
@@ -8,25 +8,25 @@
 }
 
 /// An upstream names four a second from 2 s to 12 s: 29 are allowed in four seconds.
-struct Story {
+struct HistoryBuilder {
     history: History,
     next: usize,
 }
 
-impl Story {
+impl HistoryBuilder {
     fn new() -> Self {
         let mut story = Self {
             history: History::default(),
             next: 0,
         };
-        let named = |rate_milli| Observation::NamesRate { rate_milli };
-        story.tell(2_000, "pool-1", named(Some(4_000)));
-        story.tell(12_000, "pool-1", named(None));
+        let named = |rate_milli| Observation::RateAnnounced { rate_milli };
+        story.report(2_000, "pool-1", named(Some(4_000)));
+        story.report(12_000, "pool-1", named(None));
         story.history.recovered = at(60_000);
         story
     }
 
-    fn tell(&mut self, millis: u64, from: &str, observation: Observation) {
+    fn report(&mut self, millis: u64, from: &str, observation: Observation) {
         self.history.reports.push(Report {
             at: at(millis),
             from: from.to_owned(),
@@ -39,15 +39,19 @@
         for millis in (from..until).step_by(every) {
             self.next += 1;
             let id = format!("request-{}", self.next);
-            let asked = Observation::Asked {
+            let asked = Observation::RequestSent {
                 id: id.clone(),
                 node,
                 path: "/order/5".to_owned(),
                 repeatable: true,
             };
-            self.tell(millis, "caller", asked);
-            self.tell(millis, "pool-1", Observation::Arrived { id: id.clone() });
-            self.tell(millis + 5, "pool-1", Observation::Finished { id });
+            self.report(millis, "caller", asked);
+            self.report(
+                millis,
+                "pool-1",
+                Observation::RequestArrived { id: id.clone() },
+            );
+            self.report(millis + 5, "pool-1", Observation::WorkFinished { id });
         }
         self
     }
@@ -59,7 +63,7 @@
         self
     }
 
-    fn objections(&self) -> usize {
+    fn violations(&self) -> usize {
         let findings = check(&self.history).findings.into_iter();
         let limits = findings.filter(|finding| finding.promise == Promise::Limit);
         limits.count()
@@ -68,22 +72,22 @@
 
 #[test]
 fn who_gets_more_than_half_beyond_it_is_objected_to() {
-    let within = Story::new().requests(0, 0, 12_000, 145);
-    assert_eq!(within.objections(), 0);
-    let beyond = Story::new().requests(0, 0, 12_000, 125);
-    assert_eq!(beyond.objections(), 1);
-    let together = Story::new()
+    let within = HistoryBuilder::new().requests(0, 0, 12_000, 145);
+    assert_eq!(within.violations(), 0);
+    let beyond = HistoryBuilder::new().requests(0, 0, 12_000, 125);
+    assert_eq!(beyond.violations(), 1);
+    let together = HistoryBuilder::new()
         .requests(0, 0, 12_000, 250)
         .requests(1, 0, 12_000, 250);
-    assert_eq!(together.objections(), 1);
+    assert_eq!(together.violations(), 1);
 }
 
 #[test]
 fn what_comes_before_and_after_is_not() {
-    let before = Story::new().requests(0, 0, 4_900, 50);
-    assert_eq!(before.objections(), 0);
-    let after = Story::new().requests(0, 12_001, 20_000, 50);
-    assert_eq!(after.objections(), 0);
+    let before = HistoryBuilder::new().requests(0, 0, 4_900, 50);
+    assert_eq!(before.violations(), 0);
+    let after = HistoryBuilder::new().requests(0, 12_001, 20_000, 50);
+    assert_eq!(after.violations(), 0);
 }
 
 /// Seen at the begin of a run: callers that all began at once sent more within half a second
@@ -91,25 +95,25 @@
 #[test]
 fn a_burst_before_the_rate_was_named_is_nobodys_fault() {
     let burst = |every| {
-        Story::new()
+        HistoryBuilder::new()
             .requests(0, 1_500, 2_000, every)
             .requests(0, 2_001, 2_002, 1)
             .requests(0, 2_600, 5_200, 500)
     };
     // 32 and 28 come before, seven after.
-    assert_eq!(burst(16).objections(), 0);
-    assert_eq!(burst(18).objections(), 1);
+    assert_eq!(burst(16).violations(), 0);
+    assert_eq!(burst(18).violations(), 1);
 }
 
 #[test]
 fn routers_that_had_no_such_answer_or_were_disturbed_are_excused() {
-    let untold = Story::new()
+    let untold = HistoryBuilder::new()
         .requests(0, 2_500, 4_500, 100)
         .requests(1, 11_000, 11_490, 10);
-    assert_eq!(untold.objections(), 0);
-    let story = || Story::new().requests(0, 7_000, 9_000, 60);
-    assert_eq!(story().objections(), 1);
-    assert_eq!(story().disturbed(Disturbed::Router(0)).objections(), 0);
-    assert_eq!(story().disturbed(Disturbed::Router(1)).objections(), 1);
-    assert_eq!(story().disturbed(Disturbed::Store).objections(), 1);
+    assert_eq!(untold.violations(), 0);
+    let story = || HistoryBuilder::new().requests(0, 7_000, 9_000, 60);
+    assert_eq!(story().violations(), 1);
+    assert_eq!(story().disturbed(Disturbed::Router(0)).violations(), 0);
+    assert_eq!(story().disturbed(Disturbed::Router(1)).violations(), 1);
+    assert_eq!(story().disturbed(Disturbed::Store).violations(), 1);
 }
--- a/crates/soak/tests/regressions.rs
+++ b/crates/soak/tests/regressions.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use common::plays_clean;
+use common::assert_clean_run;
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../soak/regressions.toml");
 
 fn regression_is_clean(seed: &str) {
     let arguments = ["regressions", "--seed", seed, "--file", FILE];
-    plays_clean(&arguments, "soak-regressions");
+    assert_clean_run(&arguments, "soak-regressions");
 }
 
 /// An upstream stood still for 6.5 s, woke, and took keys under an older token while another
--- a/crates/soak/tests/short_run.rs
+++ b/crates/soak/tests/short_run.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::plays_clean;
+use common::assert_clean_run;
 
 /// Any seed does. This one stops all routers one after the other while another is killed,
 /// and replaces upstreams one after the other while the store loses answers to writes that
@@ -15,5 +15,5 @@
 #[test]
 fn a_short_run_with_a_fixed_seed_breaks_no_promise() {
     let arguments = ["run", "--seed", SEED, "--seconds", SECONDS];
-    plays_clean(&arguments, "soak-short-run");
+    assert_clean_run(&arguments, "soak-short-run");
 }
--- a/crates/soak/tests/silent_connections.rs
+++ b/crates/soak/tests/silent_connections.rs
@@ -13,7 +13,7 @@
 
 /// Connections that a router keeps to one upstream.
 const KEPT: usize = 4;
-const CLIENT_PATIENCE: Duration = Duration::from_millis(500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Passes on bytes, until it is told to pass on no more on connections that are open.
 struct Link {
@@ -80,7 +80,7 @@
         router,
         "GET",
         &format!("{PROBE}1/{work_ms}"),
-        CLIENT_PATIENCE,
+        CLIENT_TIMEOUT,
     )
 }
 
@@ -103,10 +103,10 @@
         driver,
     };
     let _upstream = upstream.start(&folder);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !is_served(&read(router, 1)) {
         assert!(Instant::now() < deadline, "the router does not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let together: Vec<_> = (0..KEPT)
         .map(|_| thread::spawn(move || read(router, 150)))
@@ -117,7 +117,7 @@
     link.silence();
     let served = (0..KEPT).filter(|_| {
         // After a failure the upstream is left alone for a moment.
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
         is_served(&read(router, 1))
     });
     let served = served.count();
--- a/crates/soak/tests/words.rs
+++ b/crates/soak/tests/words.rs
@@ -11,13 +11,13 @@
 }
 
 #[derive(Default)]
-struct Story {
+struct HistoryBuilder {
     history: History,
     requests: usize,
 }
 
-impl Story {
-    fn tell(&mut self, millis: u64, from: &str, observation: Observation) {
+impl HistoryBuilder {
+    fn report(&mut self, millis: u64, from: &str, observation: Observation) {
         self.history.reports.push(Report {
             at: at(millis),
             from: from.to_owned(),
@@ -34,19 +34,23 @@
     ) -> Self {
         self.requests += 1;
         let id = format!("r{}", self.requests);
-        let asked = Observation::Asked {
+        let asked = Observation::RequestSent {
             id: id.clone(),
             node,
             path: "/order/20".to_owned(),
             repeatable: false,
         };
-        self.tell(millis, "caller", asked);
-        self.tell(millis, "pool-1", Observation::Arrived { id: id.clone() });
+        self.report(millis, "caller", asked);
+        self.report(
+            millis,
+            "pool-1",
+            Observation::RequestArrived { id: id.clone() },
+        );
         if let Some(said) = said {
-            self.tell(millis + 1, "pool-1", said(id.clone()));
+            self.report(millis + 1, "pool-1", said(id.clone()));
         }
         let end = CallerEnd::TimedOut;
-        self.tell(millis + 5, "caller", Observation::Ended { id, end });
+        self.report(millis + 5, "caller", Observation::RequestEnded { id, end });
         self
     }
 
@@ -66,16 +70,16 @@
 }
 
 fn leaves(id: String) -> Observation {
-    Observation::SaidItLeaves { id }
+    Observation::LeaveAnnounced { id }
 }
 
 fn rests(id: String) -> Observation {
-    Observation::AskedForRest { id, rest_ms: 3_000 }
+    Observation::PauseRequested { id, rest_ms: 3_000 }
 }
 
 #[test]
 fn a_request_long_after_the_word_of_leaving_is_an_objection() {
-    let told = || Story::default().request(0, 10_000, Some(leaves));
+    let told = || HistoryBuilder::default().request(0, 10_000, Some(leaves));
     assert_eq!(told().request(0, 11_900, None).broken(Promise::Drain), 0);
     assert_eq!(told().request(0, 12_100, None).broken(Promise::Drain), 1);
     let other = told().request(1, 12_100, None);
@@ -84,8 +88,8 @@
 
 #[test]
 fn a_restart_since_the_word_excuses_the_router_and_a_lost_answer_counts_for_nothing() {
-    let told = || Story::default().request(0, 10_000, Some(leaves));
-    let late = |story: Story| story.request(0, 12_100, None);
+    let told = || HistoryBuilder::default().request(0, 10_000, Some(leaves));
+    let late = |story: HistoryBuilder| story.request(0, 12_100, None);
     let restarted = told().disturbed(Disturbed::Router(0), 11_000, 11_500);
     assert_eq!(late(restarted).broken(Promise::Drain), 0);
     let other = told().disturbed(Disturbed::Router(1), 11_000, 11_500);
@@ -98,7 +102,7 @@
 
 #[test]
 fn three_requests_in_a_rest_are_an_objection() {
-    let asked = || Story::default().request(0, 10_000, Some(rests));
+    let asked = || HistoryBuilder::default().request(0, 10_000, Some(rests));
     let two = || {
         asked()
             .request(0, 11_000, None)
