--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' process: requests at a steady rate to all routers.
+//! The caller process, which sends requests to all routers at a constant rate.
 
 use crate::bodies;
 use crate::channel::{Reporter, connect};
@@ -20,31 +20,32 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Of a hundred requests, how many read by key; the others may not be repeated.
+/// Percentage of requests that read by key. Requests that are neither reads nor probes must
+/// not be retried.
 const READ_PERCENT: u32 = 65;
-/// Of a hundred requests, how many are probes.
+/// Percentage of requests that probe the configuration.
 const PROBE_PERCENT: u32 = 8;
-/// Of a hundred reads, how many are left by their callers early.
+/// Percentage of reads that are cancelled early.
 const CANCELLED_PERCENT: u32 = 6;
-/// When those leave.
+/// Time after which these reads are cancelled.
 const CANCEL_AFTER: Duration = Duration::from_millis(60);
-/// Work of those, so that it lasts longer than the caller stays.
+/// Work of these reads, long enough to outlast the caller.
 const LONG_WORK_MS: u64 = 1_200;
-/// Share of reads that go to one key, in percent.
+/// Percentage of reads that go to a single hot key.
 const HOT_KEY_PERCENT: u32 = 20;
-/// Bytes of the body of a request that may not be repeated.
+/// Body size of a request that must not be retried.
 const ORDER_BYTES: usize = 300;
 
-/// Settings of the callers' process.
+/// Settings of the caller process.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
-    /// The routers.
+    /// Addresses of the routers.
     pub routers: Vec<SocketAddr>,
-    /// The driver.
+    /// Address of the driver.
     pub driver: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Seed of what is drawn.
+    /// Seed of the request generator.
     pub seed: u64,
 }
 
@@ -58,7 +59,7 @@
     leaves: bool,
 }
 
-/// Sends requests until it is told to end.
+/// Sends requests until the driver stops it.
 ///
 /// # Errors
 /// When the driver can't be reached.
@@ -90,7 +91,7 @@
 
 fn draw(random: &mut ChaCha8Rng, settings: &CallerSettings, probed: u64) -> PlannedRequest {
     let node = random.random_range(0..settings.routers.len());
-    // Runs that play the same seed at the same time must not take each other's for theirs.
+    // The process id keeps concurrent runs of the same seed from using the same request ids.
     let id = format!("{:016x}-{}", random.random::<u64>(), std::process::id());
     let work: u64 = random.random_range(5..60);
     let kind = random.random_range(0..100);
@@ -105,7 +106,7 @@
         leaves: false,
     };
     if kind < PROBE_PERCENT {
-        // The newest version's own route, and the one before, which is gone.
+        // Probes the route of the newest version, or that of the previous one, which is removed.
         let version = probed.saturating_sub(u64::from(random.random_bool(0.3)));
         planned.path = format!("{PROBE}{version}/{work}");
         planned.repeatable = true;
@@ -157,7 +158,7 @@
             }
             end
         }
-        // It crossed the router's close.
+        // The router closed the connection; the message comes back if it was not yet written.
         Err(mut error) => match error.take_message() {
             Some(_) => CallerEnd::NotSent,
             None => CallerEnd::Disconnected,
--- a/crates/soak/src/channel.rs
+++ b/crates/soak/src/channel.rs
@@ -1,4 +1,4 @@
-//! A process's connection to the driver.
+//! The connection of a process to the driver.
 
 use crate::clock;
 use crate::message::{Command, Observation, Report};
@@ -14,7 +14,7 @@
 
 const READ_BYTES: usize = 16 * 1024;
 
-/// Reads whole messages from a stream.
+/// Reads framed messages from a stream.
 pub(crate) struct MessageReader {
     stream: OwnedReadHalf,
     frames: FrameBuffer,
@@ -38,14 +38,14 @@
             }
             let length = self.stream.read(&mut self.buffer).await?;
             if length == 0 {
-                bail!("the other side ended");
+                bail!("connection closed by the peer");
             }
             self.frames.extend(&self.buffer[..length]);
         }
     }
 }
 
-/// Tells the driver what this process sees.
+/// Sends this process's observations to the driver.
 #[derive(Clone)]
 pub(crate) struct Reporter {
     from: Rc<str>,
@@ -59,12 +59,12 @@
             from: self.from.to_string(),
             observation,
         };
-        // A driver that is gone needs no reports.
+        // Sending fails only when the driver has gone, and then reports are not needed.
         let _ = self.reports.send(report);
     }
 }
 
-/// Connects to the driver as `from`: a way to report, and the commands.
+/// Connects to the driver under the name `from`; returns the reporter and the command channel.
 pub(crate) async fn connect(
     driver: SocketAddr,
     from: &str,
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,4 +1,5 @@
-//! Checks what callers, upstreams and the store saw against the promises.
+//! Checks the observations of callers, upstreams and the store against the router's
+//! guarantees.
 
 mod history;
 mod load;
@@ -19,36 +20,36 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What must hold; the names are those under which its users know them.
+/// A guarantee that the router gives. The variant names appear in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// A caller gets the whole answer to its own request, or visibly none.
+    /// A caller receives the complete response to its own request or a visible failure.
     Mixed,
-    /// Upstreams run only what callers asked for.
+    /// Upstreams execute only requests that callers sent.
     Unasked,
-    /// What may not be repeated runs once at most.
+    /// Requests that must not be retried are executed at most once.
     Twice,
-    /// What was refused has not run.
+    /// Refused requests have not been executed.
     Refused,
-    /// Requests go to services that a configuration names.
+    /// Requests go to the service that the configuration names.
     Route,
-    /// A key has one owner.
+    /// A key has at most one owner.
     Owner,
-    /// Who leaves gets nothing after the drain time.
+    /// A draining upstream receives no requests after the drain time.
     Drain,
-    /// A planned stop cuts off nothing.
+    /// Neither a planned stop nor undisturbed operation disconnects a request in progress.
     Lost,
-    /// A configuration is in force in time.
+    /// A configuration comes into force in time.
     Config,
-    /// Repeats stay within their budget.
+    /// Retries stay within their budget.
     Budget,
-    /// Work ends when its caller has left.
+    /// Execution ends when the caller cancels the request.
     Gone,
-    /// An upstream that names the requests a second that it takes gets not much more.
+    /// An upstream that announces a rate limit receives little more.
     Limit,
-    /// An upstream that asked a router for rest gets next to nothing from it meanwhile.
+    /// An upstream that asked a router to pause receives almost nothing from it meanwhile.
     Rest,
-    /// After the troubles requests are served again.
+    /// After the fault phase requests are served again.
     Recover,
 }
 
@@ -72,32 +73,32 @@
     ];
 }
 
-/// One broken promise.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Which.
+    /// The guarantee.
     pub promise: Promise,
-    /// When.
+    /// Time of the violation.
     pub at: Time,
-    /// What was seen.
+    /// Description of the violation.
     pub text: String,
 }
 
-/// How often a promise was put to the test, and broken.
+/// How often a guarantee was checked and violated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Times put to the test.
+    /// Number of checks.
     pub tested: usize,
-    /// Times broken.
+    /// Number of violations.
     pub broken: usize,
 }
 
-/// The judgement of a run.
+/// Result of checking a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// By promise.
+    /// Counts by guarantee.
     pub counts: BTreeMap<Promise, Count>,
-    /// Broken promises.
+    /// Violations found.
     pub findings: Vec<Finding>,
 }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether every promise held.
+    /// Whether no violation was found.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
@@ -148,7 +149,7 @@
     ended: Option<(Time, CallerEnd)>,
 }
 
-/// One span in which an upstream held keys.
+/// An interval in which an upstream held a key range.
 #[derive(Clone, Debug)]
 struct Holding {
     upstream: String,
@@ -156,13 +157,13 @@
     last: u16,
     since: Time,
     ends: Time,
-    /// When the grant was taken.
+    /// When the grant was accepted.
     taken: Time,
-    /// When it would have run out if it had not been given back.
+    /// When the lease would have expired without a release.
     lease_ends: Time,
 }
 
-/// A grant as an upstream took it.
+/// A grant that an upstream accepted.
 #[derive(Clone, Debug)]
 struct AcceptedGrant {
     at: Time,
@@ -172,7 +173,7 @@
     token: u64,
 }
 
-/// What an upstream named from then on.
+/// A change of the rate limit that an upstream announces.
 #[derive(Clone, Debug)]
 struct NamedRate {
     at: Time,
@@ -180,7 +181,7 @@
     rate_milli: Option<u32>,
 }
 
-/// What an upstream said in an answer to a request.
+/// An announcement by an upstream in the response to a request.
 #[derive(Clone, Debug)]
 struct Announcement {
     at: Time,
@@ -191,9 +192,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnnouncementKind {
-    /// That it leaves.
+    /// The upstream is draining.
     Leaves,
-    /// That it wants rest for so long.
+    /// The upstream asks for a pause of this length.
     Rest(Duration),
 }
 
@@ -204,14 +205,14 @@
     accepted_grants: Vec<AcceptedGrant>,
     left: HashMap<String, Time>,
     configured: Vec<(Time, u64)>,
-    /// What upstreams named, from when on.
+    /// Rate limits announced by upstreams.
     named: Vec<NamedRate>,
-    /// What upstreams said of themselves in answers to single requests.
+    /// Announcements in responses to single requests.
     announcements: Vec<Announcement>,
     verdict: Verdict,
 }
 
-/// Judges a run.
+/// Checks the history of a run.
 pub fn check(history: &History) -> Verdict {
     let mut history = history.clone();
     history.reports.sort_by_key(|report| report.at);
@@ -336,7 +337,7 @@
         }
     }
 
-    /// Ends holdings; what is left of a partly released one stays.
+    /// Ends the holdings of a released range; the rest of a partly released holding continues.
     fn release(&mut self, at: Time, upstream: &str, first: u16, last: u16) {
         let mut kept = Vec::new();
         for holding in &mut self.holdings {
@@ -363,7 +364,7 @@
         self.holdings.extend(kept);
     }
 
-    /// Who has ended holds nothing, whatever the end of its last grant.
+    /// Ends the holdings of upstreams that have exited, even if their grants last longer.
     fn end_holdings(&mut self) {
         for end in &self.history.upstream_ends {
             let ended = self.holdings.iter_mut();
@@ -373,7 +374,7 @@
         }
     }
 
-    /// Whether a router was in touch from `from` to `until`.
+    /// Whether a router was connected and undisturbed from `from` to `until`.
     fn is_connected(&self, node: usize, from: Time, until: Time) -> bool {
         let disturbs =
             |whom: Disturbed| whom == Disturbed::Router(node) || whom == Disturbed::Store;
--- a/crates/soak/src/checker/history.rs
+++ b/crates/soak/src/checker/history.rs
@@ -1,84 +1,84 @@
-//! All that a run showed.
+//! The recorded history of a run.
 
 use crate::message::Report;
 use beamtray_types::Time;
 
-/// Who is disturbed.
+/// The processes affected by a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbed {
-    /// A router, by its number.
+    /// The router with this index.
     Router(usize),
     /// The store.
     Store,
-    /// Some upstream, or the way to it.
+    /// An upstream or the link to it.
     Upstream,
 }
 
-/// A fault as it was carried out.
+/// A fault as it was injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disturbance {
-    /// Who.
+    /// What was affected.
     pub whom: Disturbed,
-    /// When it began.
+    /// Start of the fault.
     pub from: Time,
-    /// When it ended.
+    /// End of the fault.
     pub until: Time,
 }
 
 /// A planned stop of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
-    /// The router.
+    /// Index of the router.
     pub node: usize,
-    /// When it was told.
+    /// When the stop was requested.
     pub at: Time,
-    /// When it had ended.
+    /// When the process had exited.
     pub until: Time,
 }
 
-/// The end of an upstream's process, after which it holds nothing.
+/// The exit of an upstream, after which it holds no keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamEnd {
-    /// The incarnation.
+    /// Incarnation of the upstream.
     pub upstream: String,
-    /// When it had ended.
+    /// When the process had exited.
     pub at: Time,
 }
 
-/// The end of a trouble after which a grant may come that its sender would not send any
-/// more: a router ran again, or an upstream's link was whole again.
+/// The end of a fault after which a grant may arrive that its sender would no longer send:
+/// a router was resumed, or the link to an upstream was restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultEnd {
-    /// The incarnation of the upstream; any for none.
+    /// Incarnation of the upstream; `None` stands for all upstreams.
     pub upstream: Option<String>,
-    /// When.
+    /// Time of the event.
     pub at: Time,
 }
 
-/// Bytes came to an upstream that had been held up on their way.
+/// The arrival at an upstream of bytes that were delayed by a cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DelayedDelivery {
-    /// The incarnation.
+    /// Incarnation of the upstream.
     pub upstream: String,
-    /// When.
+    /// Time of the event.
     pub at: Time,
 }
 
-/// All that a run showed.
+/// The recorded history of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// What the processes saw.
+    /// Reports of the processes.
     pub reports: Vec<Report>,
-    /// Faults that are not planned work.
+    /// Faults other than planned operations.
     pub disturbances: Vec<Disturbance>,
-    /// Planned stops.
+    /// Planned stops of routers.
     pub stops: Vec<PlannedStop>,
-    /// Upstreams that ended.
+    /// Exits of upstreams.
     pub upstream_ends: Vec<UpstreamEnd>,
-    /// Ends of troubles.
+    /// Ends of faults.
     pub fault_ends: Vec<FaultEnd>,
-    /// What was held up on its way.
+    /// Deliveries delayed by a cut.
     pub delayed_deliveries: Vec<DelayedDelivery>,
-    /// From when on requests must be served again.
+    /// Time from which requests must be served again.
     pub recovered: Time,
 }
--- a/crates/soak/src/checker/load.rs
+++ b/crates/soak/src/checker/load.rs
@@ -1,4 +1,4 @@
-//! Promises about many requests: repeats, leavers, recovery.
+//! Checks over many requests: retry budget, cancelled requests, recovery.
 
 use super::{Checker, Disturbed, Promise, Request};
 use crate::config::{
@@ -8,13 +8,13 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// Share of the late requests that must be served, as one in so many.
+/// One in this many requests after the recovery must be served.
 const SERVED_ONE_IN: usize = 4;
-/// How long a router may take to pass on that a caller left.
+/// How long a router may take to propagate a cancellation.
 const CANCEL_PROPAGATION: Duration = Duration::from_millis(500);
-/// Requests at work after that, one in so many, that are borne.
+/// One in this many cancelled requests may still be executing after that time.
 const UNFINISHED_ONE_IN: usize = 4;
-/// Least number of them that says something.
+/// Minimum number of cancelled requests for a meaningful check.
 const MIN_CANCELLED: usize = 4;
 
 impl Checker<'_> {
@@ -23,16 +23,16 @@
             let of_service = |request: &&Request| service_of(&request.path) == service;
             let requests: Vec<&Request> = self.requests.values().filter(of_service).collect();
             let mut asked: Vec<Time> = requests.iter().filter_map(|one| one.asked).collect();
-            let mut repeats: Vec<Time> = requests
+            let mut retries: Vec<Time> = requests
                 .iter()
                 .flat_map(|one| one.arrived.iter().skip(1).map(|(at, _)| *at))
                 .collect();
             asked.sort_unstable();
-            repeats.sort_unstable();
+            retries.sort_unstable();
             let mut worst: Option<(Time, usize, f64)> = None;
-            for (index, end) in repeats.iter().enumerate() {
+            for (index, end) in retries.iter().enumerate() {
                 let from = *end - RETRY_WINDOW;
-                let first = repeats.partition_point(|at| *at < from);
+                let first = retries.partition_point(|at| *at < from);
                 let count = index + 1 - first;
                 let begin = asked.partition_point(|at| *at < from);
                 let until = asked.partition_point(|at| *at <= *end);
@@ -43,14 +43,14 @@
             }
             let at = worst.map_or(Time::ZERO, |(at, _, _)| at);
             self.verdict.test(Promise::Budget, worst.is_none(), at, || {
-                format!("{service}: repeats beyond their budget: {worst:?}")
+                format!("{service}: retries exceed their budget: {worst:?}")
             });
         }
     }
 
     pub(super) fn check_cancellations(&mut self) {
-        let mut lasting = 0;
-        let mut at_work = Vec::new();
+        let mut cancelled = 0;
+        let mut executing = Vec::new();
         for (id, request) in &self.requests {
             let Some((left, CallerEnd::Cancelled)) = &request.ended else {
                 continue;
@@ -69,18 +69,21 @@
             {
                 continue;
             }
-            lasting += 1;
+            cancelled += 1;
             let finished = request.finished.iter().map(|(at, _)| *at).max();
             if finished.is_none_or(|at| at > until) {
-                at_work.push(id.clone());
+                executing.push(id.clone());
             }
         }
-        if lasting < MIN_CANCELLED {
+        if cancelled < MIN_CANCELLED {
             return;
         }
-        let few = at_work.len() * UNFINISHED_ONE_IN <= lasting;
+        let few = executing.len() * UNFINISHED_ONE_IN <= cancelled;
         self.verdict.test(Promise::Gone, few, Time::ZERO, || {
-            format!("{} of {lasting} still at work, {at_work:?}", at_work.len())
+            format!(
+                "{} of {cancelled} cancelled requests still executing: {executing:?}",
+                executing.len()
+            )
         });
     }
 
@@ -113,7 +116,7 @@
         let holds = served * SERVED_ONE_IN >= asked;
         self.verdict
             .test(Promise::Recover, holds, self.history.recovered, || {
-                format!("{served} of {asked} served after the troubles")
+                format!("{served} of {asked} requests served after the recovery")
             });
     }
 }
--- a/crates/soak/src/checker/owners.rs
+++ b/crates/soak/src/checker/owners.rs
@@ -1,16 +1,16 @@
-//! The promise that a key has one owner.
+//! Checks that a key has at most one owner.
 
 use super::{Checker, ExecutionStart, Promise};
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long two upstreams may hold the same keys.
+/// Longest tolerated overlap of holds of the same keys by two upstreams.
 const OVERLAP: Duration = Duration::from_millis(500);
 
 impl Checker<'_> {
-    /// Two upstreams must not both begin requests on a key while both hold it. Grants right
-    /// after trouble don't count: their sender could not know better.
+    /// Two upstreams must not both start requests on a key while both hold it. Grants right
+    /// after a fault are exempt, since their sender could not yet know that they were outdated.
     pub(super) fn check_owners(&mut self) {
         let all = self.holdings.clone();
         let mut holdings = all.clone();
@@ -53,13 +53,16 @@
             self.verdict
                 .test(Promise::Owner, other.is_none(), begun.at, || {
                     let other = other.unwrap_or_default();
-                    format!("{} and {other} both work on key {key}", begun.upstream)
+                    format!(
+                        "{} and {other} both execute requests on key {key}",
+                        begun.upstream
+                    )
                 });
             last.insert((key, begun.upstream), begun.at);
         }
     }
 
-    /// Since when the upstream of a run has held its key under grants that count.
+    /// Since when the upstream of an execution has held its key under grants that are not exempt.
     fn counted_since(&self, begun: &ExecutionStart, key: u16) -> Option<Time> {
         if !self.follows_fault(&begun.upstream, begun.held_since) {
             return Some(begun.held_since);
@@ -73,9 +76,9 @@
         own.map(|holding| holding.taken).min()
     }
 
-    /// Two upstreams must not hold the same keys for long, with requests or without. What
-    /// was held up on its way does not count: it lasts from its arrival, later than its
-    /// sender can know by any clock.
+    /// Two upstreams must not hold the same keys for long, with or without requests. Delayed
+    /// grants are exempt: their hold is timed from arrival, so it ends later than their sender
+    /// can know by any clock.
     fn check_overlapping_holds(&mut self) {
         let all = std::mem::take(&mut self.holdings);
         let mut holdings = all.clone();
--- a/crates/soak/src/checker/rates.rs
+++ b/crates/soak/src/checker/rates.rs
@@ -1,4 +1,4 @@
-//! The promise about upstreams that name a rate.
+//! Checks that upstreams receive no more than the rate limit they announce.
 
 use super::{Checker, Disturbed, NamedRate, Promise};
 use crate::config::CONTACT;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Over which requests are counted.
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long a router has had an answer that names the rate when its requests count.
+/// Requests of a router count only this long after it received a response with the limit.
 const RATE_KNOWN_FOR: Duration = Duration::from_millis(500);
-/// Requests that an upstream may get, as a multiple of what it takes.
+/// Requests that an upstream may receive, as a multiple of its limit.
 const OVERAGE: f64 = 1.5;
-/// Requests beyond that.
+/// Further requests allowed in each window.
 const SLACK: f64 = 5.0;
 
-/// A time in which an upstream named a rate.
+/// An interval in which an upstream announced a rate limit.
 struct RateWindow {
     upstream: String,
     rate: f64,
@@ -23,7 +23,7 @@
     until: Time,
 }
 
-/// A request as it came to an upstream, and when its work there ended.
+/// The arrival of a request at an upstream, and the end of its execution there.
 struct Arrival {
     at: Time,
     node: usize,
@@ -93,7 +93,7 @@
                 .iter()
                 .filter(|one| one.at + WINDOW > end && one.at <= end);
             let counted: Vec<&Arrival> = within.filter(|one| counts(one.node)).collect();
-            // No router can take back what came before the first answer that named the rate.
+            // Routers cannot take back requests sent before the first response with the limit.
             let before = counted.iter().filter(|one| Some(one.at) < known_from);
             let before = before.count();
             if before as f64 > allowed {
@@ -108,14 +108,14 @@
         self.verdict
             .test(Promise::Limit, count as f64 <= allowed, at, || {
                 format!(
-                    "{} takes {} a second and got {count} in 4 s, allowed {allowed}",
+                    "{} announced {} requests/s and received {count} in 4 s, allowed {allowed}",
                     need.upstream, need.rate
                 )
             });
     }
 
-    /// Whether a router was killed, stopped, stood still or was cut off of late, or its way
-    /// to an upstream was harmed.
+    /// Whether a router was recently killed, stopped, suspended or cut off, or the link to an
+    /// upstream had a fault.
     fn had_fault(&self, node: usize, until: Time) -> bool {
         let from = until - WINDOW - CONTACT;
         let disturbs = |whom: Disturbed| matches!(whom, Disturbed::Router(other) if other == node);
--- a/crates/soak/src/checker/requests.rs
+++ b/crates/soak/src/checker/requests.rs
@@ -1,4 +1,4 @@
-//! Promises about single requests.
+//! Checks of single requests.
 
 use super::{Checker, Disturbed, Promise, Request};
 use crate::config::{CONFIGURE_TIMEOUT, CONTACT, DRAIN, PROBE, service_of};
@@ -6,9 +6,9 @@
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// A request that was not passed on may be cut this soon.
+/// A request that was not forwarded may be disconnected within this time.
 const CUT_SLACK: Duration = Duration::from_millis(200);
-/// Part of a caller's patience after which a cut is the deadline's.
+/// Age of a request after which a disconnect is attributed to its deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(1_400);
 
 impl Checker<'_> {
@@ -30,7 +30,7 @@
             let asked = request.asked.is_some() && begun.path == request.path;
             self.verdict.test(Promise::Unasked, asked, begun.at, || {
                 format!(
-                    "{} runs {id} {}, which nobody asked for",
+                    "{} executed {id} {}, which no caller sent",
                     begun.upstream, begun.path
                 )
             });
@@ -85,8 +85,8 @@
         self.check_undisturbed_disconnect(id, request, asked, at, is_cut);
     }
 
-    /// Judges a request of a router that nothing disturbed: the connection that it came on
-    /// is not closed without an answer once it was passed on.
+    /// Checks a request at an undisturbed router: once the request was forwarded, its connection
+    /// must not be closed without a response.
     fn check_undisturbed_disconnect(
         &mut self,
         id: &str,
@@ -120,7 +120,7 @@
         if !self.is_connected(request.node, asked - CONFIGURE_TIMEOUT, asked) {
             return;
         }
-        // The version that must be in force, and whether a later one may be.
+        // The version that must be in force, and the newest one that may already be.
         let in_force = self
             .configured
             .iter()
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Judges a request of a router that was told to stop while it lasted.
+    /// Checks a request that was in progress during a planned stop of its router.
     fn check_planned_stop(
         &mut self,
         id: &str,
@@ -165,10 +165,10 @@
         if !stopped || unplanned || at.since(asked) >= DEADLINE_MARGIN {
             return;
         }
-        let passed_on = !request.arrived.is_empty();
+        let forwarded = !request.arrived.is_empty();
         let late = at.since(asked) > CUT_SLACK;
         self.verdict
-            .test(Promise::Lost, !cut || !passed_on && !late, at, || {
+            .test(Promise::Lost, !cut || !forwarded && !late, at, || {
                 format!(
                     "router {} cut {id} {} at its stop",
                     request.node, request.path
--- a/crates/soak/src/checker/tokens.rs
+++ b/crates/soak/src/checker/tokens.rs
@@ -1,27 +1,28 @@
-//! The promises that tokens rise, and that no key is given away under its holder's work.
+//! Checks that tokens increase, and that no key is granted while its holder still executes
+//! requests on it.
 
 use super::{AcceptedGrant, Checker, Promise};
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// For so long after its sender ran again or its link was whole again, a grant that arrives
-/// does not tell against the router: it could not know better.
+/// Grants that arrive this soon after their sender was resumed or its link was restored are
+/// exempt, since the router could not yet know that they were outdated.
 const AFTER_FAULT_EXEMPTION: Duration = Duration::from_millis(300);
-/// How long after bytes that were held up have passed a grant may be one of them.
+/// A grant that arrives this soon after a delayed delivery may have been part of it.
 const DELAYED_DELIVERY_WINDOW: Duration = Duration::from_millis(100);
 
-/// A token under which an upstream had a key; the order is that of tokens.
+/// A token under which an upstream held a key, ordered by token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct HeldToken<'a> {
     token: u64,
     upstream: &'a str,
 }
 
-/// Tokens under which upstreams had one key.
+/// Tokens under which upstreams held one key.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyTokens<'a> {
     highest: HeldToken<'a>,
-    /// The highest of all but that holder.
+    /// The highest token of all other holders.
     of_others: HeldToken<'a>,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Checker<'_> {
-    /// Whether a grant came to an upstream right after trouble: it does not count.
+    /// Whether a grant arrived right after the end of a fault and is therefore exempt.
     pub(super) fn follows_fault(&self, upstream: &str, at: Time) -> bool {
         self.history.fault_ends.iter().any(|fault_end| {
             let concerns = fault_end
@@ -62,15 +63,15 @@
         })
     }
 
-    /// Whether a grant that came to an upstream may have been held up on its way.
+    /// Whether a grant may have been part of a delayed delivery.
     pub(super) fn is_delayed_delivery(&self, upstream: &str, at: Time) -> bool {
         self.history.delayed_deliveries.iter().any(|delivery| {
             delivery.upstream == upstream && is_within(at, delivery.at, DELAYED_DELIVERY_WINDOW)
         })
     }
 
-    /// An upstream takes a key only under a token above all those under which others had
-    /// it. A grant that was held up counts too: its token tells how old it is.
+    /// An upstream must accept a key only under a token higher than all those under which others
+    /// held it. Delayed grants are not exempt, since the token shows that they are old.
     pub(super) fn check_tokens(&mut self) {
         let accepted_grants = std::mem::take(&mut self.accepted_grants);
         let mut keys = vec![KeyTokens::default(); usize::from(u16::MAX) + 1];
@@ -92,9 +93,9 @@
         self.accepted_grants = accepted_grants;
     }
 
-    /// No key is given to an upstream while another one works on it, before the lease of
-    /// that one would have run out. What was held up does not count: it lasts from its
-    /// arrival, later than its sender can know by any clock.
+    /// A key must not be granted while another upstream executes a request on it and that
+    /// upstream's lease has not expired. Delayed grants are exempt: their hold is timed from
+    /// arrival, so it ends later than their sender can know by any clock.
     pub(super) fn check_work(&mut self) {
         let runs = self.runs();
         let accepted_grants = std::mem::take(&mut self.accepted_grants);
@@ -114,7 +115,7 @@
                     let other = works.map_or("", |run| run.upstream.as_str());
                     let (first, last) = (taking.first, taking.last);
                     let upstream = &taking.upstream;
-                    format!("{upstream} takes {first} to {last}, on which {other} works")
+                    format!("{upstream} accepted keys {first} to {last} while {other} executed requests on them")
                 });
         }
         self.accepted_grants = accepted_grants;
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Work on keys; what was never told to have ended ends with its upstream.
+    /// Executions on keys. One without a reported end lasts until its upstream exits.
     fn runs(&self) -> Vec<KeyRun> {
         let mut runs = Vec::new();
         for request in self.requests.values() {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Work of an upstream on a key.
+/// Execution of a request on a key by an upstream.
 struct KeyRun {
     upstream: String,
     key: u16,
@@ -173,5 +174,7 @@
         ..
     } = taking;
     let (other, had) = (other.upstream, other.token);
-    format!("{upstream} takes {first} to {last} under {token}, {other} had keys under {had}")
+    format!(
+        "{upstream} accepted keys {first} to {last} under token {token}, but {other} held some under {had}"
+    )
 }
--- a/crates/soak/src/checker/words.rs
+++ b/crates/soak/src/checker/words.rs
@@ -1,5 +1,4 @@
-//! Promises about what upstreams say of themselves in answers: that they leave, that they want
-//! rest.
+//! Checks that routers follow the announcements in upstream responses: draining and pauses.
 
 use super::{AnnouncementKind, Checker, Disturbed, Promise};
 use crate::config::DRAIN;
@@ -7,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after an answer that asks for rest requests that were under way may come.
+/// How long after a requested pause begins requests already in flight may arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// How long an answer may be on its way.
+/// How long a response may be in transit.
 const RESPONSE_TRANSIT: Duration = Duration::from_secs(1);
-/// Requests that may come in the rest of it.
+/// Requests allowed during the remaining pause.
 const ALLOWED: usize = 2;
 
-/// A request as it came from a router to an upstream.
+/// The arrival of a request at an upstream.
 struct ArrivedRequest {
     id: String,
     asked: Time,
@@ -53,15 +52,15 @@
         }
     }
 
-    /// Whether an answer of that time may not have come to its router, the way to some upstream
-    /// being harmed.
+    /// Whether a response sent at this time may have been lost to a fault on a link to an
+    /// upstream.
     fn may_be_lost(&self, at: Time) -> bool {
         self.disturbed(at - RESPONSE_TRANSIT, at + RESPONSE_TRANSIT, |whom| {
             whom == Disturbed::Upstream
         })
     }
 
-    /// Requests by router and upstream.
+    /// Arrivals by router and upstream.
     fn arrivals_by_router(&self) -> BTreeMap<(usize, String), Vec<ArrivedRequest>> {
         let mut arrivals: BTreeMap<(usize, String), Vec<ArrivedRequest>> = BTreeMap::new();
         for (id, request) in &self.requests {
@@ -78,7 +77,7 @@
         arrivals
     }
 
-    /// A restart or a freeze of the router since the answer excuses it.
+    /// Exempts routers that were restarted or suspended since the response.
     fn check_drain_after_announcement(
         &mut self,
         node: usize,
@@ -93,7 +92,7 @@
         self.verdict
             .test(Promise::Drain, late <= DRAIN, arrival.at, || {
                 let (id, late) = (&arrival.id, late.as_millis());
-                format!("{upstream} gets {id} {late} ms after it told router {node} that it leaves")
+                format!("{upstream} received {id} {late} ms after it announced draining to router {node}")
             });
     }
 
@@ -118,11 +117,11 @@
         self.verdict
             .test(Promise::Rest, count <= ALLOWED, last, || {
                 let rest = rest.as_millis();
-                format!("{upstream} asked router {node} for {rest} ms of rest and got {count}")
+                format!("{upstream} asked router {node} for a pause of {rest} ms and received {count} requests")
             });
     }
 
-    /// Whether a router was killed, stopped, stood still or was cut off in that time.
+    /// Whether a router was killed, stopped, suspended or cut off in this interval.
     fn is_interrupted(&self, node: usize, from: Time, until: Time) -> bool {
         let mut stops = self.history.stops.iter();
         let stopped = stops.any(|stop| stop.node == node && stop.at <= until && from <= stop.until);
--- a/crates/soak/src/children.rs
+++ b/crates/soak/src/children.rs
@@ -1,5 +1,5 @@
-//! The processes of a run. Only those are ever ended, by their ids, and all of
-//! them end with the driver.
+//! Child processes of a run. Only these are signalled, by process id, and all of them are
+//! killed when the driver drops them.
 
 use eyre::{Result, WrapErr};
 use nix::sys::signal::{Signal, kill};
@@ -8,14 +8,14 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// One process.
+/// A child process, killed on drop.
 pub(crate) struct Process {
     name: String,
     child: Child,
 }
 
 impl Process {
-    /// Starts a program; what it writes goes to `folder`.
+    /// Starts a program with its output appended to a log in `folder`.
     pub fn start(folder: &Path, name: &str, program: &Path, arguments: &[String]) -> Result<Self> {
         let log = folder.join(format!("{name}.log"));
         let output = File::options()
@@ -34,7 +34,7 @@
         Ok(Self { name, child })
     }
 
-    /// Sends a signal, if it still runs.
+    /// Sends a signal if the process is still running.
     pub fn signal(&mut self, signal: Signal) -> Result<()> {
         if self.has_ended() {
             return Ok(());
@@ -43,7 +43,7 @@
         kill(pid, signal).wrap_err_with(|| format!("{signal} to {}", self.name))
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
@@ -51,13 +51,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended needs neither.
+        // Both calls may fail if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The router's program, which lies beside this one.
+/// Path of the router binary, in the same directory as this program.
 pub(crate) fn router_program() -> Result<PathBuf> {
     let own = std::env::current_exe().wrap_err("find the router's program")?;
     Ok(own.with_file_name("beamtray"))
--- a/crates/soak/src/clock.rs
+++ b/crates/soak/src/clock.rs
@@ -1,9 +1,9 @@
-//! The machine's steady clock, which all processes of a run share.
+//! The system's monotonic clock, which all processes of a run share.
 
 use beamtray_types::Time;
 use nix::time::{ClockId, clock_gettime};
 
-/// The time now; zero if the system has no such clock.
+/// The current monotonic time, or zero if the clock cannot be read.
 pub fn now() -> Time {
     let reading = clock_gettime(ClockId::CLOCK_MONOTONIC);
     reading.map_or(Time::ZERO, |reading| {
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,54 +1,55 @@
-//! The configuration and the names that a run uses.
+//! Router configuration, names and timing bounds of a run.
 
 use beamtray_catalog::{
     ClientLimits, Configuration, ConfigurationVersion, Route, ServiceConfig, WeightedBackend,
 };
 use std::time::Duration;
 
-/// The divided service.
+/// The sharded service.
 pub(crate) const KEYED: &str = "keyed";
-/// The other service.
+/// The unsharded service.
 pub(crate) const POOL: &str = "pool";
-/// The only host.
+/// Host of all routes.
 pub const HOST: &str = "soak.example";
-/// Prefix of reads by key.
+/// Path prefix of reads by key.
 pub(crate) const READ: &str = "/read/";
-/// Prefix of what may not be repeated.
+/// Path prefix of requests that must not be retried.
 pub const ORDER: &str = "/order/";
-/// Prefix of probes; the version comes next.
+/// Path prefix of configuration probes, followed by the configuration version.
 pub const PROBE: &str = "/probe/";
 /// Zones of routers and upstreams.
 pub(crate) const ZONES: [&str; 2] = ["a", "b"];
 
-/// How long a caller waits.
+/// Deadline of a caller's request.
 pub(crate) const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a router must have been undisturbed to count as in touch.
+/// How long a router must have been free of faults to count as connected.
 pub(crate) const CONTACT: Duration = Duration::from_millis(3_000);
-/// How long a leaving upstream may get requests.
+/// How long a draining upstream may still receive requests.
 pub(crate) const DRAIN: Duration = Duration::from_millis(2_000);
-/// How long a configuration may take to be in force.
+/// How long a configuration may take to come into force.
 pub(crate) const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a stopping router may take.
+/// How long a router may take to stop.
 pub(crate) const STOP_GRACE: Duration = Duration::from_secs(6);
-/// Longest hold of keys.
+/// Longest time for which keys are granted.
 pub(crate) const LONGEST_HOLD: Duration = Duration::from_secs(10);
-/// Between an upstream's writes of its entry.
+/// Interval at which an upstream writes its registration.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_000);
-/// Time for whole recovery after the last fault.
+/// Time allowed for full recovery after the last fault.
 pub(crate) const RECOVERY: Duration = Duration::from_secs(15);
-/// Repeats for each request, and on top of that in each window.
+/// Retry budget: retries allowed per request in a window.
 pub(crate) const RETRY_RATIO: f64 = 0.2;
-/// Repeats on top of that in each window.
+/// Retry budget: further retries allowed in each window.
 pub(crate) const RETRY_ALLOWANCE: f64 = 30.0;
-/// The window of that bound.
+/// Retry budget: length of the window.
 pub(crate) const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Service to which a path is to go; none for probes of other versions.
+/// The service that serves a path.
 pub(crate) fn service_of(path: &str) -> &'static str {
     if path.starts_with(READ) { KEYED } else { POOL }
 }
 
-/// The configuration of a version: each has a route of its own for probes.
+/// The configuration of a version. Each version has its own probe route, so that a probe
+/// shows which one is in force.
 pub(crate) fn configuration(version: u64) -> Configuration {
     let route = |name: &str, prefix: String, service: &str, repeatable, priority| Route {
         name: name.to_owned(),
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: starts the processes, harms them, and judges what they saw.
+//! Runs a fault plan: starts the processes, injects the faults, and checks the observations.
 
 mod cluster;
 mod faults;
@@ -18,36 +18,36 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Time before the first fault.
+/// Time before the first fault, for the processes to start and settle.
 const WARM_UP: Duration = Duration::from_secs(7);
-/// Requests after the recovery that are counted.
+/// Time after the recovery in which requests must be served.
 const MEASURED: Duration = Duration::from_secs(6);
-/// Time for the last requests to end.
+/// Time for the last requests to complete.
 const LAST_REQUESTS: Duration = Duration::from_millis(2_500);
-/// Between looks at what is due.
+/// Interval at which due faults are checked.
 const TICK: Duration = Duration::from_millis(5);
-/// A step that takes so long shows that the machine had no time for its processes.
+/// A tick that takes longer than this shows that the machine did not schedule the processes.
 const STALL_THRESHOLD: Duration = Duration::from_millis(150);
-/// Least time of troubles.
+/// Minimum length of the fault phase.
 const MIN_FAULT_TIME: Duration = Duration::from_secs(3);
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Its length.
+    /// Length of the run.
     pub length: Duration,
-    /// Where logs and a broken run's plan go.
+    /// Directory for logs and the plan of a failed run.
     pub folder: PathBuf,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
-    /// How many processes.
+    /// Numbers of processes.
     pub size: Size,
 }
 
 impl RunSettings {
-    /// The plan of the seed.
+    /// Draws the plan of the seed.
     pub fn plan(&self) -> Plan {
         let calm = WARM_UP + RECOVERY + MEASURED;
         let troubled = self.length.saturating_sub(calm).max(MIN_FAULT_TIME);
@@ -55,10 +55,10 @@
     }
 }
 
-/// Plays a plan and judges it.
+/// Runs a plan and checks the outcome.
 ///
 /// # Errors
-/// When a process can't be started or told something.
+/// When a process can't be started or signalled.
 pub async fn run_plan(settings: &RunSettings, plan: &Plan) -> Result<Verdict> {
     std::fs::create_dir_all(&settings.folder)
         .wrap_err_with(|| format!("make {}", settings.folder.display()))?;
@@ -90,8 +90,8 @@
     Ok(check(&cluster.history(recovered)))
 }
 
-/// Sleeps, and notes when the machine ran nobody meanwhile: what was late then is not the
-/// routers' doing.
+/// Sleeps, and records stalls of the whole machine, since the routers are not responsible for
+/// delays during a stall.
 async fn watched_sleep(cluster: &mut Cluster, time: Duration) {
     let end = clock::now() + time;
     loop {
@@ -112,10 +112,10 @@
     begin + Duration::from_millis(millis)
 }
 
-/// Drops faults as long as the run still fails; the shortest plan found.
+/// Removes faults as long as the run still fails; returns the shortest plan found.
 ///
 /// # Errors
-/// When a run can't be played.
+/// When a run can't be carried out.
 pub async fn shorten(settings: &RunSettings, plan: &Plan) -> Result<Plan> {
     let mut plan = plan.clone();
     let mut index = 0;
--- a/crates/soak/src/driver/cluster.rs
+++ b/crates/soak/src/driver/cluster.rs
@@ -29,28 +29,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// Milliseconds of the shortest lease.
+/// Shortest lease in milliseconds.
 const LEAST_TTL_MS: u64 = 1_000;
 const MEMORY_MB: u64 = 256;
 const DESCRIPTORS: u64 = 1_024;
-/// One upstream's clock for holds runs that much slower.
+/// Speed of the clock that times holds on the first upstream, to test clock drift.
 const SLOW_CLOCK_PERCENT: u32 = 98;
 
 type Commands = Rc<RefCell<HashMap<String, UnboundedSender<Command>>>>;
 type Reports = Rc<RefCell<Vec<Report>>>;
 
-/// A router's place: its settings and the proxy on its way to the store.
+/// A router, its settings and the proxy on its link to the store.
 pub(super) struct RouterSlot {
     pub process: Option<Process>,
     pub store_proxy: Proxy,
     settings: PathBuf,
     pub clients: SocketAddr,
-    /// When a planned stop began, until it is over.
+    /// Start of a planned stop that is in progress.
     pub stopping: Option<Time>,
 }
 
-/// An upstream's place: its address, the proxy before it and the one on its way to the
-/// store.
+/// An upstream, its address, and the proxies on the links to it and from it to the store.
 pub(super) struct UpstreamSlot {
     pub process: Option<Process>,
     pub proxy: Proxy,
@@ -59,7 +58,7 @@
     generation: u32,
 }
 
-/// All processes.
+/// All processes of a run.
 pub(super) struct Cluster {
     pub routers: Vec<RouterSlot>,
     pub upstreams: Vec<UpstreamSlot>,
@@ -80,7 +79,7 @@
 }
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts all processes and proxies.
     pub async fn start(settings: &RunSettings) -> Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let driver = listener.local_addr()?;
@@ -153,7 +152,7 @@
         Ok(cluster)
     }
 
-    /// Gives everything time to come up, then lets the callers begin.
+    /// Waits for the processes to start, then starts the traffic.
     pub async fn warm_up(&mut self, time: Duration) -> Result<()> {
         tokio::time::sleep(time / 4).await;
         self.configure();
@@ -162,17 +161,17 @@
         Ok(())
     }
 
-    /// Puts the next configuration in force.
+    /// Publishes the next configuration.
     pub fn configure(&mut self) {
         self.version += 1;
         self.send_command("store", &Command::Configure(self.version));
         self.send_command("caller", &Command::Probe(self.version));
     }
 
-    /// Tells a process something; one that is not there hears nothing.
+    /// Sends a command to a process, if it is connected.
     pub fn send_command(&self, name: &str, command: &Command) {
         if let Some(sender) = self.commands.borrow().get(name) {
-            // One that has just ended needs no command.
+            // Sending fails only if the process has just ended.
             let _ = sender.send(command.clone());
         }
     }
@@ -191,13 +190,13 @@
         if index < self.size.keyed { KEYED } else { POOL }
     }
 
-    /// Name of the incarnation of an upstream that runs now.
+    /// Name of the current incarnation of an upstream.
     pub fn upstream_name(&self, index: usize) -> String {
         let service = self.service(index);
         format!("{service}-{index}-{}", self.upstreams[index].generation)
     }
 
-    /// Notes that the incarnation of an upstream that ran has ended.
+    /// Records the end of the current incarnation of an upstream.
     pub fn upstream_ended(&mut self, index: usize) {
         let upstream = self.upstream_name(index);
         let at = now();
@@ -227,7 +226,7 @@
         Ok(())
     }
 
-    /// Notes a fault that lasted from `from` until now.
+    /// Records a fault that lasted until `until`.
     pub fn record_disturbance(&mut self, fault: &ActiveFault, until: Time) {
         let from = fault.from;
         let whom = match fault.target {
@@ -246,17 +245,17 @@
         self.disturbances.push(Disturbance { whom, from, until });
     }
 
-    /// Fails if a router has ended by itself: a run without one of its routers says
+    /// Fails if a router has exited unexpectedly, since a run without one of its routers proves
     /// nothing.
     pub fn require_routers(&mut self) -> Result<()> {
         for (node, slot) in self.routers.iter_mut().enumerate() {
             let has_ended = slot.process.as_mut().is_none_or(Process::has_ended);
-            ensure!(!has_ended, "router {node} ended by itself: see its log");
+            ensure!(!has_ended, "router {node} exited unexpectedly; see its log");
         }
         Ok(())
     }
 
-    /// Notes that the machine ran nobody.
+    /// Records a stall of the machine as a disturbance of all processes.
     pub fn record_stall(&mut self, from: Time, until: Time) {
         let routers = (0..self.routers.len()).map(Disturbed::Router);
         let all = routers.chain([Disturbed::Store, Disturbed::Upstream]);
@@ -264,7 +263,7 @@
         self.disturbances.extend(stalls);
     }
 
-    /// What was seen so far.
+    /// The observations recorded so far.
     pub fn history(&mut self, recovered: Time) -> History {
         self.collect_delayed_deliveries();
         History {
@@ -332,7 +331,7 @@
         let commands = commands.clone();
         let reports = reports.clone();
         tokio::task::spawn_local(async move {
-            // A process that is killed ends its connection.
+            // The connection ends with an error when the process is killed.
             let _ = serve_process(stream, commands, reports).await;
         });
     }
@@ -361,7 +360,7 @@
     }
 }
 
-/// The time now.
+/// The current time.
 pub(super) fn now() -> Time {
     clock::now()
 }
--- a/crates/soak/src/driver/faults.rs
+++ b/crates/soak/src/driver/faults.rs
@@ -1,4 +1,4 @@
-//! Carries faults out and ends them.
+//! Injects faults and ends them.
 
 use super::cluster::{Cluster, now};
 use crate::checker::{DelayedDelivery, Disturbed, FaultEnd, PlannedStop};
@@ -10,25 +10,25 @@
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
-/// Milliseconds that a slow store takes longer.
+/// Response delay of a slow store in milliseconds.
 const SLOW_STORE_MS: u32 = 200;
-/// Time that a slow link takes longer.
+/// Additional latency of a slow link.
 const SLOW_LINK: Duration = Duration::from_millis(120);
-/// Percent of answers that are lost.
+/// Percentage of lost responses.
 const LOST_PERCENT: u32 = 30;
-/// Requests in a thousand seconds that an upstream in need takes: less than half of what it
-/// gets.
+/// Rate limit that an upstream announces, in requests per 1000 seconds: less than half of what
+/// it receives without a limit.
 const ANNOUNCED_RATE_MILLI: u32 = 3_000;
-/// Milliseconds of rest that an upstream asks for.
+/// Length of the pause that an upstream asks for, in milliseconds.
 const PAUSE_MS: u32 = 3_000;
-/// How old the copy is from which the store comes back, in milliseconds.
+/// Age of the snapshot from which the store is restored, in milliseconds.
 const SNAPSHOT_AGE_MS: u32 = 5_000;
-/// How long watches hear nothing before the history is dropped.
+/// How long watches receive nothing before the history is compacted.
 const WATCH_SILENCE: Duration = Duration::from_secs(1);
 /// How long a planned stop may take before the process is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Whom a fault harms, as the checks see it.
+/// Which processes the checks consider disturbed by a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Target {
     Nobody,
@@ -36,7 +36,7 @@
     AllRouters,
 }
 
-/// A fault under way.
+/// A fault in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveFault {
     pub fault: SoakFault,
@@ -79,14 +79,13 @@
 }
 
 impl Cluster {
-    /// Whether any fault is under way.
+    /// Whether any fault or planned stop is in progress.
     pub fn has_active_faults(&self) -> bool {
         let stopping = self.routers.iter().any(|slot| slot.stopping.is_some());
         stopping || !self.active.is_empty()
     }
 
-    /// Begins a fault. One that hits a process which is down or stands still
-    /// is left out.
+    /// Starts a fault. Faults of a process that is down or suspended are skipped.
     pub fn inject(&mut self, now: Time, planned: &PlannedFault) -> Result<()> {
         let fault = planned.fault;
         if self.is_busy(fault) {
@@ -107,7 +106,7 @@
         Ok(())
     }
 
-    /// Whether the process that a fault hits is harmed already.
+    /// Whether another fault already affects the target process.
     fn is_busy(&self, fault: SoakFault) -> bool {
         let down = |node: usize| {
             self.active.iter().any(|one| {
@@ -125,7 +124,7 @@
             SoakFault::RouterKill(node)
             | SoakFault::RouterPause(node)
             | SoakFault::RouterStop(node) => router(node),
-            // A router that stops may be told meanwhile that its settings changed.
+            // A router may be told to reload its settings while it stops.
             SoakFault::RouterReload(node) => down(node),
             SoakFault::KillAll => (0..self.routers.len()).any(router),
             SoakFault::UpstreamKill(index)
@@ -189,7 +188,7 @@
         }
     }
 
-    /// Ends faults whose time is over, and starts again what has stopped.
+    /// Ends faults whose time is over, and restarts routers that have stopped.
     pub fn end_due_faults(&mut self, at: Time) -> Result<()> {
         let mut over = Vec::new();
         let mut active = std::mem::take(&mut self.active);
@@ -215,7 +214,7 @@
         self.restart_stopped_routers(at)
     }
 
-    /// Whether a fault that lasts until a process has ended may end.
+    /// Whether a fault may end: a drain lasts until its process has exited.
     fn can_end(&mut self, fault: SoakFault) -> bool {
         match fault {
             SoakFault::UpstreamDrain(index) => {
@@ -262,8 +261,8 @@
         Ok(())
     }
 
-    /// Notes the end of a trouble after which a grant may come that its sender would not
-    /// send any more.
+    /// Records the end of a fault after which a grant may arrive that its sender would no
+    /// longer send.
     fn record_fault_end(&mut self, fault: SoakFault) {
         let upstream = match fault {
             SoakFault::RouterPause(_) => None,
@@ -278,7 +277,7 @@
         });
     }
 
-    /// Notes what came to upstreams that had been held up.
+    /// Records delayed deliveries to upstreams.
     pub fn collect_delayed_deliveries(&mut self) {
         for index in 0..self.upstreams.len() {
             let upstream = self.upstream_name(index);
@@ -317,8 +316,7 @@
         Ok(())
     }
 
-    /// Puts the store and the links into the state that the active faults ask
-    /// for.
+    /// Sets the store and the links to the state that the active faults require.
     fn apply_states(&mut self) {
         let active: Vec<SoakFault> = self.active.iter().map(|one| one.fault).collect();
         let has = |fault: SoakFault| active.contains(&fault);
--- a/crates/soak/src/driver/ports.rs
+++ b/crates/soak/src/driver/ports.rs
@@ -1,30 +1,30 @@
-//! Ports for the processes of a run.
+//! Port allocation for the processes of a run.
 //!
-//! A port is found free here and bound by another process later. Nothing else may take it
-//! meanwhile, nor while that process is down: an outgoing connection would get it as its
-//! own, were it one of those that the system gives out, and another run that plays at the
-//! same time would find it free. So each run has ports of its own, below the system's:
-//! it listens on the first of them for as long as it lasts, and takes others where another run
-//! does. Counter-case: ports by the process id alone. Two runs whose ids lay 220 apart had the
-//! same, and one's upstreams answered the other's requests.
+//! A port is found free here and bound later by another process. Nothing else may take it in
+//! between or while that process is down: an outgoing connection could if the port were in
+//! the ephemeral range, and so could a concurrent run. Each run therefore claims a block of
+//! ports below the ephemeral range by listening on the first port of the block for as long
+//! as it lasts, and skips blocks claimed by other runs. Choosing the block by process id alone
+//! is not enough: two runs whose ids differed by 220 had the same ports, and the upstreams of
+//! one answered requests of the other.
 
 use crate::size::Size;
 use eyre::{Result, bail};
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
-/// First port of all runs; the system gives out those from 32,768 on.
+/// First port of all runs; the ephemeral range begins at 32,768.
 const FIRST: u32 = 10_000;
-/// Ports of all runs.
+/// Number of ports for all runs.
 const ALL: u32 = 22_000;
-/// Listening addresses of a router.
+/// Number of listening ports of a router.
 const PORTS_A_ROUTER: u32 = 4;
-/// Least ports of a run.
+/// Minimum number of ports of a run.
 const LEAST: u32 = 100;
 
 /// The ports of one run.
 pub struct Ports {
-    /// Held on the first of them.
+    /// Listener on the first port, which marks the block as taken.
     _claim: TcpListener,
     first: u32,
     count: u32,
@@ -32,11 +32,11 @@
 }
 
 impl Ports {
-    /// Those of a run: twice as many as it needs, and none that a run of the same size has that
-    /// plays at the same time. The process id tells where to begin to look.
+    /// Claims a block with twice as many ports as the run needs, distinct from those of
+    /// concurrent runs of the same size. The search begins at a block chosen by process id.
     ///
     /// # Errors
-    /// When as many runs play as there are ports for.
+    /// When all blocks are taken by concurrent runs.
     pub fn claim(size: Size) -> Result<Self> {
         let needed = size.routers as u32 * PORTS_A_ROUTER + size.upstreams() as u32;
         let count = (needed * 2).max(LEAST);
@@ -53,13 +53,13 @@
                 });
             }
         }
-        bail!("{runs} runs of this size play at the same time")
+        bail!("all {runs} port blocks for runs of this size are in use")
     }
 
-    /// An address of this machine that nobody listens on, neither over TCP nor UDP.
+    /// A loopback address of the block that is free for both TCP and UDP.
     ///
     /// # Errors
-    /// When there is none among them.
+    /// When no port of the block is free.
     pub fn free_address(&self) -> Result<SocketAddr> {
         for _ in 0..self.count {
             let offset = self.next.get();
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A soak of the router under faults, with real processes.
+//! Soak test of the router under fault injection, with real processes.
 //!
-//! The driver starts routers, an emulated store, upstreams and callers as
-//! processes of their own, harms them from outside (signals, and proxies on the
-//! way to the store and to upstreams), and afterwards checks what callers,
-//! upstreams and the store saw against the promises. The same seed gives the
-//! same plan of faults.
+//! The driver starts routers, an emulated store, upstreams and callers as separate
+//! processes, injects faults from outside (signals, and proxies on the links to the
+//! store and to upstreams), and afterwards checks the reports of callers, upstreams
+//! and the store against the router's guarantees. The same seed produces the same
+//! fault plan.
 
 mod bodies;
 mod caller;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// Runs real processes under faults and checks what they promise.
+/// Runs real processes under fault injection and checks the router's guarantees.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Print this help.
@@ -24,15 +24,15 @@
 
 #[derive(Debug, Options)]
 enum Task {
-    /// Plays seeds, one after the other.
+    /// Run one or more seeds in sequence.
     Run(RunArguments),
-    /// Plays the runs that once failed.
+    /// Run the recorded regressions.
     Regressions(RegressionArguments),
-    /// The store's process; the driver starts it.
+    /// Store process (started by the driver).
     Store(StoreArguments),
-    /// An upstream's process; the driver starts it.
+    /// Upstream process (started by the driver).
     Upstream(UpstreamArguments),
-    /// The callers' process; the driver starts it.
+    /// Caller process (started by the driver).
     Caller(CallerArguments),
 }
 
@@ -43,26 +43,26 @@
     /// Length of one run in seconds (default 60).
     #[options(default = "60")]
     seconds: u64,
-    /// First seed (default: drawn).
+    /// First seed (default: random).
     seed: Option<u64>,
     /// Number of seeds (default 1).
     #[options(default = "1")]
     runs: u64,
-    /// Requests a second (default 60).
+    /// Requests per second (default 60).
     #[options(default = "60")]
     rate: u32,
-    /// How many processes: small (the default) or full.
+    /// Cluster size: small (the default) or full.
     #[options(default = "small", parse(try_from_str))]
     size: Size,
-    /// Routers, if not as many as the size has.
+    /// Number of routers (default: that of the size).
     routers: Option<usize>,
-    /// Upstreams that hold keys, and as many others, if not as many as the size has.
+    /// Number of upstreams in each of the two services (default: those of the size).
     upstreams: Option<usize>,
-    /// Drop faults of a failing run while it still fails.
+    /// Remove faults from the plan of a failing run while it still fails.
     shorten: bool,
-    /// Play this plan instead of the seed's.
+    /// Run this plan instead of the one drawn from the seed.
     plan: Option<PathBuf>,
-    /// Where logs go (default target/soak).
+    /// Directory for logs (default target/soak).
     #[options(default = "target/soak")]
     folder: PathBuf,
 }
@@ -71,69 +71,69 @@
 struct RegressionArguments {
     /// Print this help.
     help: bool,
-    /// The file (default soak/regressions.toml).
+    /// File of regressions (default soak/regressions.toml).
     #[options(default = "soak/regressions.toml")]
     file: PathBuf,
-    /// The only seed of the file to play (default: all of them).
+    /// Run only the regression with this seed (default: all).
     seed: Option<u64>,
-    /// Where logs go (default target/soak).
+    /// Directory for logs (default target/soak).
     #[options(default = "target/soak")]
     folder: PathBuf,
 }
 
 #[derive(Debug, Options)]
 struct StoreArguments {
-    /// Where it listens.
+    /// Address to listen on.
     #[options(required)]
     listen: Option<SocketAddr>,
-    /// The driver.
+    /// Address of the driver.
     #[options(required)]
     driver: Option<SocketAddr>,
 }
 
 #[derive(Debug, Options)]
 struct UpstreamArguments {
-    /// Its incarnation.
+    /// Name of the incarnation.
     id: String,
-    /// Its service.
+    /// Service name.
     service: String,
-    /// Its zone.
+    /// Zone name.
     zone: String,
-    /// Where it listens.
+    /// Address to listen on.
     #[options(required)]
     listen: Option<SocketAddr>,
-    /// Where routers reach it.
+    /// Address advertised to routers.
     #[options(required)]
     advertised: Option<SocketAddr>,
-    /// The store.
+    /// Address of the store.
     #[options(required)]
     store: Option<SocketAddr>,
-    /// The driver.
+    /// Address of the driver.
     #[options(required)]
     driver: Option<SocketAddr>,
-    /// Speed of its clock for holds, in percent.
+    /// Speed of the clock that times holds, in percent.
     #[options(default = "100")]
     clock_percent: u32,
-    /// Requests in a thousand seconds that its answers name as what it takes.
+    /// Rate limit announced in responses, in requests per 1000 seconds.
     rate_milli: Option<u32>,
 }
 
 #[derive(Debug, Options)]
 struct CallerArguments {
-    /// The driver.
+    /// Address of the driver.
     #[options(required)]
     driver: Option<SocketAddr>,
-    /// Addresses of the routers, with commas between.
+    /// Router addresses, separated by commas.
     routers: String,
-    /// Requests a second.
+    /// Requests per second.
     #[options(default = "60")]
     rate: u32,
-    /// Seed of what is drawn.
+    /// Seed of the request generator.
     #[options(default = "1")]
     seed: u64,
 }
 
-/// Requests a second while regressions are played.
+/// Request rate of regression runs, per second.
 const REGRESSION_RATE: u32 = 60;
 
 fn main() -> ExitCode {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Runs a task; whether every promise held.
+/// Runs a command and returns whether every guarantee held.
 fn run(arguments: Arguments) -> Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -202,7 +202,8 @@
     value.ok_or_else(|| eyre!("a required option is missing; see --help"))
 }
 
-/// Dropping the task ends the processes that it started.
+/// Runs a task until it completes or the process is signalled; dropping the task kills its
+/// child processes.
 async fn until_interrupted(task: impl Future<Output = Result<bool>>) -> Result<bool> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -235,7 +236,7 @@
     Ok(clean)
 }
 
-/// The size of a run, with what is given by itself.
+/// The selected size, with the counts given on the command line.
 fn size_of(arguments: &RunArguments) -> Size {
     let size = arguments.size;
     Size {
--- a/crates/soak/src/message.rs
+++ b/crates/soak/src/message.rs
@@ -1,4 +1,4 @@
-//! What the processes of a run tell the driver, and what it tells them.
+//! Messages between the driver and the other processes of a run.
 
 use beamtray_types::Time;
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -6,179 +6,178 @@
 /// How a caller's request ended.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum CallerEnd {
-    /// An answer came.
+    /// A response arrived.
     Answered {
-        /// Its status.
+        /// HTTP status.
         status: u16,
-        /// Whether it is signed as an upstream signs.
+        /// Whether it carries a valid upstream signature.
         signed: bool,
-        /// Whether it is whole and belongs to the request.
+        /// Whether the body is complete and belongs to the request.
         sound: bool,
     },
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Disconnected,
-    /// No connection came up, or it ended before the request was written.
+    /// No connection was established, or it ended before the request was written.
     NotSent,
-    /// The caller left.
+    /// The caller cancelled the request.
     Cancelled,
     /// The deadline passed.
     TimedOut,
 }
 
-/// What a process saw.
+/// An event that a process reports.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Observation {
-    /// It is there.
+    /// The process has started.
     Started,
     /// A caller sent a request.
     RequestSent {
-        /// Its id.
+        /// Request id.
         id: String,
-        /// The router's number.
+        /// Index of the router.
         node: usize,
-        /// Path, the version of a probe included.
+        /// Path, including the version of a probe.
         path: String,
-        /// Whether it may be repeated.
+        /// Whether the request may be retried.
         repeatable: bool,
     },
     /// A caller's request ended.
     RequestEnded {
-        /// Its id.
+        /// Request id.
         id: String,
-        /// How.
+        /// How it ended.
         end: CallerEnd,
     },
     /// A request reached an upstream.
     RequestArrived {
-        /// The request.
+        /// Request id.
         id: String,
     },
-    /// An upstream begins to work on a request.
+    /// An upstream began to execute a request.
     WorkStarted {
-        /// The request.
+        /// Request id.
         id: String,
-        /// Its path.
+        /// Request path.
         path: String,
-        /// Its key, where keys are held.
+        /// The key, if the service is sharded.
         key: Option<u16>,
         /// Since when the upstream has held the key.
         held_since: Time,
     },
-    /// An upstream's work on a request ended, or was broken off.
+    /// An upstream finished or aborted a request.
     WorkFinished {
-        /// The request.
+        /// Request id.
         id: String,
     },
-    /// An upstream holds keys.
+    /// An upstream holds a key range.
     KeysHeld {
         /// First key.
         first: u16,
         /// Last key.
         last: u16,
-        /// Since when.
+        /// Start of the hold.
         since: Time,
-        /// Until when, by the upstream's clock.
+        /// End of the hold by the upstream's clock.
         ends: Time,
     },
-    /// An upstream took a grant.
+    /// An upstream accepted a grant.
     GrantAccepted {
         /// First key.
         first: u16,
         /// Last key.
         last: u16,
-        /// The grant's token.
+        /// Fencing token of the grant.
         token: u64,
     },
-    /// An upstream gave keys back.
+    /// An upstream released keys.
     KeysReleased {
         /// First key.
         first: u16,
         /// Last key.
         last: u16,
     },
-    /// An upstream's answers name from now on how many requests in a thousand seconds it
-    /// takes; none if they name nothing.
+    /// An upstream changed the rate limit that its responses announce.
     RateAnnounced {
-        /// The rate.
+        /// Requests per 1000 seconds, or `None` if responses announce no limit.
         rate_milli: Option<u32>,
     },
-    /// An upstream's answer to a request says that it leaves.
+    /// An upstream's response to a request announced that the upstream is draining.
     LeaveAnnounced {
-        /// The request.
+        /// Request id.
         id: String,
     },
-    /// An upstream turned a request away and asked its router for rest.
+    /// An upstream rejected a request and asked its router to pause.
     PauseRequested {
-        /// The request.
+        /// Request id.
         id: String,
-        /// Milliseconds.
+        /// Length of the pause in milliseconds.
         rest_ms: u32,
     },
-    /// The store accepted that an upstream leaves, or its entry is gone.
+    /// The store accepted an upstream's draining state, or removed its entry.
     UpstreamLeft {
         /// The upstream's incarnation.
         upstream: String,
     },
     /// The store accepted a configuration.
     ConfigurationAccepted {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
 }
 
-/// One observation.
+/// An observation with its time and origin.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Report {
-    /// When.
+    /// Time of the observation.
     pub at: Time,
-    /// Who: the incarnation of an upstream, or a process's name.
+    /// Incarnation of the upstream, or name of the process.
     pub from: String,
-    /// What.
+    /// The observation.
     pub observation: Observation,
 }
 
-/// How the store misbehaves.
+/// Faults that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StoreFaults {
-    /// It answers nothing.
+    /// Whether calls get no response.
     pub silent: bool,
-    /// Whether leases run out meanwhile; else they wait.
+    /// Whether leases expire meanwhile; otherwise they are suspended.
     pub lapse: bool,
-    /// It refuses every call.
+    /// Whether every call is refused.
     pub busy: bool,
-    /// Milliseconds before each answer.
+    /// Delay of each response in milliseconds.
     pub delay_ms: u32,
-    /// Percent of the writes that are done and not answered.
+    /// Percentage of writes that are applied but get no response.
     pub lost_percent: u32,
-    /// Whether those are done up to 6 s later.
+    /// Whether these writes are applied up to 6 s late.
     pub late: bool,
-    /// Watches hear nothing.
+    /// Whether watches receive no events.
     pub watches_silent: bool,
 }
 
-/// What the driver tells a process.
+/// A command from the driver to a process.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Command {
-    /// How the store behaves from now on.
+    /// Sets the faults of the store.
     Store(StoreFaults),
-    /// The store forgets its history.
+    /// Compacts the history of the store.
     Compact,
-    /// The store takes this configuration.
+    /// Publishes the configuration with this version.
     Configure(u64),
-    /// Percent of the answers that an upstream loses from now on.
+    /// Sets the percentage of responses that an upstream drops.
     DropResponses(u32),
-    /// Requests in a thousand seconds that an upstream's answers name from now on as what it
-    /// takes; none if they name nothing.
+    /// Sets the rate limit that an upstream's responses announce, in requests per 1000
+    /// seconds; `None` announces no limit.
     AnnounceRate(Option<u32>),
-    /// An upstream turns all requests away from now on and asks for so many milliseconds of
-    /// rest; none if it does not.
+    /// Has an upstream reject all requests and ask for a pause of this many milliseconds;
+    /// `None` ends that.
     RequestPause(Option<u32>),
-    /// The store comes back from a copy of itself that is so many milliseconds old.
+    /// Restores the store from a snapshot of this age in milliseconds.
     RestoreSnapshot(u32),
-    /// Newest version that callers probe for.
+    /// Sets the newest configuration version that callers probe.
     Probe(u64),
-    /// Callers begin.
+    /// Callers start to send requests.
     StartTraffic,
-    /// Callers send nothing more.
+    /// Callers stop sending requests.
     StopTraffic,
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Faults as data, drawn from a seed.
+//! Fault plans, generated from a seed.
 
 use crate::size::Size;
 use rand::{RngExt, SeedableRng};
@@ -6,85 +6,85 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Most series of planned work in a run.
+/// Maximum number of maintenance series in a run.
 const MOST_SERIES: usize = 3;
-/// Configurations in a series.
+/// Configuration changes in a series.
 const CONFIGURATIONS: usize = 6;
 
-/// What goes wrong, or is planned.
+/// A fault or a planned operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SoakFault {
-    /// A router is killed and started again.
+    /// A router is killed and restarted.
     RouterKill(usize),
-    /// All routers are killed and started again.
+    /// All routers are killed and restarted.
     KillAll,
-    /// A router stands still.
+    /// A router is suspended.
     RouterPause(usize),
-    /// A router is told to stop, and started again.
+    /// A router is stopped gracefully and restarted.
     RouterStop(usize),
-    /// A router is told that its settings changed.
+    /// A router reloads its settings.
     RouterReload(usize),
-    /// A router's way to the store is silent both ways.
+    /// The link between a router and the store is cut in both directions.
     StoreCut(usize),
-    /// The store hears a router, which hears nothing.
+    /// The link from the store to a router is cut; the other direction works.
     StoreOneWay(usize),
     /// A router's connections to the store are reset.
     StoreReset(usize),
-    /// A router's way to the store takes longer.
+    /// The link between a router and the store is delayed.
     StoreDelay(usize),
-    /// The store is silent; leases run out.
+    /// The store does not respond; leases expire meanwhile.
     StoreDownLapse,
-    /// The store is silent; leases wait.
+    /// The store does not respond; leases are suspended meanwhile.
     StoreDown,
-    /// The store refuses everything.
+    /// The store refuses every call.
     StoreBusy,
-    /// The store is slow.
+    /// The store responds with a delay.
     StoreSlow,
-    /// Answers to writes are lost.
+    /// Responses to writes are lost.
     StoreLost,
-    /// Answers to writes are lost and the writes are done late.
+    /// Responses to writes are lost and the writes are applied late.
     StoreLate,
-    /// Watches hear nothing for a second, then the history is gone.
+    /// Watches receive nothing for a second, then the store compacts its history.
     StoreCompact,
-    /// An upstream is killed; another one takes its address.
+    /// An upstream is killed and replaced by a new one at the same address.
     UpstreamKill(usize),
-    /// An upstream stands still.
+    /// An upstream is suspended.
     UpstreamPause(usize),
-    /// An upstream leaves as planned; another one takes its address.
+    /// An upstream drains and is replaced by a new one at the same address.
     UpstreamDrain(usize),
-    /// The way to an upstream is silent both ways.
+    /// The link to an upstream is cut in both directions.
     UpstreamCut(usize),
-    /// An upstream is out of reach of routers, and the store out of its reach.
+    /// An upstream is cut off from both the routers and the store.
     UpstreamUnreachable(usize),
     /// Connections to an upstream are reset.
     UpstreamReset(usize),
-    /// The way to an upstream takes longer.
+    /// The link to an upstream is delayed.
     UpstreamDelay(usize),
-    /// An upstream loses answers.
+    /// An upstream drops some of its responses.
     AnswersLost(usize),
-    /// An upstream's answers name the requests a second that it takes.
+    /// An upstream announces a rate limit in its responses.
     UpstreamInNeed(usize),
-    /// An upstream turns all requests away and asks for rest.
+    /// An upstream rejects all requests and asks routers to pause.
     UpstreamRests(usize),
-    /// The store is silent and comes back from an older copy of itself.
+    /// The store does not respond, then comes back from an older snapshot.
     StoreGoesBack,
-    /// A new configuration.
+    /// A new configuration is published.
     Configure,
 }
 
 /// One fault of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// Milliseconds after the beginning of the troubles.
+    /// Start, in milliseconds after the beginning of the fault phase.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration in milliseconds.
     pub for_ms: u64,
-    /// What.
+    /// The fault.
     pub fault: SoakFault,
 }
 
-/// The faults of a run, in their order.
+/// The faults of a run, ordered by start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     /// The faults.
@@ -92,7 +92,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed for troubles of that length.
+    /// Draws the plan of a seed for a fault phase of the given length.
     pub fn draw(seed: u64, troubled: Duration, size: Size) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let end = troubled.as_millis() as u64;
@@ -123,26 +123,26 @@
         Self { faults }
     }
 
-    /// The plan without one of its faults.
+    /// The plan without the fault at `index`.
     pub fn without(&self, index: usize) -> Self {
         let mut faults = self.faults.clone();
         faults.remove(index);
         Self { faults }
     }
 
-    /// When the last fault is over, in milliseconds.
+    /// End of the last fault, in milliseconds.
     pub fn end_ms(&self) -> u64 {
         let ends = self.faults.iter().map(|one| one.at_ms + one.for_ms);
         ends.max().unwrap_or_default()
     }
 }
 
-/// In one run of three, an upstream that holds keys is out of reach for longer than a hold
-/// and its transit, in half of these while a router is killed: from a generator of its own,
-/// so that the other faults of a seed stay what they were.
+/// In one run of three, cuts off an upstream of the sharded service for longer than a hold
+/// and its transit time, in half of these cases while a router is killed. Draws from a
+/// separate generator, so that the other faults of a seed do not change.
 fn draw_unreachable(seed: u64, end_ms: u64, size: Size) -> Vec<PlannedFault> {
     const ONE_IN: u32 = 3;
-    /// Between the cut and the kill.
+    /// Maximum time between the cut and the kill.
     const AFTER_MS: u64 = 400;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xC07_0000);
     if !random.random_ratio(1, ONE_IN) {
@@ -151,8 +151,8 @@
     let at_ms = random.random_range(0..end_ms.max(1));
     let unreachable = PlannedFault {
         at_ms,
-        // Half of them so short that what was written as the cut began is sent again, 6.2 s
-        // later, before the upstream can have new grants of the same keys.
+        // Half of the cuts are short enough that data written as the cut began is retransmitted,
+        // 6.2 s later, before the upstream can receive new grants of the same keys.
         for_ms: if random.random_bool(0.5) {
             random.random_range(5_000..6_000)
         } else {
@@ -170,7 +170,7 @@
     [unreachable].into_iter().chain(killed).collect()
 }
 
-/// In one run of two, upstreams are in need: from a generator of its own, as above.
+/// In one run of two, has upstreams announce rate limits. Uses a separate generator, as above.
 fn draw_need(seed: u64, end_ms: u64, size: Size) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x11E_0000);
     if random.random_bool(0.5) {
@@ -185,7 +185,7 @@
     in_need.collect()
 }
 
-/// In one run of two, upstreams ask for rest: from a generator of its own, as above.
+/// In one run of two, has upstreams ask for pauses. Uses a separate generator, as above.
 fn draw_rests(seed: u64, end_ms: u64, size: Size) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x2E57_0000);
     if random.random_bool(0.5) {
@@ -200,8 +200,8 @@
     rests.collect()
 }
 
-/// In one run of three, the store goes back, in half of these while all routers are killed or
-/// soon after: from a generator of its own, as above.
+/// In one run of three, restores the store from a snapshot, in half of these cases with one
+/// or all routers killed at that time or soon after. Uses a separate generator, as above.
 fn draw_going_back(seed: u64, end_ms: u64, size: Size) -> Vec<PlannedFault> {
     const ONE_IN: u32 = 3;
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xE2A_0000);
@@ -230,9 +230,9 @@
         .collect()
 }
 
-/// In one run of two, upstreams that hold keys stand still for longer than their holds, and
-/// up to the time for which an order counts that may lie with one: from a generator of its
-/// own, as above.
+/// In one run of two, suspends upstreams of the sharded service for longer than their holds,
+/// and up to the time for which routers consider an unacknowledged order possibly delivered.
+/// Uses a separate generator, as above.
 fn draw_long_pauses(seed: u64, end_ms: u64, size: Size) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x9A05_0000);
     if random.random_bool(0.5) {
@@ -247,8 +247,8 @@
     pauses.collect()
 }
 
-/// Planned work in a series, one step a machine, as operators and platforms do it. It
-/// overlaps other series and faults.
+/// Draws a series of maintenance steps, one per machine, as in a rolling restart. It may
+/// overlap with other series and faults.
 fn draw_series(random: &mut ChaCha8Rng, begin_ms: u64, size: Size) -> Vec<PlannedFault> {
     let gap_ms = random.random_range(50..900);
     let steps: Vec<SoakFault> = match random.random_range(0..5) {
--- a/crates/soak/src/pool.rs
+++ b/crates/soak/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to the routers that callers keep and use until the other side closes them:
-//! through stops, reloads and restarts.
+//! Connection pool of the callers. Connections are reused until the router closes them, so
+//! that they span stops, reloads and restarts.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,36 +14,36 @@
 /// A connection that carries one request at a time.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
-/// Connections at rest, by router.
+/// Idle connections by router address.
 #[derive(Clone, Default)]
 pub(crate) struct Pool {
-    resting: Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>,
 }
 
 impl Pool {
-    /// A connection that rests, or a new one; none if none comes up.
+    /// An idle connection or a new one; `None` if the router cannot be reached.
     pub async fn take(&self, address: SocketAddr) -> Option<Connection> {
-        if let Some(connection) = self.rested(address) {
+        if let Some(connection) = self.take_idle(address) {
             return Some(connection);
         }
         connect(address).await
     }
 
-    /// The connection that rested longest, of those that are not known to be closed.
-    fn rested(&self, address: SocketAddr) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let of_router = resting.get_mut(&address)?;
+    /// The connection that has been idle longest and is not known to be closed.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let of_router = idle.get_mut(&address)?;
         of_router.retain(|connection| !connection.is_closed());
         (!of_router.is_empty()).then(|| of_router.remove(0))
     }
 
-    /// Keeps a connection whose answer was read.
+    /// Returns a connection to the pool after its response was read.
     pub fn keep(&self, address: SocketAddr, connection: Connection) {
         if connection.is_closed() {
             return;
         }
-        let mut resting = self.resting.borrow_mut();
-        resting.entry(address).or_default().push(connection);
+        let mut idle = self.idle.borrow_mut();
+        idle.entry(address).or_default().push(connection);
     }
 }
 
@@ -51,7 +51,7 @@
     let stream = TcpStream::connect(address).await.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::task::spawn_local(async move {
-        // Its failure shows in the request.
+        // An error is also reported by the request on this connection.
         let _ = connection.await;
     });
     Some(sender)
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,10 +1,10 @@
-//! A loopback proxy that harms what passes through it.
+//! A loopback proxy that injects network faults.
 //!
-//! Over a silence it does what kernels do on both sides of a cut: bytes that were written
-//! are kept and sent again at doubling pauses, also when their sender has closed its
-//! connection meanwhile; a sender's reset drops them; new connections don't come up. A proxy
-//! that let these come up would bring what a router sends on them right behind what it sent
-//! before the cut, and so hide what an old message does alone.
+//! During a cut it behaves as the kernels on both sides of a partition do: written bytes are
+//! buffered and retransmitted with exponential backoff, also after their sender has closed
+//! its connection; a reset by the sender drops them; new connections are not established. If
+//! connections could be established, messages that a router sends on them would arrive right
+//! behind those it sent before the cut, which would hide the effect of an old message alone.
 
 mod gate;
 mod retransmit;
@@ -22,26 +22,26 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// What a proxy does to the bytes of one direction.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectionFault {
-    /// Bytes wait until this is over.
+    /// Whether bytes are held back.
     pub silent: bool,
-    /// Time that bytes take longer.
+    /// Additional latency.
     pub delay: Duration,
 }
 
-/// Harm in both directions.
+/// Faults of both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFault {
-    /// Towards the target.
+    /// Direction towards the target.
     pub towards: DirectionFault,
-    /// Away from it.
+    /// Direction from the target to the client.
     pub back: DirectionFault,
 }
 
 impl LinkFault {
-    /// Nothing passes either way.
+    /// A cut of both directions.
     pub fn cut() -> Self {
         let silent = DirectionFault {
             silent: true,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Only what goes towards the target passes.
+    /// A cut of the direction from the target only.
     pub fn one_way() -> Self {
         Self {
             towards: DirectionFault::default(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Both ways take longer.
+    /// Additional latency in both directions.
     pub fn delayed(delay: Duration) -> Self {
         let slow = DirectionFault {
             silent: false,
@@ -79,14 +79,14 @@
     fault: Cell<LinkFault>,
     changed: Notify,
     reset: Notify,
-    /// Whether nobody owns the proxy any more.
+    /// Whether the proxy has been dropped.
     is_over: Cell<bool>,
-    /// When bytes came to the target that had been held up.
+    /// Times at which delayed bytes reached the target.
     delayed_deliveries: RefCell<Vec<Time>>,
 }
 
 impl Link {
-    /// Waits until a direction is not silent, or the proxy is over.
+    /// Waits until a direction is not silent, or the proxy has been dropped.
     async fn wait_until_passing(&self, side: impl Fn(LinkFault) -> DirectionFault) {
         while side(self.fault.get()).silent && !self.is_over.get() {
             self.changed.notified().await;
@@ -94,10 +94,11 @@
     }
 }
 
-/// A proxy to one target. Its connections end with it: what routers of one run have written
-/// must not come to the upstreams of the next, which have the same names and addresses.
+/// A proxy to one target. Dropping it closes its connections, so that data written by the
+/// routers of one run cannot reach upstreams of the next, which have the same names and
+/// addresses.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     link: Rc<Link>,
     accepting: AbortHandle,
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Harms the link from now on.
+    /// Sets the faults of the link.
     pub fn set_fault(&self, fault: LinkFault) {
         self.link.fault.set(fault);
         self.link.changed.notify_waiters();
@@ -140,13 +141,13 @@
         self.link.reset.notify_waiters();
     }
 
-    /// When bytes came to the target that had been held up, since the last question.
+    /// Times at which delayed bytes reached the target since the last call.
     pub fn take_delayed_deliveries(&self) -> Vec<Time> {
         self.link.delayed_deliveries.take()
     }
 }
 
-/// Accepts connections while bytes pass towards the target.
+/// Accepts connections while the direction towards the target is not cut.
 async fn accept(mut gate: Gate, target: SocketAddr, link: Rc<Link>) {
     loop {
         if link.fault.get().towards.silent {
@@ -166,7 +167,7 @@
 }
 
 async fn pass(client: TcpStream, target: SocketAddr, link: Rc<Link>) {
-    // A target that refuses is seen as a connection that is reset.
+    // If the target refuses, the client sees a reset.
     let Ok(server) = TcpStream::connect(target).await else {
         let _ = client.set_zero_linger();
         return;
@@ -198,7 +199,7 @@
         end = back => end,
         () = link.reset.notified() => CopyEnd::Reset,
     };
-    // The word of an end does not pass a cut either.
+    // The end of a connection (FIN or RST) does not pass a cut either.
     link.wait_until_passing(|fault| fault.towards).await;
     link.wait_until_passing(|fault| fault.back).await;
     if end == CopyEnd::Reset {
--- a/crates/soak/src/proxy/gate.rs
+++ b/crates/soak/src/proxy/gate.rs
@@ -1,4 +1,4 @@
-//! A listener on which new connections can be kept from coming up.
+//! A listener on which establishing connections can be blocked.
 
 use eyre::Result;
 use socket2::SockRef;
@@ -8,22 +8,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Connections that wait to be accepted while the gate is open.
+/// Listen backlog while the gate is open.
 const OPEN_BACKLOG: i32 = 1_024;
-/// The same while it is closed: the kernel lets one more wait, and drops the packets of
-/// further ones as a cut would.
+/// Listen backlog while the gate is closed: the kernel still queues one connection, and drops
+/// the SYN packets of further ones as a cut would.
 const CLOSED_BACKLOG: i32 = 0;
-/// A connection over loopback that takes longer does not come up.
+/// A loopback connection that takes longer than this is blocked by the full queue.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
-/// Most connections that are needed to fill the queue.
+/// Maximum number of connections needed to fill the queue.
 const MAX_BLOCKERS: usize = 4;
 
-/// A listener whose queue can be filled, so that nobody gets through, and nobody is refused.
+/// A listener whose accept queue can be filled, so that connections are neither established
+/// nor refused.
 pub(super) struct Gate {
     listener: TcpListener,
-    /// Own connections that fill the queue.
+    /// The gate's own connections that fill the queue.
     blockers: Vec<TcpStream>,
-    /// Where they come from; they are accepted after the gate is open again.
+    /// Local addresses of the blockers, which are accepted after the gate opens again.
     own: HashSet<SocketAddr>,
 }
 
@@ -40,13 +41,13 @@
         Ok(self.listener.local_addr()?)
     }
 
-    /// The next connection of somebody else.
+    /// Accepts a connection; `None` for an error or for one of the gate's own.
     pub async fn accept(&mut self) -> Option<TcpStream> {
         let (stream, from) = self.listener.accept().await.ok()?;
         (!self.own.remove(&from)).then_some(stream)
     }
 
-    /// Lets no connection come up from now on.
+    /// Blocks new connections.
     pub async fn close(&mut self) {
         self.limit(CLOSED_BACKLOG);
         let Ok(address) = self.listener.local_addr() else {
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Lets connections come up again.
+    /// Allows new connections again.
     pub fn open(&mut self) {
         self.limit(OPEN_BACKLOG);
         self.blockers.clear();
     }
 
     fn limit(&self, backlog: i32) {
-        // A listener that can't be told stays as it is: connections come up, and a run
-        // finds less.
+        // If the backlog can't be changed, connections are still established, and a run
+        // detects fewer faults.
         let _ = SockRef::from(&self.listener).listen(backlog);
     }
 }
--- a/crates/soak/src/proxy/retransmit.rs
+++ b/crates/soak/src/proxy/retransmit.rs
@@ -1,4 +1,4 @@
-//! Copies one direction of a connection as kernels carry bytes over a network.
+//! Copies one direction of a connection with the retransmission behaviour of TCP.
 
 use super::{DirectionFault, Link, LinkFault};
 use std::time::Duration;
@@ -7,32 +7,32 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are kept for a side that hears nothing, about a socket's buffers.
+/// Bytes buffered for a receiver that is cut off, about the size of socket buffers.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
-/// How long after it was sent an unacknowledged packet is sent again; each further wait is
-/// twice as long. The least that Linux takes (`TCP_RTO_MIN`).
+/// Initial retransmission timeout, doubled after each attempt. The minimum that Linux uses
+/// (`TCP_RTO_MIN`).
 const FIRST_RETRANSMISSION: Duration = Duration::from_millis(200);
 
-/// After packets were sent again, the next one waits until they are acknowledged: the word
-/// of a close comes that much after the bytes before it.
+/// After a retransmission the next packet waits for the acknowledgement, so the FIN follows
+/// the preceding bytes after this delay.
 const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 /// How a direction ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyEnd {
-    /// Its sender closed it in the ordinary way, and all that it wrote has passed.
+    /// The sender closed the connection, and all data was delivered.
     Closed,
-    /// Its sender reset it, or its receiver is gone: what had not passed is dropped.
+    /// The sender reset the connection or the receiver is gone; undelivered data is dropped.
     Reset,
 }
 
-/// What was sent and not heard.
+/// Data that was sent but not acknowledged.
 struct Unacknowledged {
     bytes: Vec<u8>,
-    /// Whether the word of the sender's close belongs to it.
+    /// Whether the sender's FIN follows the bytes.
     closes: bool,
     wait: Duration,
-    /// When it is sent again.
+    /// Time of the next retransmission.
     again: Instant,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Copies until one side ends; `on_delayed_delivery` is told when bytes pass that had been kept.
+/// Copies until one side ends; calls `on_delayed_delivery` when buffered bytes are delivered.
 pub(super) async fn copy(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
--- a/crates/soak/src/regressions.rs
+++ b/crates/soak/src/regressions.rs
@@ -1,21 +1,21 @@
-//! Seeds that once failed, played again before each landing.
+//! Recorded failures, run again before each merge.
 
 use crate::plan::Plan;
 use eyre::{Result, WrapErr};
 use serde::Deserialize;
 use std::path::Path;
 
-/// A run that once failed.
+/// A recorded run that failed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Regression {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Its length, in seconds.
+    /// Length of the run in seconds.
     pub seconds: u64,
-    /// What the cause was.
+    /// Cause of the failure.
     pub cause: String,
-    /// A shortened plan; the seed's own if there is none.
+    /// A reduced plan; if absent, the plan is drawn from the seed.
     #[serde(default)]
     pub plan: Option<Plan>,
 }
@@ -30,7 +30,7 @@
 /// Reads a file of regressions.
 ///
 /// # Errors
-/// When it can't be read or is not of the form.
+/// When the file can't be read or parsed.
 pub fn load(path: &Path) -> Result<Vec<Regression>> {
     let text =
         std::fs::read_to_string(path).wrap_err_with(|| format!("read {}", path.display()))?;
--- a/crates/soak/src/size.rs
+++ b/crates/soak/src/size.rs
@@ -1,34 +1,34 @@
-//! How many processes a run has.
+//! Number of processes in a run.
 
 use std::str::FromStr;
 
-/// Routers and upstreams of a run.
+/// Numbers of routers and upstreams in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Upstreams that hold keys.
+    /// Number of upstreams of the sharded service.
     pub keyed: usize,
-    /// Upstreams of the other service.
+    /// Number of upstreams of the unsharded service.
     pub pool: usize,
 }
 
 impl Size {
-    /// Four routers, which tell each other of everything directly.
+    /// Four routers, few enough to exchange all messages directly.
     pub const SMALL: Size = Size {
         routers: 4,
         keyed: 4,
         pool: 3,
     };
-    /// So many routers that they tell each other through relays and ask those for slots.
-    /// With the callers and the store it is 102 processes, and about 1 GB.
+    /// Enough routers that they exchange messages through relays and request slots from them.
+    /// With the callers and the store this takes 102 processes and about 1 GB of memory.
     pub const FULL: Size = Size {
         routers: 72,
         keyed: 16,
         pool: 12,
     };
 
-    /// Upstreams of both services; those that hold keys come first.
+    /// Number of upstreams of both services; those of the sharded service come first.
     pub fn upstreams(self) -> usize {
         self.keyed + self.pool
     }
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The store's process: the emulated store behind the platform's calls.
+//! The store process: serves the emulated store through the platform's protocol.
 
 use crate::channel::{Reporter, connect};
 use crate::clock;
@@ -27,29 +27,29 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Path below which upstreams keep their entries.
+/// Path prefix of upstream registrations.
 pub(crate) const REGISTRATION_PREFIX: &str = "/soak/register/";
-/// How long the store remembers changes.
+/// How long the store keeps its change history.
 const HISTORY: Duration = Duration::from_secs(20);
-/// Heartbeats without a write after which an entry goes.
+/// Number of missed heartbeats after which a registration expires.
 const MISSED_HEARTBEATS: u32 = 3;
-/// Between looks at waiting watches, leases and entries.
+/// Interval at which watches, leases and registrations are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// Between two copies of the store.
+/// Interval between two snapshots.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long copies are kept.
+/// How long snapshots are kept.
 const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
-/// The store's era at first.
+/// Initial era of the store.
 const FIRST_ERA: u32 = 1;
-/// Range of the time after which a late write is done.
+/// Range of the delay of a late write in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 1_000..6_000;
 
-/// Settings of the store's process.
+/// Settings of the store process.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where the driver listens.
+    /// Address of the driver.
     pub driver: SocketAddr,
 }
 
@@ -63,14 +63,14 @@
     entries: RefCell<BTreeMap<String, Entry>>,
     faults: Cell<StoreFaults>,
     era: Cell<u32>,
-    /// Copies of the store, the oldest first.
+    /// Snapshots of the store, oldest first.
     snapshots: RefCell<VecDeque<(Time, StoreEmulator)>>,
     /// The newest configuration.
     configuration: RefCell<Option<Vec<u8>>>,
     reporter: Reporter,
 }
 
-/// Runs the store until the driver is gone.
+/// Runs the store until the driver disconnects.
 ///
 /// # Errors
 /// When it can't listen or reach the driver.
@@ -100,7 +100,7 @@
         let store = store.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| answer(store.clone(), request));
-            // A caller that leaves is no failure of the store.
+            // A client may disconnect at any time.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Comes back from an older copy; what upstreams and operators wrote since is written
-    /// again.
+    /// Restores an older snapshot, then writes the current registrations and configuration
+    /// again, as upstreams and operators would.
     fn restore_snapshot(&self, now: Time, age: Duration) {
         let mut snapshots = self.snapshots.borrow_mut();
         let old = snapshots.iter().rev().find(|(at, _)| now.since(*at) >= age);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Notes how the store stands, so that it can go back to that.
+    /// Takes a snapshot of the store if one is due.
     fn snapshot(&self, now: Time) {
         let mut snapshots = self.snapshots.borrow_mut();
         let last = snapshots.back().map(|(at, _)| *at);
@@ -333,8 +333,7 @@
         self.emulator.borrow_mut().delete(now, &key);
     }
 
-    /// Whether the answer to a call is lost; what the call does is then done,
-    /// now or later.
+    /// Whether the response to a call is lost; the call is then applied, at once or late.
     fn loses(self: &Rc<Self>, call: &StoreCall) -> bool {
         let faults = self.faults.get();
         let writes = matches!(call, StoreCall::Commit(_) | StoreCall::GrantLease { .. });
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream's process: it holds keys, runs requests and may lose answers.
+//! The upstream process: holds keys, executes requests and may drop responses.
 
 use crate::bodies;
 use crate::channel::{Reporter, connect};
@@ -36,39 +36,39 @@
 
 const SLOTS: usize = 4;
 const QUEUE: usize = 8;
-/// Longest wait for the store.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How much longer than the drain time it serves before it ends.
+/// How long the upstream continues to serve after the drain time.
 const EXIT_DELAY: Duration = Duration::from_millis(1_500);
-/// Between looks at releases that wait for work to end.
+/// Interval at which releases that wait for requests to finish are checked.
 const RELEASE_POLL: Duration = Duration::from_millis(5);
 
-/// A request with this in its path ends the process that begins to run it.
+/// A request with this in its path kills the process that executes it.
 pub const POISON: &str = "/poison/";
-/// How long it runs before that.
+/// Execution time of such a request before the process exits.
 const POISON_WORK: Duration = Duration::from_millis(15);
 
-/// Settings of an upstream's process.
+/// Settings of an upstream process.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// Its incarnation.
+    /// Name of the incarnation.
     pub id: String,
-    /// Its service.
+    /// Service name.
     pub service: String,
-    /// Its zone.
+    /// Zone name.
     pub zone: String,
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where routers reach it.
+    /// Address advertised to routers.
     pub advertised: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// The driver.
+    /// Address of the driver.
     pub driver: SocketAddr,
-    /// How fast its clock for holds runs, in percent.
+    /// Speed of the clock that times holds, in percent.
     pub clock_percent: u32,
-    /// Requests in a thousand seconds that its answers name as what it takes from all
-    /// routers together, until it is told otherwise.
+    /// Initial rate limit announced in responses for all routers together, in requests per
+    /// 1000 seconds.
     pub rate_milli: Option<u32>,
 }
 
@@ -77,17 +77,17 @@
 struct Upstream {
     settings: UpstreamSettings,
     emulator: RefCell<UpstreamEmulator>,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     waiting: RefCell<HashMap<String, oneshot::Sender<Option<Run>>>>,
     lost_percent: Cell<u32>,
     rate_milli: Cell<Option<u32>>,
-    /// Milliseconds of rest that it asks for as it turns all requests away.
+    /// If set, all requests are rejected with a pause of this many milliseconds.
     rest_ms: Cell<Option<u32>>,
     calls: Cell<u64>,
     reporter: Reporter,
 }
 
-/// Runs an upstream until it is told to leave.
+/// Runs an upstream until it is terminated and has drained.
 ///
 /// # Errors
 /// When it can't listen or reach the driver.
@@ -134,7 +134,7 @@
         }
     }
     upstream.emulator.borrow_mut().state = UpstreamState::Draining;
-    // The store may be silent; the entry says so with its next write.
+    // If the store does not respond, the next heartbeat writes the draining state.
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
     tokio::time::sleep(DRAIN + EXIT_DELAY).await;
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::DELETE)).await;
@@ -143,7 +143,7 @@
 
 async fn refresh_entry(upstream: Rc<Upstream>) {
     loop {
-        // A write that fails is made good by the next one.
+        // A failed write is repaired by the next heartbeat.
         let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
         tokio::time::sleep(HEARTBEAT).await;
     }
@@ -155,7 +155,7 @@
         let upstream = upstream.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| serve(upstream.clone(), request));
-            // A caller that leaves is no failure of the upstream.
+            // A client may disconnect at any time.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -177,7 +177,7 @@
     upstream.calls.set(call.0 + 1);
     let holder = UpstreamId::from(upstream.settings.id.clone());
     if let Some(order) = reverse::read_order(&path, &body, holder, call) {
-        // One that has come is carried out, also when its sender has left.
+        // A received order is executed even if its sender has disconnected.
         let task = tokio::task::spawn_local({
             let upstream = upstream.clone();
             async move { upstream.order(order).await }
@@ -191,7 +191,7 @@
     Ok(answer)
 }
 
-/// Tells when a request's work ended, also when its caller left.
+/// A request being executed. Reports its end on drop, also when the caller has disconnected.
 struct RunningRequest {
     upstream: Rc<Upstream>,
     run: Run,
@@ -203,7 +203,7 @@
     }
 }
 
-/// A request that waits for a slot.
+/// A request waiting for a slot; removed from the queue on drop.
 struct Queued {
     upstream: Rc<Upstream>,
     id: String,
@@ -214,7 +214,7 @@
     fn drop(&mut self) {
         self.upstream.waiting.borrow_mut().remove(&self.id);
         self.upstream.emulator.borrow_mut().drop_request(&self.id);
-        // The slot may have come just as the caller left.
+        // The slot may have been assigned just as the caller disconnected.
         if let Ok(Some(run)) = self.receiver.try_recv() {
             self.upstream.finish(&run);
         }
@@ -245,14 +245,14 @@
         }
     }
 
-    /// Has answers name a rate from now on, or none.
+    /// Sets the rate limit that responses announce.
     fn set_rate(&self, rate_milli: Option<u32>) {
         self.rate_milli.set(rate_milli);
         self.reporter
             .report(Observation::RateAnnounced { rate_milli });
     }
 
-    /// Has an answer name the rate that this upstream takes.
+    /// Adds the rate limit header, if a limit is set.
     fn add_rate_header(&self, response: &mut Answer) {
         if let Some(milli) = self.rate_milli.get() {
             let rate = f64::from(milli) / 1e3;
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Has an answer say that this upstream leaves, if it does.
+    /// Adds the header that announces draining, if the upstream is draining.
     fn announce_leaving(&self, headers: &HeaderMap, response: &mut Answer) {
         if self.emulator.borrow().state != UpstreamState::Draining {
             return;
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Turns a request away and asks its router for rest.
+    /// Rejects a request with a `Retry-After` header.
     fn reject_with_pause(&self, id: &str, rest_ms: u32) -> Answer {
         let mut response = self.not_executed(503);
         let seconds = f64::from(rest_ms) / 1e3;
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Waits until the work on released keys has ended.
+    /// Waits until requests on the released keys have finished.
     async fn released(&self, call: CallId) -> GrantReply {
         loop {
             tokio::time::sleep(RELEASE_POLL).await;
@@ -380,7 +380,7 @@
         self.work(run, &id, path).await
     }
 
-    /// Waits for a slot; `None` when the key is gone by then.
+    /// Waits for a slot; `None` if the key is no longer held by then.
     async fn queued(self: &Rc<Self>, id: &str) -> Option<Run> {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(id.to_owned(), sender);
@@ -443,7 +443,7 @@
             let mut waiting = self.waiting.borrow_mut();
             for request in refused {
                 if let Some(waiter) = waiting.remove(&request.id) {
-                    // One that has just left needs no answer.
+                    // Sending fails only if the caller has just disconnected.
                     let _ = waiter.send(None);
                 }
             }
@@ -479,7 +479,7 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// The work of a request: the last part of its path, in milliseconds.
+/// Execution time of a request: the last segment of its path, in milliseconds.
 fn work(path: &str) -> Duration {
     let last = path.rsplit('/').next().unwrap_or_default();
     Duration::from_millis(last.parse().unwrap_or(10))
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -1,5 +1,5 @@
-//! Each check objects to a history in which its promise is broken, and to none
-//! in which it is kept.
+//! Each check reports a violation in a history that violates its guarantee, and none in one
+//! that keeps it.
 
 use beamtray_soak::{
     CallerEnd, Disturbance, Disturbed, History, Observation, PlannedStop, Promise, Report,
@@ -293,7 +293,7 @@
             .violations(),
         [Promise::Lost]
     );
-    // One that was not passed on may have crossed the close.
+    // A request that was not forwarded may have been sent as the router closed the connection.
     let not_passed_on = HistoryBuilder::default()
         .asked(4_000, "a", "/order/900")
         .ended(4_010, "a", CallerEnd::Disconnected);
--- a/crates/soak/tests/common/links.rs
+++ b/crates/soak/tests/common/links.rs
@@ -1,4 +1,4 @@
-//! The links of an upstream, which can be cut.
+//! Links of an upstream that a test can cut.
 
 use beamtray_soak::{LinkFault, Proxy};
 use beamtray_types::Time;
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
 
-/// Between looks at what was held up.
+/// Interval at which delayed deliveries are collected.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Proxies on the ways to some targets.
+/// Proxies on the links to some targets.
 pub struct Links {
-    /// Where each target is reached, in the order of the targets.
+    /// Proxy address of each target, in the order of the targets.
     pub addresses: Vec<SocketAddr>,
     fault: UnboundedSender<LinkFault>,
     delayed_deliveries: Arc<Mutex<Vec<Time>>>,
@@ -50,7 +50,7 @@
         self.fault.send(whole).expect("the proxies run");
     }
 
-    /// When bytes came to a target that had been held up.
+    /// Times at which delayed bytes reached a target.
     pub fn delayed_deliveries(&self) -> Vec<Time> {
         self.delayed_deliveries
             .lock()
--- a/crates/soak/tests/common/mod.rs
+++ b/crates/soak/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Processes of small deployments without a driver: routers, the store's stand-in and
-//! upstreams.
+//! Helpers for tests with real processes but without the soak driver: routers, the emulated
+//! store and upstreams.
 
 #![allow(dead_code, reason = "not every test file uses every helper")]
 
@@ -17,13 +17,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long all routers may take to hear of something.
+/// How long information may take to reach all routers.
 pub const CONTACT: Duration = Duration::from_secs(3);
 pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
 pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Ends with the test.
+/// A child process, killed on drop.
 pub struct Process(Child);
 
 impl Process {
@@ -46,19 +46,19 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended needs neither.
+        // Both calls may fail if the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Addresses that are free, and that were not given out before: who got them may not listen
-/// there yet. Without that a router found the port of its peers taken by the next one's
-/// metrics, ended, and the test waited for it in vain.
+/// Free addresses that were not returned before, since their users may not listen yet.
+/// Otherwise the peer port of a router could be taken by the metrics port of the next one; the
+/// router then exited and the test timed out.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
     static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     let mut given = GIVEN.lock().expect("not poisoned");
-    // Kept open, so that each is another one.
+    // Kept open so that the system assigns distinct ports.
     let mut listeners = Vec::new();
     let mut addresses = Vec::new();
     while addresses.len() < count {
@@ -72,13 +72,13 @@
     addresses
 }
 
-/// Stands in for the soak's driver: it gives the store its configuration.
+/// Replaces the soak driver: sends the store its configuration.
 pub fn drive(listener: TcpListener) {
-    // Nobody reads them; they end with the test's process.
+    // The reports are not needed.
     let _ = drive_and_collect(listener);
 }
 
-/// The same; what the processes tell.
+/// Like `drive`, and returns the reports of the processes.
 pub fn drive_and_collect(listener: TcpListener) -> Arc<Mutex<Vec<Report>>> {
     let told = Arc::<Mutex<Vec<Report>>>::default();
     let reports = told.clone();
@@ -107,12 +107,12 @@
     }
 }
 
-/// The soak's program; the router's lies beside it.
+/// Path of the soak binary; the router binary is in the same directory.
 pub fn soak() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_beamtray-soak"))
 }
 
-/// Plays runs of the soak, each of which has to keep every promise.
+/// Runs the soak binary and asserts that every guarantee held.
 pub fn assert_clean_run(arguments: &[&str], folder: &str) {
     let router = soak().with_file_name("beamtray");
     assert!(
@@ -132,7 +132,7 @@
     assert!(run.status.success(), "{told}{errors}");
 }
 
-/// Starts a router; where clients reach it.
+/// Starts a router; returns its client address and process.
 pub fn router(folder: &Path, node: usize, store: SocketAddr) -> (SocketAddr, Process) {
     let addresses = free_addresses(4);
     let [clients, readiness, peers, metrics] = addresses[..] else {
@@ -159,7 +159,7 @@
     (clients, Process::start(&program, &arguments, &log))
 }
 
-/// Starts the store's stand-in.
+/// Starts the emulated store.
 pub fn store(folder: &Path, driver: SocketAddr) -> (SocketAddr, Process) {
     let store = free_addresses(1)[0];
     let arguments = [
@@ -171,12 +171,12 @@
     (store, process)
 }
 
-/// An upstream; of the service that is not divided, if nothing else is said.
+/// An upstream, by default of the unsharded service.
 pub struct Upstream<'a> {
     pub id: &'a str,
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where routers reach it.
+    /// Address advertised to routers.
     pub advertised: SocketAddr,
     pub store: SocketAddr,
     pub driver: SocketAddr,
@@ -187,12 +187,12 @@
         self.start_in("pool", folder)
     }
 
-    /// The same in a service of that name.
+    /// Starts the upstream in the given service.
     pub fn start_in(&self, service: &str, folder: &Path) -> Process {
         self.start_with(service, Vec::new(), folder)
     }
 
-    /// One whose answers name that many requests in a thousand seconds.
+    /// Starts an upstream that announces a rate limit, in requests per 1000 seconds.
     pub fn start_in_need(&self, rate_milli: u32, folder: &Path) -> Process {
         self.start_with("pool", vec![format!("--rate-milli={rate_milli}")], folder)
     }
@@ -213,14 +213,14 @@
     }
 }
 
-/// A folder for the logs of a test.
+/// Creates the log directory of a test.
 pub fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).expect("the folder can be made");
     folder
 }
 
-/// Sends a request of which a client waits so long; its answer in small letters.
+/// Sends a request with the given deadline; returns the response in lower case.
 pub fn ask(router: SocketAddr, method: &str, path: &str, patience: Duration) -> Option<String> {
     let names = Platform.headers();
     let mut stream = TcpStream::connect(router).ok()?;
--- a/crates/soak/tests/given_up_calls.rs
+++ b/crates/soak/tests/given_up_calls.rs
@@ -1,8 +1,8 @@
-//! What becomes of a call that nobody waits for any more.
+//! How the router ends the connection of an abandoned call.
 //!
-//! After an ordinary close the kernel goes on sending what was written, for as long as the
-//! path is cut; a reset has it dropped. A stand-in for the path reads on without passing
-//! anything on and sees which of the two ended the connection.
+//! After an ordinary close the kernel continues to retransmit written data for as long as the
+//! path is cut; a reset drops the data. A forwarder on the path continues to read without
+//! forwarding anything, and records which of the two ended the connection.
 
 mod common;
 
@@ -17,17 +17,17 @@
 use std::time::{Duration, Instant};
 
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long after its last byte a given-up connection may stay open.
+/// How long the connection of an abandoned call may stay open after its last byte.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How a connection of the router ended that had a call under way.
+/// How a router's connection with a call in progress ended.
 #[derive(Debug, PartialEq, Eq)]
 enum End {
     Closed,
     Reset,
 }
 
-/// The way to an upstream.
+/// A forwarder on the path to an upstream.
 struct Path {
     address: SocketAddr,
     is_cut: Arc<AtomicBool>,
@@ -86,15 +86,15 @@
             Err(error) => panic!("{error}"),
         };
         if was_held_back {
-            // Nobody waits for it when the test has ended.
+            // Sending fails if the test has already ended.
             let _ = ends.send(end);
         }
         return;
     }
 }
 
-/// A router that has served a read over the path, which is cut then; it, and what has to
-/// live as long.
+/// A router that has served a read over the path before it was cut, and the other processes,
+/// which must live as long.
 struct Served {
     path: Path,
     router: SocketAddr,
@@ -150,7 +150,7 @@
     let served = serve_and_cut("calls-of-a-killed-process");
     let router = served.router;
     let reader = thread::spawn(move || read(router));
-    // The request is on its way to the upstream by then, and not given up yet.
+    // By then the request has been sent to the upstream and is not yet abandoned.
     thread::sleep(CLIENT_TIMEOUT / 4);
     drop(served.process);
     let end = served.path.ends.recv_timeout(CLOSE_TIMEOUT);
--- a/crates/soak/tests/named_rates.rs
+++ b/crates/soak/tests/named_rates.rs
@@ -1,9 +1,10 @@
-//! An upstream in need, with real processes: three routers, the store's stand-in, and the
-//! only upstream of a service, whose answers name the requests a second that it takes.
+//! Rate limits announced by an upstream, with real processes: three routers, the emulated
+//! store, and the only upstream of a service, which announces its limit in responses.
 //!
-//! Seen: upstreams named 4.5 a second and got 12, from all of eleven routers that had passed
-//! such an answer on. Cause: nobody read what the answers named. Proof: here it got 105 in
-//! four seconds where 32 are allowed while each router's line told that it knew of the rate.
+//! Guards against routers that ignore the announced limit: upstreams announced 4.5 requests
+//! per second and received 12, from all of eleven routers that had forwarded such a response.
+//! In this test the upstream received 105 requests in four seconds where 32 are allowed, while
+//! the log of each router showed that it knew the limit.
 
 mod common;
 
@@ -16,19 +17,19 @@
 use std::time::{Duration, Instant};
 
 const ROUTERS: usize = 3;
-/// Requests a second that the upstream takes.
+/// Rate limit of the upstream in requests per second.
 const RATE: f64 = 4.5;
-/// Over which they are counted.
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests that it may get in that time: half more than it takes, and five.
+/// Requests allowed in the window: one and a half times the limit, and five.
 const ALLOWED: f64 = RATE * 4.0 * 1.5 + 5.0;
 /// How long clients send.
 const LASTS: Duration = Duration::from_secs(12);
-/// Between two requests of the clients of a router.
+/// Interval between requests of the clients of a router.
 const REQUEST_EVERY: Duration = Duration::from_millis(120);
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Has the clients of a router send requests for a while.
+/// Sends client requests to a router for the length of the test.
 fn send(router: SocketAddr) {
     let until = Instant::now() + LASTS;
     while Instant::now() < until {
@@ -37,7 +38,7 @@
     }
 }
 
-/// When requests came to upstreams, in their order.
+/// Arrival times of requests at upstreams, in order.
 fn arrivals(told: &Arc<Mutex<Vec<Report>>>) -> Vec<Time> {
     let told = told.lock().expect("not poisoned");
     let arrived = told
@@ -97,7 +98,7 @@
         .max();
     let most = most.unwrap_or_default();
     assert!(most as f64 <= ALLOWED, "{most} in 4 s, allowed {ALLOWED}");
-    // It gets what it takes, too.
+    // The limit must also be used.
     let least = RATE * LASTS.as_secs_f64() * 0.8;
     let all = times.len();
     assert!(all as f64 >= least, "{all} came, {least} are taken");
--- a/crates/soak/tests/old_grants.rs
+++ b/crates/soak/tests/old_grants.rs
@@ -1,11 +1,11 @@
-//! An old grant that comes after its keys went to others, with real processes.
+//! An outdated grant arrives after its keys were granted to others, with real processes.
 //!
-//! Seen: two upstreams held the same keys, one of them under a token below the other's. How:
-//! an upstream was out of reach for some seconds; the renewals that had just been written to
-//! it came a second after that, while its keys had gone to others. Cause: a router that
-//! gives an order up closes its connection in the ordinary way, and the kernel goes on
-//! sending what was written. A router's later orders don't come with it: no connection comes
-//! up during the cut, and once the keys have gone on none is sent.
+//! Guards against two upstreams holding the same keys, one under a lower token. An upstream
+//! was unreachable for some seconds; renewals written just before arrived a second after the
+//! link was restored, when its keys had been granted to others. The router had abandoned the
+//! order with an ordinary close, after which the kernel continues to retransmit. No later
+//! order of the router arrives with it: connections cannot be established during the cut, and
+//! none is sent once the keys are granted to others.
 
 mod common;
 #[path = "common/links.rs"]
@@ -25,11 +25,11 @@
 const ROUTERS: usize = 2;
 const UPSTREAMS: usize = 3;
 const KEYS: usize = 1 << 16;
-/// Longer than a hold and its transit, and so long that what was written as it began is
-/// sent again, 6.2 s later, before the upstream can have new grants of the same keys.
+/// Longer than a hold and its transit time, but short enough that data written as the cut began
+/// is retransmitted, 6.2 s later, before the upstream can receive new grants of the same keys.
 const CUT: Duration = Duration::from_millis(5_800);
 const UNTIL_SENT_AGAIN: Duration = Duration::from_millis(1_700);
-/// After all keys are held: renewals are under way at all times.
+/// Time after all keys are held, from which on renewals are always in progress.
 const SETTLED: Duration = Duration::from_secs(1);
 
 type Reports = Arc<Mutex<Vec<Report>>>;
@@ -38,7 +38,7 @@
     format!("keyed-{index}-1")
 }
 
-/// Starts an upstream behind links of its own.
+/// Starts an upstream behind its own proxies.
 fn upstream(
     folder: &Path,
     index: usize,
@@ -58,7 +58,7 @@
     (links, process)
 }
 
-/// Whether upstreams have told of a grant of every key.
+/// Whether upstreams have reported a grant of every key.
 fn all_keys_taken(reports: &Reports) -> bool {
     let mut taken = vec![false; KEYS];
     for report in reports.lock().expect("not poisoned").iter() {
--- a/crates/soak/tests/owners.rs
+++ b/crates/soak/tests/owners.rs
@@ -1,4 +1,4 @@
-//! The checks of keys object to bad histories, and to these alone.
+//! The ownership checks report violations in bad histories only.
 
 use beamtray_soak::{
     DelayedDelivery, FaultEnd, History, Observation, Promise, Report, UpstreamEnd, check,
@@ -25,7 +25,7 @@
         self
     }
 
-    /// An upstream takes a grant of the first hundred keys.
+    /// An upstream accepts a grant of the first hundred keys.
     fn takes(self, millis: u64, upstream: &str, token: u64) -> Self {
         let (first, last) = (0, 99);
         let taken = Observation::GrantAccepted { first, last, token };
@@ -44,7 +44,7 @@
         self.report(millis, upstream, Observation::KeysReleased { first, last })
     }
 
-    /// An upstream begins to work on a request that a caller sent.
+    /// An upstream starts to execute a request that a caller sent.
     fn begins(self, millis: u64, upstream: &str, held_since: u64) -> Self {
         let id = format!("{upstream}-{millis}");
         let path = "/read/7/5".to_owned();
@@ -93,7 +93,7 @@
         self
     }
 
-    /// How often the checks of owners object.
+    /// Number of ownership violations.
     fn violations(mut self) -> usize {
         self.0.recovered = at(1_000_000);
         let findings = check(&self.0).findings.into_iter();
@@ -102,7 +102,7 @@
     }
 }
 
-/// One upstream had the keys, gave them back, and another has them.
+/// One upstream held the keys and released them, and another one holds them.
 fn handed_over() -> HistoryBuilder {
     HistoryBuilder::default()
         .takes(0, "a", 5)
@@ -125,7 +125,7 @@
     assert_eq!(story().violations(), 1);
     let equal = handed_over().gives_back(5_000, "b").takes(6_000, "a", 6);
     assert_eq!(equal.violations(), 1);
-    // What was held up counts; what comes right after trouble does not.
+    // Delayed grants count; those right after the end of a fault are exempt.
     assert_eq!(story().delayed_delivery(5_999, "a").violations(), 1);
     assert_eq!(story().healed(5_800, Some("a")).violations(), 0);
     assert_eq!(story().healed(5_800, None).violations(), 0);
@@ -183,7 +183,7 @@
         0
     );
     assert_eq!(story(1_500, 1_400).delayed_delivery(0, "a").violations(), 0);
-    // Its lease has run out.
+    // The lease has expired.
     assert_eq!(story(3_500, 3_100).violations(), 0);
     let ended = HistoryBuilder::default()
         .takes(0, "a", 5)
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of faults.
+//! Generation and serialization of fault plans.
 
 use beamtray_soak::{Plan, Size, load_regressions};
 use std::path::Path;
--- a/crates/soak/tests/poison_request.rs
+++ b/crates/soak/tests/poison_request.rs
@@ -1,5 +1,5 @@
-//! A request that ends each upstream which runs it, with real processes: two routers, the
-//! store's stand-in, and upstreams that routers reach without a proxy between.
+//! A request that kills each upstream that executes it, with real processes: two routers, the
+//! emulated store, and upstreams without a proxy in between.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const ROUTERS: usize = 2;
 const UPSTREAMS: usize = 4;
-/// Upstreams that may end before the request is kept off.
+/// Upstreams that may be killed before routers block the request.
 const ALLOWED: usize = 3;
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -22,7 +22,7 @@
     driver: SocketAddr,
     routers: Vec<SocketAddr>,
     upstreams: Vec<(SocketAddr, Process)>,
-    /// Upstreams that ended.
+    /// Number of upstreams that have exited.
     ended: usize,
     _processes: Vec<Process>,
 }
@@ -68,7 +68,7 @@
         upstream.start(&self.folder)
     }
 
-    /// Starts another incarnation in place of each upstream that ended.
+    /// Starts a new incarnation of each upstream that has exited.
     fn replace_ended(&mut self) {
         for index in 0..self.upstreams.len() {
             if self.upstreams[index].1.has_ended() {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends an order to a router; its answer.
+    /// Sends an order to a router; returns the response.
     fn order(&self, node: usize, path: &str) -> Option<String> {
         ask(self.routers[node], "POST", path, CLIENT_TIMEOUT)
     }
--- a/crates/soak/tests/ports.rs
+++ b/crates/soak/tests/ports.rs
@@ -1,9 +1,10 @@
-//! Ports of runs that play at the same time.
+//! Port allocation of concurrent runs.
 
 use beamtray_soak::{Ports, Size};
 use std::collections::BTreeSet;
 
-/// Two runs had the same ports: upstreams of one answered requests of the other.
+/// Guards against two runs with the same ports, where upstreams of one answered requests of
+/// the other.
 #[test]
 fn runs_at_the_same_time_have_ports_of_their_own() {
     let runs: Vec<Ports> = (0..3)
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy carries bytes over a cut as kernels do.
+//! The proxy simulates TCP retransmission across a cut.
 
 use beamtray_soak::{LinkFault, Proxy};
 use std::io::ErrorKind;
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const CUT: Duration = Duration::from_millis(500);
-/// What is written as the cut begins is sent again after 0.2, 0.6 and 1.4 s.
+/// Data written as the cut begins is retransmitted after 0.2, 0.6 and 1.4 s.
 const SENT_AGAIN: Duration = Duration::from_millis(1_400);
-/// Time for bytes over loopback.
+/// Time for data to pass over loopback.
 const SOON: Duration = Duration::from_millis(100);
 const LONG: Duration = Duration::from_secs(5);
 
@@ -29,7 +29,7 @@
         Self { proxy, listener }
     }
 
-    /// Both ends of a connection that came up and was used.
+    /// Both ends of an established connection that has carried data.
     async fn connection(&self) -> (TcpStream, TcpStream) {
         let client = TcpStream::connect(self.proxy.address).await;
         let mut client = client.expect("it comes up");
@@ -41,7 +41,7 @@
 
     async fn cut(&self) {
         self.proxy.set_fault(LinkFault::cut());
-        // No connection comes up once the queue is full.
+        // Connections are blocked once the accept queue is full.
         sleep(SOON).await;
     }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// What comes within that time; nothing for an end.
+/// Data received within the given time; empty at the end of the stream.
 async fn read(stream: &mut TcpStream, within: Duration) -> Option<Vec<u8>> {
     let mut buffer = vec![0; 1_024];
     let read = timeout(within, stream.read(&mut buffer)).await.ok()?;
@@ -74,7 +74,7 @@
         client.write_all(b"order").await.expect("it is written");
         sleep(CUT).await;
         path.heal();
-        // It was sent again after 0.2 s, in the cut, and is heard after 0.6 s.
+        // The retransmission after 0.2 s falls into the cut; that after 0.6 s is delivered.
         assert_eq!(read(&mut server, LONG).await, Some(b"order".to_vec()));
         let passed = written.elapsed();
         let sent_again = passed > CUT && passed < SENT_AGAIN + SOON;
@@ -130,14 +130,14 @@
     });
 }
 
-/// Neither what waits to be accepted nor what is open passes on anything later.
+/// Neither queued nor established connections deliver data after the proxy is dropped.
 #[test]
 fn nothing_passes_after_the_end_of_a_proxy() {
     run_plan(async {
         let path = Path::start().await;
         let (client, mut server) = path.connection().await;
         let Path { proxy, listener } = path;
-        // Both are read by the proxy's tasks, which have not run since.
+        // The proxy's tasks, which would read both, have not run since.
         let mut waiting = std::net::TcpStream::connect(proxy.address).expect("it comes up");
         std::io::Write::write_all(&mut waiting, b"order").expect("it is written");
         client.try_write(b"order").expect("it is written");
--- a/crates/soak/tests/rates.rs
+++ b/crates/soak/tests/rates.rs
@@ -1,4 +1,4 @@
-//! The check of named rates objects to bad histories, and to these alone.
+//! The check of announced rate limits reports violations in bad histories only.
 
 use beamtray_soak::{Disturbance, Disturbed, History, Observation, Promise, Report, check};
 use beamtray_types::Time;
@@ -7,7 +7,8 @@
     Time(100_000_000 + millis * 1_000)
 }
 
-/// An upstream names four a second from 2 s to 12 s: 29 are allowed in four seconds.
+/// An upstream announces four requests per second from 2 s to 12 s: 29 are allowed in four
+/// seconds.
 struct HistoryBuilder {
     history: History,
     next: usize,
@@ -34,7 +35,7 @@
         });
     }
 
-    /// Requests of a router, one after the other.
+    /// Requests of a router at regular intervals.
     fn requests(mut self, node: usize, from: u64, until: u64, every: usize) -> Self {
         for millis in (from..until).step_by(every) {
             self.next += 1;
@@ -90,8 +91,9 @@
     assert_eq!(after.violations(), 0);
 }
 
-/// Seen at the begin of a run: callers that all began at once sent more within half a second
-/// before the rate was named than is allowed in four, and three in the next three seconds.
+/// Guards against a false violation at the start of a run: callers that started together sent
+/// more requests in the half second before the limit was announced than are allowed in four
+/// seconds, and three in the next three seconds.
 #[test]
 fn a_burst_before_the_rate_was_named_is_nobodys_fault() {
     let burst = |every| {
@@ -100,7 +102,7 @@
             .requests(0, 2_001, 2_002, 1)
             .requests(0, 2_600, 5_200, 500)
     };
-    // 32 and 28 come before, seven after.
+    // 32 and 28 requests arrive before the announcement, seven after it.
     assert_eq!(burst(16).violations(), 0);
     assert_eq!(burst(18).violations(), 1);
 }
--- a/crates/soak/tests/regressions.rs
+++ b/crates/soak/tests/regressions.rs
@@ -1,5 +1,5 @@
-//! Runs of the soak that once broke a promise, played with their plans and judged as the soak
-//! judges all runs. Long runs are started by hand: see docs/DEVELOPING.md.
+//! Soak runs that once violated a guarantee, repeated with their plans and checked like all
+//! other runs. Long runs are started by hand: see docs/DEVELOPING.md.
 
 mod common;
 
@@ -12,28 +12,28 @@
     assert_clean_run(&arguments, "soak-regressions");
 }
 
-/// An upstream stood still for 6.5 s, woke, and took keys under an older token while another
-/// upstream was at work on them.
+/// An upstream that was suspended for 6.5 s accepted keys under an older token after it was
+/// resumed, while another upstream executed requests on them.
 #[test]
 fn an_upstream_that_stood_still_takes_no_keys_that_went_on() {
     regression_is_clean("510021");
 }
 
-/// The same after a pause that is longer than any wait for an order that may lie: a grant is
-/// not sent to a process that does not read.
+/// The same after a suspension longer than routers consider an unacknowledged order possibly
+/// delivered: a grant must not be sent to a process that does not read.
 #[test]
 fn an_upstream_that_stood_still_for_long_takes_no_keys_that_went_on() {
     regression_is_clean("510022");
 }
 
-/// Routers that were stopped in turn while keys had no granter sent more repeats than their
-/// service allows in ten seconds.
+/// Routers stopped one after the other while keys had no granter sent more retries than the
+/// budget of their service allows in ten seconds.
 #[test]
 fn routers_stopped_in_turn_keep_the_budget_of_repeats() {
     regression_is_clean("620201");
 }
 
-/// Next to nothing was served after the troubles of this plan.
+/// Almost no requests were served after the faults of this plan.
 #[test]
 fn requests_are_served_again_after_the_troubles() {
     regression_is_clean("740301");
--- a/crates/soak/tests/short_run.rs
+++ b/crates/soak/tests/short_run.rs
@@ -5,11 +5,11 @@
 
 use common::assert_clean_run;
 
-/// Any seed does. This one stops all routers one after the other while another is killed,
-/// and replaces upstreams one after the other while the store loses answers to writes that
-/// it does late; a stopping router is told that its settings changed.
+/// Any seed will do. This one stops all routers one after the other while another is killed,
+/// replaces upstreams one after the other while the store loses responses to writes and applies
+/// them late, and has a router reload its settings while it stops.
 const SEED: &str = "9001";
-/// Length in seconds: 6 of troubles, the rest for start and recovery.
+/// Length in seconds: 6 with faults, the rest for start and recovery.
 const SECONDS: &str = "34";
 
 #[test]
--- a/crates/soak/tests/silent_connections.rs
+++ b/crates/soak/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work.
+//! Established connections go silent permanently while new ones work.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections that a router keeps to one upstream.
+/// Connections that a router keeps open to one upstream.
 const KEPT: usize = 4;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Passes on bytes, until it is told to pass on no more on connections that are open.
+/// A forwarder whose open connections can be silenced.
 struct Link {
     address: SocketAddr,
     silence: Arc<std::sync::Mutex<Arc<AtomicBool>>>,
@@ -74,7 +74,7 @@
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// A read that takes so long at its upstream.
+/// Sends a read with the given execution time.
 fn read(router: SocketAddr, work_ms: u64) -> Option<String> {
     ask(
         router,
@@ -84,7 +84,8 @@
     )
 }
 
-/// Each kept connection cost a request of its own before.
+/// Guards against a failed request for each silent pooled connection: the first timeout must
+/// make the router discard the others as well.
 #[test]
 fn one_silent_connection_to_an_upstream_tells_of_the_others() {
     let folder = folder("silent-connections");
@@ -116,7 +117,7 @@
     }
     link.silence();
     let served = (0..KEPT).filter(|_| {
-        // After a failure the upstream is left alone for a moment.
+        // After a failure the router avoids the upstream for a moment.
         thread::sleep(POLL_INTERVAL);
         is_served(&read(router, 1))
     });
--- a/crates/soak/tests/words.rs
+++ b/crates/soak/tests/words.rs
@@ -1,5 +1,4 @@
-//! The checks of what upstreams say of themselves in answers: that they leave, that they want
-//! rest.
+//! The checks of announcements in upstream responses: draining and pauses.
 
 use beamtray_soak::{
     CallerEnd, Disturbance, Disturbed, History, Observation, Promise, Report, check,
@@ -25,7 +24,7 @@
         });
     }
 
-    /// A router's request comes to the upstream, which says something in its answer.
+    /// A router's request arrives at the upstream, which may announce something in its response.
     fn request(
         mut self,
         node: usize,
