--- a/crates/sim/src/check/answers.rs
+++ b/crates/sim/src/check/answers.rs
@@ -1,14 +1,14 @@
 //! Every caller receives the whole answer to its own request, and only that.
 
-use super::requests::gather;
+use super::requests::collect_requests;
 use crate::record::{CallerView, History};
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let mut stressed = 0;
+    let mut exercised = 0;
     let mut violations = Vec::new();
-    for (name, request) in gather(history) {
+    for (name, request) in collect_requests(history) {
         if request.arrivals.len() > 1 || request.is_uncertain() {
-            stressed += 1;
+            exercised += 1;
         }
         if request.answers.len() > 1 {
             violations.push(format!(
@@ -28,5 +28,5 @@
             violations.push(format!("at {at}: {name} was answered {body:?}"));
         }
     }
-    (stressed, violations)
+    (exercised, violations)
 }
--- a/crates/sim/src/check/at_most_once.rs
+++ b/crates/sim/src/check/at_most_once.rs
@@ -1,23 +1,23 @@
 //! A request that may not be repeated runs at most once.
 
-use super::requests::gather;
+use super::requests::collect_requests;
 use crate::record::History;
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let mut stressed = 0;
+    let mut exercised = 0;
     let mut violations = Vec::new();
-    for (name, request) in gather(history) {
+    for (name, request) in collect_requests(history) {
         if request.repeatable {
             continue;
         }
         // Those whose first try went wrong are the ones that tempt to repeat.
         if request.is_uncertain() || request.arrivals.len() > 1 {
-            stressed += 1;
+            exercised += 1;
         }
         if request.effects.len() > 1 {
             let times: Vec<u64> = request.effects.iter().map(|(at, _)| *at).collect();
             violations.push(format!("{name} ran at {times:?}"));
         }
     }
-    (stressed, violations)
+    (exercised, violations)
 }
--- a/crates/sim/src/check/configuration.rs
+++ b/crates/sim/src/check/configuration.rs
@@ -6,14 +6,14 @@
 //! probe was sent. A node that refuses probes serves nothing, which is allowed.
 //! A write that an operator was told had no effect must never be seen in force.
 
-use super::requests::gather;
+use super::requests::collect_requests;
 use crate::record::{History, OperatorView, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An accepted configuration is in force everywhere within this.
-const IN_FORCE_MICROS: u64 = 12_000_000;
+const MAX_PROPAGATION_MICROS: u64 = 12_000_000;
 
-struct Seen {
+struct ProbeResult {
     sent: u64,
     answered: u64,
     revision: u64,
@@ -22,13 +22,13 @@
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
     let mut violations = Vec::new();
     let accepted = accepted(history, &mut violations);
-    violations.extend(denied_in_force(history));
-    let by_node = seen(history, &accepted);
+    violations.extend(rejected_writes_in_force(history));
+    let by_node = probes_by_node(history, &accepted);
     for (node, probes) in &by_node {
         for probe in probes {
             let required = accepted
                 .values()
-                .filter(|(at, _)| at + IN_FORCE_MICROS <= probe.sent)
+                .filter(|(at, _)| at + MAX_PROPAGATION_MICROS <= probe.sent)
                 .map(|(_, revision)| *revision)
                 .max()
                 .unwrap_or(0);
@@ -56,8 +56,8 @@
 }
 
 /// Writes that were called without effect and are in force all the same.
-fn denied_in_force(history: &History) -> Vec<String> {
-    let denied: BTreeSet<String> = history
+fn rejected_writes_in_force(history: &History) -> Vec<String> {
+    let rejected: BTreeSet<String> = history
         .records
         .iter()
         .filter_map(|timed| match &timed.record {
@@ -72,7 +72,7 @@
         .records
         .iter()
         .filter_map(|timed| match &timed.record {
-            Record::Effect { key, .. } if denied.contains(key) => Some((timed.at, key)),
+            Record::Effect { key, .. } if rejected.contains(key) => Some((timed.at, key)),
             _ => None,
         });
     seen.map(|(at, key)| format!("at {at}: {key} is in force and was called without effect"))
@@ -114,9 +114,12 @@
 }
 
 /// Probes whose revision is known, by node.
-fn seen(history: &History, accepted: &BTreeMap<u64, (u64, u64)>) -> BTreeMap<usize, Vec<Seen>> {
-    let mut by_node: BTreeMap<usize, Vec<Seen>> = BTreeMap::new();
-    for request in gather(history)
+fn probes_by_node(
+    history: &History,
+    accepted: &BTreeMap<u64, (u64, u64)>,
+) -> BTreeMap<usize, Vec<ProbeResult>> {
+    let mut by_node: BTreeMap<usize, Vec<ProbeResult>> = BTreeMap::new();
+    for request in collect_requests(history)
         .into_values()
         .filter(|request| request.probe)
     {
@@ -128,7 +131,7 @@
             .and_then(|text| text.parse().ok());
         let revision = operation.and_then(|operation: u64| accepted.get(&operation));
         if let Some((_, revision)) = revision {
-            by_node.entry(request.node).or_default().push(Seen {
+            by_node.entry(request.node).or_default().push(ProbeResult {
                 sent: request.sent,
                 answered: request.answered_at(),
                 revision: *revision,
--- a/crates/sim/src/check/drain.rs
+++ b/crates/sim/src/check/drain.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// How long a drain may take to be felt, in microseconds.
-const DRAIN_MICROS: u64 = 3_000_000;
+const MAX_DRAIN_DELAY_MICROS: u64 = 3_000_000;
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let mut asked: BTreeMap<u64, &Vec<usize>> = BTreeMap::new();
-    let mut since: BTreeMap<usize, u64> = BTreeMap::new();
-    let mut stressed = 0;
+    let mut drained_by_operation: BTreeMap<u64, &Vec<usize>> = BTreeMap::new();
+    let mut drained_since: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut exercised = 0;
     let mut violations = Vec::new();
     for timed in &history.records {
         let at = timed.at;
@@ -20,31 +20,36 @@
             Record::ConfirmSent {
                 operation, drained, ..
             } => {
-                asked.insert(*operation, drained);
-                since.retain(|server, _| drained.contains(server));
+                drained_by_operation.insert(*operation, drained);
+                drained_since.retain(|server, _| drained.contains(server));
             }
             Record::Confirmed {
                 operation,
                 view: OperatorView::InForce(_),
             } => {
-                for server in asked.get(operation).into_iter().flat_map(|all| all.iter()) {
-                    since.entry(*server).or_insert_with(|| {
-                        stressed += 1;
+                for server in drained_by_operation
+                    .get(operation)
+                    .into_iter()
+                    .flat_map(|all| all.iter())
+                {
+                    drained_since.entry(*server).or_insert_with(|| {
+                        exercised += 1;
                         at
                     });
                 }
             }
             Record::Arrived { server, name } => {
-                let drained = since.get(&server.server);
-                if drained.is_some_and(|since| at > since + DRAIN_MICROS) {
+                let drained = drained_since.get(&server.server);
+                if drained.is_some_and(|drained_since| at > drained_since + MAX_DRAIN_DELAY_MICROS)
+                {
                     violations.push(format!(
                         "at {at}: {name} reached {server:?}, drained since {}",
-                        since[&server.server]
+                        drained_since[&server.server]
                     ));
                 }
             }
             _ => {}
         }
     }
-    (stressed, violations)
+    (exercised, violations)
 }
--- a/crates/sim/src/check/liveness.rs
+++ b/crates/sim/src/check/liveness.rs
@@ -2,7 +2,7 @@
 //! pool is served again: refusing everything is no way to hold the other
 //! points.
 
-use super::requests::gather;
+use super::requests::collect_requests;
 use crate::record::{CallerView, History, Record};
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
@@ -12,12 +12,12 @@
         .filter(|timed| matches!(timed.record, Record::Fault { .. }))
         .count() as u64;
     let mut violations = Vec::new();
-    let mut asked = 0;
-    for (name, request) in gather(history) {
+    let mut final_requests = 0;
+    for (name, request) in collect_requests(history) {
         if !request.after_faults {
             continue;
         }
-        asked += 1;
+        final_requests += 1;
         if !matches!(request.answer(), Some(CallerView::Complete { .. })) {
             violations.push(format!(
                 "at {}: {name}, after all faults, was told {:?}",
@@ -26,7 +26,7 @@
             ));
         }
     }
-    if asked == 0 {
+    if final_requests == 0 {
         violations.push("nothing was asked after the faults".to_owned());
     }
     (faults, violations)
--- a/crates/sim/src/check/mod.rs
+++ b/crates/sim/src/check/mod.rs
@@ -15,7 +15,7 @@
 mod sole_owner;
 mod survival;
 
-pub use survival::exposed;
+pub use survival::rolled_back_grants;
 
 use crate::record::History;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Point {
+pub enum Invariant {
     /// A key has at most one owner at any instant.
     SoleOwner,
     /// An acknowledged assignment survives.
@@ -44,32 +44,32 @@
     Liveness,
 }
 
-impl Point {
+impl Invariant {
     /// All points in the order of the proofs.
-    pub const ALL: [Point; 9] = [
-        Point::SoleOwner,
-        Point::AtMostOnce,
-        Point::RefusedNotRun,
-        Point::AssignmentSurvives,
-        Point::OwnWholeAnswer,
-        Point::Configuration,
-        Point::Drain,
-        Point::PlannedStop,
-        Point::Liveness,
+    pub const ALL: [Invariant; 9] = [
+        Invariant::SoleOwner,
+        Invariant::AtMostOnce,
+        Invariant::RefusedNotRun,
+        Invariant::AssignmentSurvives,
+        Invariant::OwnWholeAnswer,
+        Invariant::Configuration,
+        Invariant::Drain,
+        Invariant::PlannedStop,
+        Invariant::Liveness,
     ];
 
     /// The point's name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Point::SoleOwner => "sole-owner",
-            Point::AssignmentSurvives => "assignment-survives",
-            Point::OwnWholeAnswer => "own-whole-answer",
-            Point::RefusedNotRun => "refused-not-run",
-            Point::AtMostOnce => "at-most-once",
-            Point::Drain => "drain",
-            Point::PlannedStop => "planned-stop",
-            Point::Configuration => "configuration",
-            Point::Liveness => "liveness",
+            Invariant::SoleOwner => "sole-owner",
+            Invariant::AssignmentSurvives => "assignment-survives",
+            Invariant::OwnWholeAnswer => "own-whole-answer",
+            Invariant::RefusedNotRun => "refused-not-run",
+            Invariant::AtMostOnce => "at-most-once",
+            Invariant::Drain => "drain",
+            Invariant::PlannedStop => "planned-stop",
+            Invariant::Configuration => "configuration",
+            Invariant::Liveness => "liveness",
         }
     }
 }
@@ -78,37 +78,37 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The point.
-    pub point: Point,
+    pub invariant: Invariant,
     /// How often the history put it to the test.
-    pub stressed: u64,
+    pub exercised: u64,
     /// What broke it, in words, with the world's time in microseconds.
     pub violations: Vec<String>,
 }
 
 /// Runs every checker.
 pub fn check_all(history: &History) -> Vec<Finding> {
-    Point::ALL
+    Invariant::ALL
         .into_iter()
-        .map(|point| check(point, history))
+        .map(|invariant| check(invariant, history))
         .collect()
 }
 
 /// Runs the checker of one point.
-pub fn check(point: Point, history: &History) -> Finding {
-    let (stressed, violations) = match point {
-        Point::SoleOwner => sole_owner::check(history),
-        Point::AssignmentSurvives => survival::check(history),
-        Point::OwnWholeAnswer => answers::check(history),
-        Point::RefusedNotRun => refusal::check(history),
-        Point::AtMostOnce => at_most_once::check(history),
-        Point::Drain => drain::check(history),
-        Point::PlannedStop => planned_stop::check(history),
-        Point::Configuration => configuration::check(history),
-        Point::Liveness => liveness::check(history),
+pub fn check(invariant: Invariant, history: &History) -> Finding {
+    let (exercised, violations) = match invariant {
+        Invariant::SoleOwner => sole_owner::check(history),
+        Invariant::AssignmentSurvives => survival::check(history),
+        Invariant::OwnWholeAnswer => answers::check(history),
+        Invariant::RefusedNotRun => refusal::check(history),
+        Invariant::AtMostOnce => at_most_once::check(history),
+        Invariant::Drain => drain::check(history),
+        Invariant::PlannedStop => planned_stop::check(history),
+        Invariant::Configuration => configuration::check(history),
+        Invariant::Liveness => liveness::check(history),
     };
     Finding {
-        point,
-        stressed,
+        invariant,
+        exercised,
         violations,
     }
 }
--- a/crates/sim/src/check/planned_stop.rs
+++ b/crates/sim/src/check/planned_stop.rs
@@ -4,12 +4,12 @@
 //! refused as not run. Those that something else failed on meanwhile are left
 //! out.
 
-use super::requests::{Request, gather};
+use super::requests::{Request, collect_requests};
 use crate::record::{History, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let requests = gather(history);
+    let requests = collect_requests(history);
     let faults: Vec<(u64, u64)> = history
         .records
         .iter()
@@ -30,20 +30,20 @@
             _ => None,
         })
         .collect();
-    let mut stressed = 0;
+    let mut exercised = 0;
     let mut violations = Vec::new();
     for timed in &history.records {
         let at = timed.at;
-        let cut: BTreeMap<&str, &Request> = match &timed.record {
+        let interrupted: BTreeMap<&str, &Request> = match &timed.record {
             Record::NodeStops { node, run } if !killed.contains(&(*node, *run)) => {
-                stressed += 1;
+                exercised += 1;
                 let at_node = |request: &Request| {
                     (request.node, request.node_run) == (*node, *run) && request.sent <= at
                 };
                 in_flight(&requests, at, at_node)
             }
             Record::ServerStops { server } => {
-                stressed += 1;
+                exercised += 1;
                 let at_server = |request: &Request| {
                     let mut arrivals = request.arrivals.iter();
                     arrivals.any(|(arrived, run)| run == server && *arrived <= at)
@@ -52,7 +52,7 @@
             }
             _ => continue,
         };
-        for (name, request) in cut {
+        for (name, request) in interrupted {
             let until = request.answered_at();
             let disturbed = faults
                 .iter()
@@ -62,17 +62,17 @@
             }
         }
     }
-    (stressed, violations)
+    (exercised, violations)
 }
 
 fn in_flight<'a>(
     requests: &'a BTreeMap<&'a str, Request>,
     at: u64,
-    concerns: impl Fn(&Request) -> bool,
+    matches_target: impl Fn(&Request) -> bool,
 ) -> BTreeMap<&'a str, &'a Request> {
     requests
         .iter()
-        .filter(|(_, request)| concerns(request) && request.answered_at() > at)
+        .filter(|(_, request)| matches_target(request) && request.answered_at() > at)
         .map(|(name, request)| (*name, request))
         .collect()
 }
--- a/crates/sim/src/check/requests.rs
+++ b/crates/sim/src/check/requests.rs
@@ -38,7 +38,7 @@
 }
 
 /// All requests by name.
-pub(crate) fn gather(history: &History) -> BTreeMap<&str, Request> {
+pub(crate) fn collect_requests(history: &History) -> BTreeMap<&str, Request> {
     let mut requests: BTreeMap<&str, Request> = BTreeMap::new();
     for timed in &history.records {
         match &timed.record {
--- a/crates/sim/src/check/survival.rs
+++ b/crates/sim/src/check/survival.rs
@@ -4,7 +4,7 @@
 //! From then on nobody may be granted any of it under a lower fence by a leader
 //! of the same generation. A generation ends only with the loss of a majority
 //! of its voters; what was agreed on after the last checkpoint is exposed to
-//! that loss, and [`exposed`] counts it for the measures.
+//! that loss, and [`rolled_back_grants`] counts it for the measures.
 
 use crate::record::{History, Record, ServerRun};
 use beamtray_types::{Fence, SliceRange};
@@ -17,20 +17,20 @@
 }
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let (losses, violations, _) = examine(history);
+    let (losses, violations, _) = scan(history);
     (losses, violations)
 }
 
 /// Grants that went back behind an acknowledged assignment because a new
 /// generation started from an older checkpoint.
-pub fn exposed(history: &History) -> u64 {
-    examine(history).2
+pub fn rolled_back_grants(history: &History) -> u64 {
+    scan(history).2
 }
 
-fn examine(history: &History) -> (u64, Vec<String>, u64) {
+fn scan(history: &History) -> (u64, Vec<String>, u64) {
     let mut known: BTreeMap<(u64, u64), Acknowledged> = BTreeMap::new();
     let mut losses = 0;
-    let mut exposed = 0;
+    let mut rolled_back_grants = 0;
     let mut violations = Vec::new();
     for timed in &history.records {
         let at = timed.at;
@@ -43,7 +43,7 @@
                 slices,
             } if *until > at => {
                 for slice in slices {
-                    let later = known.iter().find(|((first, last), acknowledged)| {
+                    let conflict = known.iter().find(|((first, last), acknowledged)| {
                         let range = SliceRange {
                             first: *first,
                             last: *last,
@@ -52,10 +52,10 @@
                             && acknowledged.server.server != server.server
                             && range.overlaps(&slice.range)
                     });
-                    let founded_again =
-                        later.is_some_and(|(_, known)| known.generation < *generation);
-                    exposed += u64::from(founded_again);
-                    if let Some((_, acknowledged)) = later.filter(|_| !founded_again) {
+                    let newer_generation =
+                        conflict.is_some_and(|(_, known)| known.generation < *generation);
+                    rolled_back_grants += u64::from(newer_generation);
+                    if let Some((_, acknowledged)) = conflict.filter(|_| !newer_generation) {
                         violations.push(format!(
                             "at {at}: {server:?} is granted {} under {} after {:?} had it under {}",
                             slice.range, slice.fence, acknowledged.server, acknowledged.fence
@@ -80,5 +80,5 @@
             _ => {}
         }
     }
-    (losses, violations, exposed)
+    (losses, violations, rolled_back_grants)
 }
--- a/crates/sim/src/explore.rs
+++ b/crates/sim/src/explore.rs
@@ -1,6 +1,6 @@
 //! Many histories from many seeds, checked.
 
-use crate::check::{Point, check_all, exposed};
+use crate::check::{Invariant, check_all, rolled_back_grants};
 use crate::fault::Fault;
 use crate::guard::Guard;
 use crate::record::History;
@@ -31,11 +31,11 @@
 
 /// What was found of one point.
 #[derive(Clone, Debug, Default)]
-pub struct PointSummary {
+pub struct InvariantSummary {
     /// Histories that put it to the test.
-    pub stressed_seeds: u64,
+    pub exercised_seeds: u64,
     /// How often in all.
-    pub stressed: u64,
+    pub exercised: u64,
     /// Histories that broke it.
     pub violating_seeds: u64,
 }
@@ -44,10 +44,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Each point.
-    pub points: BTreeMap<Point, PointSummary>,
+    pub invariants: BTreeMap<Invariant, InvariantSummary>,
     /// Grants that went back behind an acknowledged assignment because all
     /// that knew of it were lost, and the seeds in which any did.
-    pub exposed: (u64, u64),
+    pub rolled_back_grants: (u64, u64),
     /// Violating seeds with what broke.
     pub violations: BTreeMap<u64, Vec<String>>,
 }
@@ -66,7 +66,7 @@
         };
         let mut scenario = Scenario::random(seed, self.declaration.clone(), &selected);
         if let Some(guard) = self.without {
-            guard.remove_from(&mut scenario.guards);
+            guard.disable_in(&mut scenario.guards);
         }
         scenario
     }
@@ -99,7 +99,7 @@
     }
 
     /// Drops faults of a violating seed while it still violates.
-    pub fn shorten(&self, seed: u64) -> Scenario {
+    pub fn minimize(&self, seed: u64) -> Scenario {
         let mut scenario = self.scenario(seed);
         let mut position = 0;
         while position < scenario.faults.len() {
@@ -121,7 +121,7 @@
     findings
         .into_iter()
         .flat_map(|finding| {
-            let name = finding.point.as_str();
+            let name = finding.invariant.as_str();
             let violations = finding.violations.into_iter();
             violations.map(move |text| format!("{name}: {text}"))
         })
@@ -130,15 +130,15 @@
 
 impl Summary {
     fn add(&mut self, seed: u64, history: &History) {
-        let exposed = exposed(history);
-        self.exposed.0 += exposed;
-        self.exposed.1 += u64::from(exposed > 0);
+        let rolled_back_grants = rolled_back_grants(history);
+        self.rolled_back_grants.0 += rolled_back_grants;
+        self.rolled_back_grants.1 += u64::from(rolled_back_grants > 0);
         for finding in check_all(history) {
-            let point = self.points.entry(finding.point).or_default();
-            point.stressed += finding.stressed;
-            point.stressed_seeds += u64::from(finding.stressed > 0);
-            point.violating_seeds += u64::from(!finding.violations.is_empty());
-            let name = finding.point.as_str();
+            let invariant = self.invariants.entry(finding.invariant).or_default();
+            invariant.exercised += finding.exercised;
+            invariant.exercised_seeds += u64::from(finding.exercised > 0);
+            invariant.violating_seeds += u64::from(!finding.violations.is_empty());
+            let name = finding.invariant.as_str();
             for text in finding.violations {
                 let all = self.violations.entry(seed).or_default();
                 all.push(format!("{name}: {text}"));
--- a/crates/sim/src/guard.rs
+++ b/crates/sim/src/guard.rs
@@ -96,7 +96,7 @@
     }
 
     /// Switches the guard off.
-    pub fn remove_from(self, guards: &mut WorldGuards) {
+    pub fn disable_in(self, guards: &mut WorldGuards) {
         let control = &mut guards.control;
         match self {
             Guard::LapseWait => control.granter.waits_for_lapse = false,
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -5,7 +5,7 @@
 use beamtray_placement::Policy;
 use beamtray_routersim::WorldSize;
 use beamtray_settings::Declaration;
-use beamtray_sim::check::Point;
+use beamtray_sim::check::Invariant;
 use beamtray_sim::explore::{ALL_FAULTS, Exploration, Summary, violations};
 use beamtray_sim::guard::Guard;
 use beamtray_sim::measure::{Kind, Measures, measure, policy_name};
@@ -341,24 +341,28 @@
 }
 
 fn print_summary(exploration: &Exploration, summary: &Summary, arguments: &ExploreArguments) {
-    for point in Point::ALL {
-        let found = summary.points.get(&point).cloned().unwrap_or_default();
-        let note = if found.stressed_seeds == 0 {
+    for invariant in Invariant::ALL {
+        let found = summary
+            .invariants
+            .get(&invariant)
+            .cloned()
+            .unwrap_or_default();
+        let note = if found.exercised_seeds == 0 {
             " never put to the test"
         } else {
             ""
         };
         println!(
             "{:<20} stressed in {} seeds, {} times; violating seeds {}{note}",
-            point.as_str(),
-            found.stressed_seeds,
-            found.stressed,
+            invariant.as_str(),
+            found.exercised_seeds,
+            found.exercised,
             found.violating_seeds,
         );
     }
     println!(
         "assignments exposed to the loss of a generation: {} in {} seeds",
-        summary.exposed.0, summary.exposed.1
+        summary.rolled_back_grants.0, summary.rolled_back_grants.1
     );
     let deployment = arguments
         .deployment
@@ -378,7 +382,7 @@
             "  replay: beamtray-sim explore --first-seed {seed} --seeds 1{faults}{deployment} --verbose"
         );
         println!("  shortened:");
-        for fault in exploration.shorten(*seed).faults {
+        for fault in exploration.minimize(*seed).faults {
             println!("    at {} ms: {:?}", fault.at_millis, fault.fault);
         }
     }
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    fn join(mut self, other: Total) -> Self {
+    fn merge(mut self, other: Total) -> Self {
         self.asked += other.asked;
         self.served += other.served;
         self.releases += other.releases;
@@ -53,7 +53,7 @@
     let mut total = Total::default();
     for worker in workers {
         let part = worker.join().map_err(|_| eyre!("a history panicked"))?;
-        total = total.join(part);
+        total = total.merge(part);
     }
     println!(
         "seeds {} faults {} requests {} answered {} releases {} violations {}",
--- a/crates/sim/src/world/callers.rs
+++ b/crates/sim/src/world/callers.rs
@@ -1,7 +1,7 @@
 //! Callers: random, scripted, probing and last requests, and their answers.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{CallerView, Record};
 use crate::scenario::{LoadShape, PROBE_SERVICE, Scenario};
 use beamtray_control::Input;
@@ -22,14 +22,14 @@
 
 /// A request that waits for its answer.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingRequest {
     name: String,
 }
 
 /// All callers.
 #[derive(Debug)]
 pub(crate) struct Callers {
-    waiting: BTreeMap<(usize, u64, RequestId), Waiting>,
+    waiting: BTreeMap<(usize, u64, RequestId), PendingRequest>,
     next_name: u64,
     cumulative: Vec<f64>,
     keyed: Vec<ServiceName>,
@@ -68,7 +68,7 @@
 }
 
 /// What a caller asks for.
-struct Wanted {
+struct RequestParameters {
     name: String,
     service: ServiceName,
     key: Option<String>,
@@ -142,7 +142,7 @@
         }
         let mean = 1_000_000.0 / f64::from(self.scenario.load.per_second.max(1));
         let draw: f64 = self.rng.random_range(0.000_1..1.0);
-        self.after((-draw.ln() * mean) as u64 + 1, Happening::RandomRequest);
+        self.after((-draw.ln() * mean) as u64 + 1, SimEvent::RandomRequest);
         let Some(node) = self.some_node() else { return };
         let transfer = self.rng.random_bool(TRANSFER_SHARE);
         let pool = self.rng.random_bool(POOL_SHARE) && !self.callers.pools.is_empty();
@@ -157,7 +157,7 @@
         let service = services[self.rng.random_range(0..services.len())].clone();
         let key = self.random_key();
         let kind = if transfer { "transfer" } else { "read" };
-        let wanted = Wanted {
+        let wanted = RequestParameters {
             name: self.new_name(kind),
             service,
             key: (!pool).then_some(key),
@@ -184,13 +184,13 @@
             return;
         }
         if self.now + 2_000_000 < self.history.end {
-            self.after(PROBE_MICROS, Happening::Probe);
+            self.after(PROBE_MICROS, SimEvent::Probe);
         }
         for node in 0..self.nodes.len() {
             if self.nodes[node].state == ProcessState::Dead {
                 continue;
             }
-            let wanted = Wanted {
+            let wanted = RequestParameters {
                 name: self.new_name("probe"),
                 service: ServiceName::from(PROBE_SERVICE),
                 key: None,
@@ -204,7 +204,7 @@
 
     pub(crate) fn send_scripted(&mut self, position: usize) {
         let request = self.scenario.script[position].clone();
-        let wanted = Wanted {
+        let wanted = RequestParameters {
             name: request.name,
             service: ServiceName(request.service),
             key: Some(request.key).filter(|key| !key.is_empty()),
@@ -216,7 +216,7 @@
     }
 
     /// After all faults: every key, and every pool, at some node.
-    pub(crate) fn send_last_requests(&mut self) {
+    pub(crate) fn send_final_requests(&mut self) {
         let keys = self.scenario.load.keys;
         let mut all = Vec::new();
         for service in self.callers.keyed.clone() {
@@ -225,7 +225,7 @@
         all.extend(self.callers.pools.iter().map(|pool| (pool.clone(), None)));
         for (service, key) in all {
             let Some(node) = self.some_node() else { return };
-            let wanted = Wanted {
+            let wanted = RequestParameters {
                 name: self.new_name("last"),
                 service,
                 key,
@@ -237,7 +237,7 @@
         }
     }
 
-    fn send(&mut self, node: usize, wanted: Wanted) {
+    fn send(&mut self, node: usize, wanted: RequestParameters) {
         let target = &mut self.nodes[node];
         let id = RequestId(target.next_request);
         target.next_request += 1;
@@ -270,11 +270,11 @@
         let name = wanted.name.clone();
         self.callers
             .waiting
-            .insert((node, run, id), Waiting { name: wanted.name });
-        self.after(PATIENCE_MICROS, Happening::CallerGivesUp { name });
+            .insert((node, run, id), PendingRequest { name: wanted.name });
+        self.after(PATIENCE_MICROS, SimEvent::CallerTimesOut { name });
         let input = Input::Caller { id, request };
         let delay = self.scenario.far_micros;
-        self.after(delay, Happening::ToNode { node, run, input });
+        self.after(delay, SimEvent::ToNode { node, run, input });
     }
 
     pub(crate) fn on_answer(&mut self, node: usize, id: RequestId, answer: Answer) {
@@ -295,7 +295,7 @@
         self.record(Record::Answered { name, view });
     }
 
-    pub(crate) fn on_caller_gives_up(&mut self, name: &str) {
+    pub(crate) fn on_caller_timeout(&mut self, name: &str) {
         let found = self
             .callers
             .waiting
@@ -310,7 +310,7 @@
             view,
         });
         let input = Input::CallerGone { id };
-        self.after(0, Happening::ToNode { node, run, input });
+        self.after(0, SimEvent::ToNode { node, run, input });
     }
 
     /// The connections of a node's callers broke.
--- a/crates/sim/src/world/exchanges.rs
+++ b/crates/sim/src/world/exchanges.rs
@@ -1,8 +1,8 @@
 //! Calls of gates to servers and back ends, from arrival to effect to reply.
 
 use super::nodes::ProcessState;
-use super::servers::{Held, Model, PROBE_SERVER};
-use super::{Happening, World};
+use super::servers::{Model, PROBE_SERVER, PendingInput};
+use super::{SimEvent, World};
 use crate::record::{Record, ServerRun};
 use beamtray_control::Input;
 use beamtray_routing::{CallId, Forward, NotRunReason, UpstreamAnswer, UpstreamOutcome};
@@ -47,7 +47,7 @@
             over: false,
         });
         let timeout = timeout.as_micros() as u64;
-        let lost = Happening::CallEnds {
+        let lost = SimEvent::CallEnds {
             exchange,
             outcome: UpstreamOutcome::Lost {
                 cause: "timed out".to_owned(),
@@ -55,17 +55,17 @@
         };
         self.after(timeout, lost);
         if server == PROBE_SERVER {
-            return self.after(1_000, Happening::CallArrives { exchange });
+            return self.after(1_000, SimEvent::CallArrives { exchange });
         }
         let (from, to) = (self.nodes[node].zone, self.servers[server].zone);
         let delay = self.network.delay(&mut self.rng, self.now, from, to);
         let reachable = self.now >= self.servers[server].cut_until;
         match delay.filter(|_| reachable) {
-            Some(delay) => self.after(delay, Happening::CallArrives { exchange }),
+            Some(delay) => self.after(delay, SimEvent::CallArrives { exchange }),
             None => {
                 let outcome = not_run(NotRunReason::NotConnected);
-                let happening = Happening::CallEnds { exchange, outcome };
-                self.after(CONNECT_TIMEOUT_MICROS.min(timeout), happening);
+                let event = SimEvent::CallEnds { exchange, outcome };
+                self.after(CONNECT_TIMEOUT_MICROS.min(timeout), event);
             }
         }
     }
@@ -83,8 +83,8 @@
                 let outcome = not_run(NotRunReason::NotConnected);
                 return self.reply(id, index, outcome);
             }
-            ProcessState::Frozen | ProcessState::Freezing(_) => {
-                self.servers[index].held.push(Held::Call(id));
+            ProcessState::Suspended | ProcessState::Suspending(_) => {
+                self.servers[index].held.push(PendingInput::Call(id));
                 return;
             }
             ProcessState::Running => {}
@@ -126,7 +126,7 @@
         match begun {
             Ok(()) => self.after(
                 service,
-                Happening::CallCommits {
+                SimEvent::CallCommits {
                     exchange: id,
                     server_run,
                 },
@@ -146,9 +146,9 @@
         }
         if matches!(
             server.state,
-            ProcessState::Frozen | ProcessState::Freezing(_)
+            ProcessState::Suspended | ProcessState::Suspending(_)
         ) {
-            server.held.push(Held::Commit(id));
+            server.held.push(PendingInput::Commit(id));
             return;
         }
         self.commit(id, index);
@@ -211,7 +211,7 @@
         let outcome = answered(&marker, &name);
         self.after(
             1_000,
-            Happening::CallEnds {
+            SimEvent::CallEnds {
                 exchange: id,
                 outcome,
             },
@@ -227,11 +227,11 @@
         let reachable = self.now >= self.servers[index].cut_until;
         let delay = self.network.delay(&mut self.rng, self.now, from, to);
         if let Some(delay) = delay.filter(|_| reachable) {
-            let happening = Happening::CallEnds {
+            let event = SimEvent::CallEnds {
                 exchange: id,
                 outcome,
             };
-            self.after(delay, happening);
+            self.after(delay, event);
         }
     }
 
@@ -251,7 +251,7 @@
         exchange.over = true;
         let (node, run, call) = (exchange.node, exchange.run, exchange.call);
         let input = Input::CallResult { call, outcome };
-        self.after(0, Happening::ToNode { node, run, input });
+        self.after(0, SimEvent::ToNode { node, run, input });
     }
 
     /// With the guard off, a late answer on a kept connection is read as that
--- a/crates/sim/src/world/faults.rs
+++ b/crates/sim/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::callers::HotKeys;
 use super::nodes::{ProcessState, node_id};
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::fault::{Fault, ScheduledFault};
 use crate::record::Record;
 use beamtray_control::Input;
@@ -122,15 +122,15 @@
                     down: true,
                     ..KeyValueFaults::default()
                 };
-                self.after(millis * 1_000, Happening::KeyValueMends);
+                self.after(millis * 1_000, SimEvent::KeyValueRecovers);
             }
             Fault::KeyValueSlow { millis } => {
                 self.key_value_slow = true;
-                self.after(millis * 1_000, Happening::KeyValueMends);
+                self.after(millis * 1_000, SimEvent::KeyValueRecovers);
             }
             Fault::KeyValueLosesReplies { millis } => {
                 self.key_value.faults.loses_replies = true;
-                self.after(millis * 1_000, Happening::KeyValueMends);
+                self.after(millis * 1_000, SimEvent::KeyValueRecovers);
             }
             Fault::BadNetwork {
                 millis,
@@ -139,11 +139,11 @@
                 delay_millis,
             } => {
                 let until = until(millis);
-                let weather = &mut self.network.weather;
-                weather.until = until;
-                weather.loss_percent = loss_percent;
-                weather.duplicate_percent = duplicate_percent;
-                weather.delay_micros = delay_millis * 1_000;
+                let conditions = &mut self.network.conditions;
+                conditions.until = until;
+                conditions.loss_percent = loss_percent;
+                conditions.duplicate_percent = duplicate_percent;
+                conditions.delay_micros = delay_millis * 1_000;
             }
             Fault::OperatorRace => self.race_operators(),
             Fault::MachineLeaves { server, millis } => {
@@ -173,11 +173,11 @@
                     from: self.now,
                     rise: rise_millis * 1_000,
                 });
-                self.after(millis * 1_000, Happening::HotKeyEnds);
+                self.after(millis * 1_000, SimEvent::HotKeyEnds);
             }
             Fault::HotKey { key, millis } => {
                 self.callers.hot = Some(HotKeys::at_once(key));
-                self.after(millis * 1_000, Happening::HotKeyEnds);
+                self.after(millis * 1_000, SimEvent::HotKeyEnds);
             }
         }
     }
@@ -186,7 +186,7 @@
         let member = self.nodes[node].member;
         self.end_node(node, false);
         match restart_millis {
-            Some(millis) => self.after(millis * 1_000, Happening::RestartNode { node }),
+            Some(millis) => self.after(millis * 1_000, SimEvent::RestartNode { node }),
             None => {
                 let name = machine_name(member);
                 self.machines.set(Time(self.now), &name, MachineState::Gone);
@@ -197,7 +197,7 @@
     fn kill_server(&mut self, server: usize, restart_millis: Option<u64>) {
         self.end_server(server);
         if let Some(millis) = restart_millis {
-            self.after(millis * 1_000, Happening::RestartServer { server });
+            self.after(millis * 1_000, SimEvent::RestartServer { server });
         }
     }
 
@@ -208,12 +208,12 @@
             return;
         }
         if mid_step {
-            node.state = ProcessState::Freezing(until);
+            node.state = ProcessState::Suspending(until);
             return;
         }
-        node.state = ProcessState::Frozen;
+        node.state = ProcessState::Suspended;
         let run = node.run;
-        self.at(until, Happening::ThawNode { node: index, run });
+        self.at(until, SimEvent::ResumeNode { node: index, run });
     }
 
     fn stop_node(&mut self, index: usize, restart_millis: u64) {
@@ -226,11 +226,11 @@
         self.input(index, Input::Stop);
         // A node that is frozen when it should end is looked after later.
         let restart = restart_millis * 1_000 + 8_000_000;
-        self.after(restart, Happening::RestartNode { node: index });
+        self.after(restart, SimEvent::RestartNode { node: index });
         debug_assert_eq!(self.nodes[index].member.node, node_id(index));
     }
 }
 
-fn machine(server: usize, state: MachineState) -> Happening {
-    Happening::MachineState { server, state }
+fn machine(server: usize, state: MachineState) -> SimEvent {
+    SimEvent::MachineState { server, state }
 }
--- a/crates/sim/src/world/mod.rs
+++ b/crates/sim/src/world/mod.rs
@@ -49,7 +49,7 @@
 
 /// Something due at a moment.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     Tick {
         node: usize,
         run: u64,
@@ -92,7 +92,7 @@
     RandomRequest,
     Probe,
     Scripted(usize),
-    CallerGivesUp {
+    CallerTimesOut {
         name: String,
     },
     Operate,
@@ -100,53 +100,53 @@
     RestartNode {
         node: usize,
     },
-    ThawNode {
+    ResumeNode {
         node: usize,
         run: u64,
     },
     RestartServer {
         server: usize,
     },
-    ThawServer {
+    ResumeServer {
         server: usize,
         run: u64,
     },
     StopServer {
         server: usize,
     },
-    FillServer {
+    UndrainServer {
         server: usize,
     },
     MachineState {
         server: usize,
         state: beamtray_keyvalue::MachineState,
     },
-    KeyValueMends,
+    KeyValueRecovers,
     HotKeyEnds,
     Last,
 }
 
-struct Due {
+struct QueuedEvent {
     at: u64,
     order: u64,
-    happening: Happening,
+    event: SimEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Due {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -159,7 +159,7 @@
     scenario: Scenario,
     rng: ChaCha8Rng,
     now: u64,
-    due: BinaryHeap<Reverse<Due>>,
+    due: BinaryHeap<Reverse<QueuedEvent>>,
     next_order: u64,
     epoch: Instant,
     stakker: Stakker,
@@ -233,7 +233,7 @@
                 break;
             }
             self.now = self.now.max(due.at);
-            self.happen(due.happening);
+            self.handle_event(due.event);
         }
     }
 
@@ -273,40 +273,33 @@
         let millis = |millis: u64| millis * 1_000;
         let mut calm = millis(self.scenario.load_until_millis);
         for (position, scheduled) in self.scenario.faults.clone().iter().enumerate() {
-            self.at(
-                millis(scheduled.at_millis),
-                Happening::FaultBegins(position),
-            );
+            self.at(millis(scheduled.at_millis), SimEvent::FaultBegins(position));
             let until = faults::end_millis(scheduled);
             calm = calm.max(millis(until));
         }
         for (position, request) in self.scenario.script.clone().iter().enumerate() {
-            self.at(millis(request.at_millis), Happening::Scripted(position));
+            self.at(millis(request.at_millis), SimEvent::Scripted(position));
             calm = calm.max(millis(request.at_millis));
         }
         self.history.calm_from = calm;
-        self.at(calm + millis(SETTLE_MILLIS), Happening::Last);
+        self.at(calm + millis(SETTLE_MILLIS), SimEvent::Last);
         self.history.end = calm + millis(SETTLE_MILLIS + LAST_ANSWERS_MILLIS);
         self.at(
             millis(crate::scenario::LOAD_FROM_MILLIS),
-            Happening::RandomRequest,
+            SimEvent::RandomRequest,
         );
-        self.at(millis(crate::scenario::LOAD_FROM_MILLIS), Happening::Probe);
-        self.at(millis(1_500), Happening::Operate);
+        self.at(millis(crate::scenario::LOAD_FROM_MILLIS), SimEvent::Probe);
+        self.at(millis(1_500), SimEvent::Operate);
     }
 
-    pub(crate) fn at(&mut self, at: u64, happening: Happening) {
+    pub(crate) fn at(&mut self, at: u64, event: SimEvent) {
         let order = self.next_order;
         self.next_order += 1;
-        self.due.push(Reverse(Due {
-            at,
-            order,
-            happening,
-        }));
+        self.due.push(Reverse(QueuedEvent { at, order, event }));
     }
 
-    pub(crate) fn after(&mut self, micros: u64, happening: Happening) {
-        self.at(self.now + micros, happening);
+    pub(crate) fn after(&mut self, micros: u64, event: SimEvent) {
+        self.at(self.now + micros, event);
     }
 
     pub(crate) fn record(&mut self, record: Record) {
@@ -321,51 +314,51 @@
         self.epoch + Duration::from_micros(self.now)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { node, run } => self.tick_node(node, run),
-            Happening::ToNode { node, run, input } => {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Tick { node, run } => self.tick_node(node, run),
+            SimEvent::ToNode { node, run, input } => {
                 if self.nodes[node].run == run {
                     self.input(node, input);
                 }
             }
-            Happening::Peer { from, to, message } => self.input(to, Input::Peer { from, message }),
-            Happening::CallArrives { exchange } => self.on_call_arrives(exchange),
-            Happening::CallCommits {
+            SimEvent::Peer { from, to, message } => self.input(to, Input::Peer { from, message }),
+            SimEvent::CallArrives { exchange } => self.on_call_arrives(exchange),
+            SimEvent::CallCommits {
                 exchange,
                 server_run,
             } => self.on_call_commits(exchange, server_run),
-            Happening::CallEnds { exchange, outcome } => self.end_exchange(exchange, outcome),
-            Happening::GrantArrives {
+            SimEvent::CallEnds { exchange, outcome } => self.end_exchange(exchange, outcome),
+            SimEvent::GrantArrives {
                 node,
                 run,
                 server,
                 request,
                 sent,
             } => self.on_grant_arrives(node, run, server, request, sent),
-            Happening::KeyValueArrives {
+            SimEvent::KeyValueArrives {
                 node,
                 run,
                 call,
                 request,
                 sent,
             } => self.on_key_value_arrives(node, run, call, &request, sent),
-            Happening::RandomRequest => self.send_random_request(),
-            Happening::Probe => self.send_probes(),
-            Happening::Scripted(position) => self.send_scripted(position),
-            Happening::CallerGivesUp { name } => self.on_caller_gives_up(&name),
-            Happening::Operate => self.operate(),
-            Happening::FaultBegins(position) => self.begin_fault(position),
-            Happening::RestartNode { node } => self.restart_node(node),
-            Happening::ThawNode { node, run } => self.thaw_node(node, run),
-            Happening::RestartServer { server } => self.restart_server(server),
-            Happening::ThawServer { server, run } => self.thaw_server(server, run),
-            Happening::StopServer { server } => self.stop_server(server),
-            Happening::FillServer { server } => self.fill_server(server),
-            Happening::MachineState { server, state } => self.set_machine(server, state),
-            Happening::KeyValueMends => self.mend_key_value(),
-            Happening::HotKeyEnds => self.callers.hot = None,
-            Happening::Last => self.send_last_requests(),
+            SimEvent::RandomRequest => self.send_random_request(),
+            SimEvent::Probe => self.send_probes(),
+            SimEvent::Scripted(position) => self.send_scripted(position),
+            SimEvent::CallerTimesOut { name } => self.on_caller_timeout(&name),
+            SimEvent::Operate => self.operate(),
+            SimEvent::FaultBegins(position) => self.begin_fault(position),
+            SimEvent::RestartNode { node } => self.restart_node(node),
+            SimEvent::ResumeNode { node, run } => self.resume_node(node, run),
+            SimEvent::RestartServer { server } => self.restart_server(server),
+            SimEvent::ResumeServer { server, run } => self.resume_server(server, run),
+            SimEvent::StopServer { server } => self.stop_server(server),
+            SimEvent::UndrainServer { server } => self.undrain_server(server),
+            SimEvent::MachineState { server, state } => self.set_machine(server, state),
+            SimEvent::KeyValueRecovers => self.restore_key_value(),
+            SimEvent::HotKeyEnds => self.callers.hot = None,
+            SimEvent::Last => self.send_final_requests(),
         }
     }
 
--- a/crates/sim/src/world/network.rs
+++ b/crates/sim/src/world/network.rs
@@ -15,7 +15,7 @@
 
 /// How badly messages between nodes fare until a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Weather {
+pub(crate) struct LinkConditions {
     pub(crate) until: u64,
     pub(crate) loss_percent: u8,
     pub(crate) duplicate_percent: u8,
@@ -29,7 +29,7 @@
     far: u64,
     zones: usize,
     cuts: Vec<Cut>,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: LinkConditions,
 }
 
 impl Network {
@@ -39,7 +39,7 @@
             far: scenario.far_micros,
             zones: scenario.zones,
             cuts: Vec::new(),
-            weather: Weather::default(),
+            conditions: LinkConditions::default(),
         }
     }
 
@@ -92,15 +92,15 @@
         let Some(delay) = self.delay(rng, now, from, to) else {
             return Vec::new();
         };
-        let weather = self.weather;
-        if now >= weather.until {
+        let conditions = self.conditions;
+        if now >= conditions.until {
             return vec![delay];
         }
         let mut copies = Vec::new();
-        let wanted = 1 + usize::from(rng.random_range(0..100) < weather.duplicate_percent);
+        let wanted = 1 + usize::from(rng.random_range(0..100) < conditions.duplicate_percent);
         for _ in 0..wanted {
-            if rng.random_range(0..100) >= weather.loss_percent {
-                copies.push(delay + rng.random_range(0..=weather.delay_micros));
+            if rng.random_range(0..100) >= conditions.loss_percent {
+                copies.push(delay + rng.random_range(0..=conditions.delay_micros));
             }
         }
         copies
--- a/crates/sim/src/world/nodes.rs
+++ b/crates/sim/src/world/nodes.rs
@@ -1,6 +1,6 @@
 //! Node processes: the product's actor, and what a process can suffer.
 
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::Record;
 use beamtray_actor::{NodeActor, ProcessClock, TICK};
 use beamtray_control::{ControlConfig, Input, NodeCore, Output, PeerInfo, PeerMessage};
@@ -21,8 +21,8 @@
 pub(crate) enum ProcessState {
     Running,
     /// Will freeze in the middle of its next step, until the time given.
-    Freezing(u64),
-    Frozen,
+    Suspending(u64),
+    Suspended,
     Dead,
 }
 
@@ -97,7 +97,7 @@
         node.held_inputs.clear();
         node.held_outputs.clear();
         let first = self.rng.random_range(0..TICK.as_micros() as u64);
-        self.after(first, Happening::Tick { node: index, run });
+        self.after(first, SimEvent::Tick { node: index, run });
     }
 
     fn control_config(&self, index: usize, me: Member, seed: u64) -> ControlConfig {
@@ -126,8 +126,8 @@
         if self.nodes[node].run != run || self.nodes[node].state == ProcessState::Dead {
             return;
         }
-        self.after(TICK.as_micros() as u64, Happening::Tick { node, run });
-        if self.nodes[node].state != ProcessState::Frozen {
+        self.after(TICK.as_micros() as u64, SimEvent::Tick { node, run });
+        if self.nodes[node].state != ProcessState::Suspended {
             self.input(node, Input::Tick);
         }
     }
@@ -136,18 +136,18 @@
     pub(crate) fn input(&mut self, index: usize, input: Input) {
         match self.nodes[index].state {
             ProcessState::Dead => {}
-            ProcessState::Frozen => self.nodes[index].held_inputs.push(input),
+            ProcessState::Suspended => self.nodes[index].held_inputs.push(input),
             ProcessState::Running => {
                 let outputs = self.step(index, input);
                 self.carry_out(index, outputs);
             }
-            ProcessState::Freezing(until) => {
+            ProcessState::Suspending(until) => {
                 let outputs = self.step(index, input);
                 let node = &mut self.nodes[index];
                 node.held_outputs = outputs;
-                node.state = ProcessState::Frozen;
+                node.state = ProcessState::Suspended;
                 let run = node.run;
-                self.at(until, Happening::ThawNode { node: index, run });
+                self.at(until, SimEvent::ResumeNode { node: index, run });
             }
         }
     }
@@ -211,7 +211,7 @@
                 let run = self.nodes[from].run;
                 let input = Input::Unsent { to, message };
                 let node = from;
-                self.after(2 * delay, Happening::ToNode { node, run, input });
+                self.after(2 * delay, SimEvent::ToNode { node, run, input });
             }
             return;
         }
@@ -222,7 +222,7 @@
         }
         for delay in copies {
             let message = message.clone();
-            self.after(delay, Happening::Peer { from, to, message });
+            self.after(delay, SimEvent::Peer { from, to, message });
         }
     }
 
@@ -245,12 +245,12 @@
                 continue;
             }
             let node = node_id(index);
-            let happening = Happening::ToNode {
+            let event = SimEvent::ToNode {
                 node: other,
                 run: self.nodes[other].run,
                 input: Input::PeerLost { node },
             };
-            self.after(RESET_MICROS, happening);
+            self.after(RESET_MICROS, event);
         }
     }
 
@@ -260,9 +260,9 @@
         }
     }
 
-    pub(crate) fn thaw_node(&mut self, index: usize, run: u64) {
+    pub(crate) fn resume_node(&mut self, index: usize, run: u64) {
         let node = &mut self.nodes[index];
-        if node.run != run || node.state != ProcessState::Frozen {
+        if node.run != run || node.state != ProcessState::Suspended {
             return;
         }
         node.state = ProcessState::Running;
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -1,7 +1,7 @@
 //! Operators: they confirm what they want until it is in force.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{OperatorView, Record};
 use crate::scenario::PROBE_SERVICE;
 use beamtray_control::{Input, OperatorAnswer, OperatorCall, OperatorRequest};
@@ -92,7 +92,7 @@
 impl World {
     /// One operator's look at whether what is wanted is in force.
     pub(crate) fn operate(&mut self) {
-        self.after(OPERATE_MICROS, Happening::Operate);
+        self.after(OPERATE_MICROS, SimEvent::Operate);
         let now = self.now;
         let expired: Vec<OperatorCall> = self
             .operators
@@ -154,7 +154,7 @@
         });
         let run = self.nodes[node].run;
         let input = Input::Operator { call, request };
-        self.after(1_000, Happening::ToNode { node, run, input });
+        self.after(1_000, SimEvent::ToNode { node, run, input });
     }
 
     pub(crate) fn on_operator_answer(&mut self, call: OperatorCall, answer: OperatorAnswer) {
@@ -196,9 +196,9 @@
             .collect();
         for server in ready {
             self.operators.to_stop.remove(&server);
-            self.after(3_500_000, Happening::StopServer { server });
-            self.after(5_000_000, Happening::RestartServer { server });
-            self.after(5_500_000, Happening::FillServer { server });
+            self.after(3_500_000, SimEvent::StopServer { server });
+            self.after(5_000_000, SimEvent::RestartServer { server });
+            self.after(5_500_000, SimEvent::UndrainServer { server });
         }
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    pub(crate) fn fill_server(&mut self, server: usize) {
+    pub(crate) fn undrain_server(&mut self, server: usize) {
         if self.operators.drained.remove(&server) {
             self.operators.wanted += 1;
         }
--- a/crates/sim/src/world/platform.rs
+++ b/crates/sim/src/world/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's key-value service and machine list, as nodes reach them.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use beamtray_control::{Input, KeyValueCall};
 use beamtray_keyvalue::{KeyValueRequest, KeyValueResult, MachineState};
 use beamtray_standin::KeyValueFaults;
@@ -31,14 +31,14 @@
         } else {
             SERVICE_MICROS
         };
-        let happening = Happening::KeyValueArrives {
+        let event = SimEvent::KeyValueArrives {
             node,
             run,
             call,
             request,
             sent,
         };
-        self.after(delay + service, happening);
+        self.after(delay + service, event);
     }
 
     pub(crate) fn on_key_value_arrives(
@@ -59,7 +59,7 @@
         // Whoever gave up waiting has its answer already.
         if self.now + delay < sent + CALL_TIMEOUT_MICROS {
             let input = Input::KeyValue { call, result };
-            self.after(delay, Happening::ToNode { node, run, input });
+            self.after(delay, SimEvent::ToNode { node, run, input });
         }
     }
 
@@ -70,7 +70,7 @@
         let list = delay.map(|_| self.machines.list(Time(self.now)));
         let delay = delay.map_or(CALL_TIMEOUT_MICROS, |delay| 2 * delay);
         let input = Input::Machines { list };
-        self.after(delay, Happening::ToNode { node, run, input });
+        self.after(delay, SimEvent::ToNode { node, run, input });
     }
 
     pub(crate) fn set_machine(&mut self, server: usize, state: MachineState) {
@@ -84,16 +84,16 @@
         }
     }
 
-    pub(crate) fn mend_key_value(&mut self) {
+    pub(crate) fn restore_key_value(&mut self) {
         self.key_value.faults = KeyValueFaults::default();
         self.key_value_slow = false;
     }
 }
 
-fn unavailable(node: usize, run: u64, call: KeyValueCall) -> Happening {
+fn unavailable(node: usize, run: u64, call: KeyValueCall) -> SimEvent {
     let result = KeyValueResult::Unavailable {
         cause: "no answer".to_owned(),
     };
     let input = Input::KeyValue { call, result };
-    Happening::ToNode { node, run, input }
+    SimEvent::ToNode { node, run, input }
 }
--- a/crates/sim/src/world/servers.rs
+++ b/crates/sim/src/world/servers.rs
@@ -1,7 +1,7 @@
 //! Servers and back ends: the stand-ins' models as processes with clocks.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{Record, ServerRun};
 use beamtray_control::Input;
 use beamtray_ownership::{GrantReply, GrantRequest, PendingGrant};
@@ -26,7 +26,7 @@
 }
 
 /// Something that reached a frozen server.
-pub(crate) enum Held {
+pub(crate) enum PendingInput {
     Call(u64),
     Commit(u64),
     Grant(usize, u64, GrantRequest, u64),
@@ -45,7 +45,7 @@
     started: u64,
     deviation_ppm: i64,
     pub(crate) cut_until: u64,
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<PendingInput>,
 }
 
 impl SimServer {
@@ -133,7 +133,7 @@
         let Some(server) = found else { return };
         let name = grant.server.clone();
         let sent = self.now;
-        let happening = Happening::ToNode {
+        let event = SimEvent::ToNode {
             node,
             run,
             input: Input::Grant {
@@ -147,7 +147,7 @@
         match delay.filter(|_| reachable) {
             // A refused connection is known at once.
             Some(delay) if self.servers[server].state == ProcessState::Dead => {
-                self.after(2 * delay, happening);
+                self.after(2 * delay, event);
             }
             Some(delay) => {
                 // Now and then a message is held up for long.
@@ -159,7 +159,7 @@
                 let request = grant.request;
                 self.after(
                     delay + held_up,
-                    Happening::GrantArrives {
+                    SimEvent::GrantArrives {
                         node,
                         run,
                         server,
@@ -168,7 +168,7 @@
                     },
                 );
             }
-            None => self.after(GRANT_TIMEOUT_MICROS, happening),
+            None => self.after(GRANT_TIMEOUT_MICROS, event),
         }
     }
 
@@ -182,8 +182,8 @@
     ) {
         match self.servers[index].state {
             ProcessState::Dead => return self.grant_failed(node, run, index, sent),
-            ProcessState::Frozen | ProcessState::Freezing(_) => {
-                let held = Held::Grant(node, run, request, sent);
+            ProcessState::Suspended | ProcessState::Suspending(_) => {
+                let held = PendingInput::Grant(node, run, request, sent);
                 self.servers[index].held.push(held);
                 return self.grant_failed(node, run, index, sent);
             }
@@ -238,7 +238,7 @@
                 let server = self.servers[index].name.clone();
                 let reply = Some(reply);
                 let input = Input::Grant { server, reply };
-                self.after(delay, Happening::ToNode { node, run, input });
+                self.after(delay, SimEvent::ToNode { node, run, input });
             }
             None => self.grant_failed(node, run, index, sent),
         }
@@ -249,7 +249,7 @@
         let reply = None;
         let input = Input::Grant { server, reply };
         let at = (sent + GRANT_TIMEOUT_MICROS).max(self.now);
-        self.at(at, Happening::ToNode { node, run, input });
+        self.at(at, SimEvent::ToNode { node, run, input });
     }
 
     /// Ends a server's process.
@@ -267,7 +267,7 @@
     pub(crate) fn replace_server(&mut self, index: usize, millis: u64) {
         if self.servers[index].state == ProcessState::Running {
             self.disconnect_server(index);
-            self.after(millis * 1_000, Happening::RestartServer { server: index });
+            self.after(millis * 1_000, SimEvent::RestartServer { server: index });
         }
     }
 
@@ -286,7 +286,7 @@
             };
             self.after(
                 RESET_MICROS,
-                Happening::CallEnds {
+                SimEvent::CallEnds {
                     exchange: id,
                     outcome,
                 },
@@ -305,27 +305,30 @@
         if server.state != ProcessState::Running {
             return;
         }
-        server.state = ProcessState::Frozen;
+        server.state = ProcessState::Suspended;
         let run = server.run;
-        self.after(millis * 1_000, Happening::ThawServer { server: index, run });
+        self.after(
+            millis * 1_000,
+            SimEvent::ResumeServer { server: index, run },
+        );
     }
 
-    pub(crate) fn thaw_server(&mut self, index: usize, run: u64) {
+    pub(crate) fn resume_server(&mut self, index: usize, run: u64) {
         let server = &mut self.servers[index];
-        if server.run != run || server.state != ProcessState::Frozen {
+        if server.run != run || server.state != ProcessState::Suspended {
             return;
         }
         server.state = ProcessState::Running;
         let held = std::mem::take(&mut server.held);
         // What it was doing goes on before it reads what came meanwhile.
-        let (commits, rest): (Vec<Held>, Vec<Held>) = held
+        let (commits, rest): (Vec<PendingInput>, Vec<PendingInput>) = held
             .into_iter()
-            .partition(|held| matches!(held, Held::Commit(_)));
+            .partition(|held| matches!(held, PendingInput::Commit(_)));
         for held in commits.into_iter().chain(rest) {
             match held {
-                Held::Commit(id) => self.commit(id, index),
-                Held::Call(id) => self.on_call_arrives(id),
-                Held::Grant(node, run, request, sent) => {
+                PendingInput::Commit(id) => self.commit(id, index),
+                PendingInput::Call(id) => self.on_call_arrives(id),
+                PendingInput::Grant(node, run, request, sent) => {
                     self.on_grant_arrives(node, run, index, request, sent);
                 }
             }
@@ -347,7 +350,7 @@
             Model::Pool(model) => model.load() > 0,
         };
         if busy {
-            return self.after(50_000, Happening::StopServer { server: index });
+            return self.after(50_000, SimEvent::StopServer { server: index });
         }
         self.end_server(index);
     }
--- a/crates/sim/tests/checkers.rs
+++ b/crates/sim/tests/checkers.rs
@@ -1,7 +1,7 @@
 //! Each checker objects to a history in which its point fails.
 
 use beamtray_ownership::GrantedSlice;
-use beamtray_sim::check::{Point, check};
+use beamtray_sim::check::{Invariant, check};
 use beamtray_sim::record::{CallerView, History, OperatorView, Record, ServerRun, Timed};
 use beamtray_types::{Fence, Generation, LogIndex, SliceRange, Term};
 
@@ -70,13 +70,16 @@
     }
 }
 
-fn assert_objects(point: Point, records: Vec<(u64, Record)>) {
-    let finding = check(point, &history(records));
-    assert!(!finding.violations.is_empty(), "{point:?} found nothing");
+fn assert_violated(invariant: Invariant, records: Vec<(u64, Record)>) {
+    let finding = check(invariant, &history(records));
+    assert!(
+        !finding.violations.is_empty(),
+        "{invariant:?} found nothing"
+    );
 }
 
-fn assert_accepts(point: Point, records: Vec<(u64, Record)>) {
-    let finding = check(point, &history(records));
+fn assert_holds(invariant: Invariant, records: Vec<(u64, Record)>) {
+    let finding = check(invariant, &history(records));
     assert!(finding.violations.is_empty(), "{:?}", finding.violations);
 }
 
@@ -86,9 +89,9 @@
         (0, holds(0, 2 * SECOND, 1)),
         (SECOND, holds(1, 3 * SECOND, 2)),
     ];
-    assert_objects(Point::SoleOwner, overlap);
+    assert_violated(Invariant::SoleOwner, overlap);
     let apart = vec![(0, holds(0, SECOND, 1)), (SECOND, holds(1, 3 * SECOND, 2))];
-    assert_accepts(Point::SoleOwner, apart);
+    assert_holds(Invariant::SoleOwner, apart);
 }
 
 #[test]
@@ -97,7 +100,7 @@
         (0, holds(1, 2 * SECOND, 2)),
         (SECOND, effect(0, "t", "key")),
     ];
-    assert_objects(Point::SoleOwner, records);
+    assert_violated(Invariant::SoleOwner, records);
 }
 
 #[test]
@@ -106,7 +109,7 @@
         (0, holds(0, SECOND, 5)),
         (2 * SECOND, holds(1, 3 * SECOND, 4)),
     ];
-    assert_objects(Point::AssignmentSurvives, records);
+    assert_violated(Invariant::AssignmentSurvives, records);
 }
 
 #[test]
@@ -116,7 +119,7 @@
         (1, effect(0, "mine", "key")),
         (2, answered("mine", complete("key other"))),
     ];
-    assert_objects(Point::OwnWholeAnswer, records);
+    assert_violated(Invariant::OwnWholeAnswer, records);
 }
 
 #[test]
@@ -126,7 +129,7 @@
         (1, answered("t", CallerView::NotRun { status: 503 })),
         (2, effect(0, "t", "key")),
     ];
-    assert_objects(Point::RefusedNotRun, records);
+    assert_violated(Invariant::RefusedNotRun, records);
 }
 
 #[test]
@@ -138,8 +141,8 @@
             (2, effect(1, "t", "key")),
         ]
     };
-    assert_objects(Point::AtMostOnce, twice(false));
-    assert_accepts(Point::AtMostOnce, twice(true));
+    assert_violated(Invariant::AtMostOnce, twice(false));
+    assert_holds(Invariant::AtMostOnce, twice(true));
 }
 
 fn confirmed(operation: u64, base: u64, drained: Vec<usize>) -> Vec<(u64, Record)> {
@@ -166,8 +169,8 @@
         records.push((at, Record::Arrived { server, name }));
         records
     };
-    assert_objects(Point::Drain, arrival(5 * SECOND));
-    assert_accepts(Point::Drain, arrival(3 * SECOND));
+    assert_violated(Invariant::Drain, arrival(5 * SECOND));
+    assert_holds(Invariant::Drain, arrival(3 * SECOND));
 }
 
 #[test]
@@ -177,7 +180,7 @@
         (1, Record::NodeStops { node: 0, run: 1 }),
         (2, answered("r", CallerView::NoAnswer)),
     ];
-    assert_objects(Point::PlannedStop, records);
+    assert_violated(Invariant::PlannedStop, records);
 }
 
 fn probe(at: u64, name: &str, operation: u64) -> Vec<(u64, Record)> {
@@ -205,7 +208,7 @@
     let mut records = confirmed(1, 0, Vec::new());
     records.extend(confirmed(2, 1, Vec::new()));
     records.extend(probe(20 * SECOND, "p", 1));
-    assert_objects(Point::Configuration, records);
+    assert_violated(Invariant::Configuration, records);
 }
 
 #[test]
@@ -214,7 +217,7 @@
     records.extend(confirmed(2, 1, Vec::new()));
     records.extend(probe(2 * SECOND, "p", 2));
     records.extend(probe(3 * SECOND, "q", 1));
-    assert_objects(Point::Configuration, records);
+    assert_violated(Invariant::Configuration, records);
 }
 
 #[test]
@@ -229,7 +232,7 @@
     records.push((2 * SECOND, sent));
     records.push((3 * SECOND, Record::Confirmed { operation: 2, view }));
     records.extend(probe(4 * SECOND, "p", 2));
-    assert_objects(Point::Configuration, records);
+    assert_violated(Invariant::Configuration, records);
 }
 
 #[test]
@@ -248,6 +251,6 @@
         ),
         (1, answered("last", CallerView::NotRun { status: 503 })),
     ];
-    assert_objects(Point::Liveness, records);
-    assert_objects(Point::Liveness, Vec::new());
+    assert_violated(Invariant::Liveness, records);
+    assert_violated(Invariant::Liveness, Vec::new());
 }
--- a/crates/sim/tests/guards.rs
+++ b/crates/sim/tests/guards.rs
@@ -4,7 +4,7 @@
 //! The withholding of votes is shown to matter on the log alone, in the tests of
 //! `beamtray-consensus`: two leaders hold a lease at once without it.
 
-use beamtray_sim::check::{Point, check_all};
+use beamtray_sim::check::{Invariant, check_all};
 use beamtray_sim::explore::violations;
 use beamtray_sim::fault::{Fault, ScheduledFault};
 use beamtray_sim::guard::Guard;
@@ -26,25 +26,25 @@
     }
 }
 
-fn broken_points(scenario: Scenario) -> BTreeSet<Point> {
+fn violated_invariants(scenario: Scenario) -> BTreeSet<Invariant> {
     let findings = check_all(&World::new(scenario).run());
     let broken = findings
         .into_iter()
         .filter(|finding| !finding.violations.is_empty());
-    broken.map(|finding| finding.point).collect()
+    broken.map(|finding| finding.invariant).collect()
 }
 
 /// Runs `seeds` histories without the guard; the points broken, and checks
 /// that the first history that breaks one is clean with the guard.
-fn points_without(
+fn invariants_violated_without(
     guard: Guard,
     seeds: std::ops::Range<u64>,
     scenario: impl Fn(u64) -> Scenario,
-) -> BTreeSet<Point> {
+) -> BTreeSet<Invariant> {
     for seed in seeds {
         let mut unguarded = scenario(seed);
-        guard.remove_from(&mut unguarded.guards);
-        let broken = broken_points(unguarded);
+        guard.disable_in(&mut unguarded.guards);
+        let broken = violated_invariants(unguarded);
         if !broken.is_empty() {
             let clean = violations(&World::new(scenario(seed)).run());
             assert!(clean.is_empty(), "seed {seed} with all guards: {clean:?}");
@@ -65,8 +65,13 @@
     }
 }
 
-fn assert_noticed(guard: Guard, expected: Point, seeds: u64, scenario: impl Fn(u64) -> Scenario) {
-    let broken = points_without(guard, 1..seeds + 1, scenario);
+fn assert_violation_detected(
+    guard: Guard,
+    expected: Invariant,
+    seeds: u64,
+    scenario: impl Fn(u64) -> Scenario,
+) {
+    let broken = invariants_violated_without(guard, 1..seeds + 1, scenario);
     let name = guard.as_str();
     assert!(
         broken.contains(&expected),
@@ -77,7 +82,7 @@
 #[test]
 fn lapse_wait() {
     let scenario = random(&["pause-owner", "pause-server", "cut-server"]);
-    assert_noticed(Guard::LapseWait, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::LapseWait, Invariant::SoleOwner, 20, scenario);
 }
 
 /// A leader that froze right after it took slices back, with their owner cut
@@ -103,19 +108,19 @@
             ),
         ]
     });
-    assert_noticed(Guard::FormerLeaderWait, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::FormerLeaderWait, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn release_wait() {
     let scenario = random(&["stop-server", "machine-leaves", "hot-key"]);
-    assert_noticed(Guard::ReleaseWait, Point::SoleOwner, 100, scenario);
+    assert_violation_detected(Guard::ReleaseWait, Invariant::SoleOwner, 100, scenario);
 }
 
 #[test]
 fn server_incarnation() {
     let scenario = random(&["replace-server"]);
-    assert_noticed(Guard::ServerIncarnation, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::ServerIncarnation, Invariant::SoleOwner, 20, scenario);
 }
 
 /// The leader's zone is cut off: without its lease it goes on granting to the
@@ -129,27 +134,32 @@
             at(7_000, cut(from, (from + 2) % 3, 6_000)),
         ]
     });
-    assert_noticed(Guard::LeaderLease, Point::SoleOwner, 40, scenario);
+    assert_violation_detected(Guard::LeaderLease, Invariant::SoleOwner, 40, scenario);
 }
 
 #[test]
 fn unknown_outcome() {
     let scenario = random(&["bad-network", "cut-zones"]);
-    assert_noticed(Guard::UnknownOutcome, Point::RefusedNotRun, 20, scenario);
+    assert_violation_detected(
+        Guard::UnknownOutcome,
+        Invariant::RefusedNotRun,
+        20,
+        scenario,
+    );
 }
 
 #[test]
 fn duplicate_drop() {
     let scenario = random(&["bad-network"]);
-    assert_noticed(Guard::DuplicateDrop, Point::AtMostOnce, 20, scenario);
+    assert_violation_detected(Guard::DuplicateDrop, Invariant::AtMostOnce, 20, scenario);
 }
 
 #[test]
 fn configuration_lease() {
     let scenario = random(&["cut-zone", "operator-race"]);
-    assert_noticed(
+    assert_violation_detected(
         Guard::ConfigurationLease,
-        Point::Configuration,
+        Invariant::Configuration,
         100,
         scenario,
     );
@@ -160,7 +170,7 @@
 #[test]
 fn refounding_proof() {
     let scenario = directed(|_| vec![at(7_000, cut(2, 0, 9_000)), at(7_000, cut(2, 1, 9_000))]);
-    assert_noticed(Guard::RefoundingProof, Point::SoleOwner, 10, scenario);
+    assert_violation_detected(Guard::RefoundingProof, Invariant::SoleOwner, 10, scenario);
 }
 
 /// The leader is cut off from the other voters, accepts a configuration that
@@ -176,9 +186,9 @@
             at(7_040, Fault::KeyValueDown { millis: 17_000 }),
         ]
     });
-    assert_noticed(
+    assert_violation_detected(
         Guard::CommittedAcceptance,
-        Point::Configuration,
+        Invariant::Configuration,
         40,
         scenario,
     );
@@ -208,41 +218,46 @@
             at(20_000, cut(2, 1, 9_000)),
         ]
     });
-    assert_noticed(Guard::VoterRecord, Point::SoleOwner, 10, scenario);
+    assert_violation_detected(Guard::VoterRecord, Invariant::SoleOwner, 10, scenario);
 }
 
 #[test]
 fn read_back() {
     let scenario = random(&["key-value-loses-replies", "operator-race"]);
-    assert_noticed(Guard::ReadBack, Point::Configuration, 40, scenario);
+    assert_violation_detected(Guard::ReadBack, Invariant::Configuration, 40, scenario);
 }
 
 #[test]
 fn drain() {
     let scenario = random(&["stop-server", "operator-race"]);
-    assert_noticed(Guard::Drain, Point::Drain, 20, scenario);
+    assert_violation_detected(Guard::Drain, Invariant::Drain, 20, scenario);
 }
 
 #[test]
 fn grant_expiry() {
     let scenario = random(&["cut-server", "pause-server", "pause-owner"]);
-    assert_noticed(Guard::GrantExpiry, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::GrantExpiry, Invariant::SoleOwner, 20, scenario);
 }
 
 #[test]
 fn server_fence() {
     let scenario = random(&["pause-leader", "pause-owner", "hot-key", "stop-server"]);
-    assert_noticed(Guard::ServerFence, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::ServerFence, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn effect_check() {
     let scenario = random(&["pause-owner", "pause-server"]);
-    assert_noticed(Guard::EffectCheck, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::EffectCheck, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn connection_close() {
     let scenario = random(&["pause-server", "pause-owner"]);
-    assert_noticed(Guard::ConnectionClose, Point::OwnWholeAnswer, 20, scenario);
+    assert_violation_detected(
+        Guard::ConnectionClose,
+        Invariant::OwnWholeAnswer,
+        20,
+        scenario,
+    );
 }
--- a/crates/sim/tests/histories.rs
+++ b/crates/sim/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Random histories and recorded traces hold every point; one seed gives one
 //! history.
 
-use beamtray_sim::check::Point;
+use beamtray_sim::check::Invariant;
 use beamtray_sim::explore::{ALL_FAULTS, Exploration};
 use beamtray_sim::replay::Trace;
 use beamtray_sim::scenario::Scenario;
@@ -25,12 +25,12 @@
 fn every_point_holds_in_random_histories_and_is_put_to_the_test() {
     let summary = exploration(&[ALL_FAULTS]).run();
     assert!(summary.violations.is_empty(), "{:?}", summary.violations);
-    for point in Point::ALL {
-        let stressed = summary.points[&point].stressed_seeds;
-        let name = point.as_str();
+    for invariant in Invariant::ALL {
+        let exercised = summary.invariants[&invariant].exercised_seeds;
+        let name = invariant.as_str();
         assert!(
-            stressed * 10 >= SEEDS,
-            "{name} was stressed in {stressed} seeds only"
+            exercised * 10 >= SEEDS,
+            "{name} was stressed in {exercised} seeds only"
         );
     }
 }
@@ -39,7 +39,7 @@
 fn nothing_is_refused_when_nothing_fails() {
     let summary = exploration(&[]).run();
     assert!(summary.violations.is_empty(), "{:?}", summary.violations);
-    assert_eq!(summary.points[&Point::RefusedNotRun].stressed, 0);
+    assert_eq!(summary.invariants[&Invariant::RefusedNotRun].exercised, 0);
 }
 
 #[test]
