--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the withholding that protects a lease.
+//! Elections: pre-vote, vote, and vote withholding to protect leader leases.
 
 use crate::log::Payload;
 use crate::message::Body;
@@ -7,10 +7,11 @@
 use beamtray_types::{LogIndex, Member, Term, Time};
 
 impl Raft {
-    /// Whether a leader may hold a lease that this member's answers gave it.
+    /// Returns whether a leader may hold a lease based on this member's
+    /// acknowledgements.
     pub(crate) fn withholds_votes(&self, now: Time) -> bool {
         self.config.withhold_votes
-            && (now < self.leader_contact + self.config.election
+            && (now < self.last_leader_contact + self.config.election_timeout
                 || (self.role == Role::Leader && self.has_lease(now)))
     }
 
@@ -22,7 +23,7 @@
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = [self.me].into();
-        self.reset_election(now);
+        self.reset_election_timer(now);
         if self.has_majority() {
             return self.start_election(now, false);
         }
@@ -64,11 +65,11 @@
         self.voted_for = Some(self.me);
         self.leader = None;
         self.votes = [self.me].into();
-        self.reset_election(now);
+        self.reset_election_timer(now);
         if self.has_majority() {
             return self.become_leader(now);
         }
-        let body = Body::Vote {
+        let body = Body::RequestVote {
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
             transfer,
@@ -84,14 +85,14 @@
         (last_term, last_index): (Term, LogIndex),
         transfer: bool,
     ) {
-        let free = self.voted_for.is_none_or(|member| member == from);
+        let may_vote_for = self.voted_for.is_none_or(|member| member == from);
         let granted = term == self.term
-            && free
+            && may_vote_for
             && (transfer || !self.withholds_votes(now))
             && self.is_up_to_date(last_term, last_index);
         if granted {
             self.voted_for = Some(from);
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         self.send(from, Body::VoteReply { granted });
     }
@@ -116,9 +117,9 @@
         self.role = Role::Leader;
         self.leader = Some(self.me);
         self.elected_at = now;
-        self.transferring = None;
+        self.transfer_started_at = None;
         self.progress.clear();
-        self.first_of_term = self.log.push(self.term, Payload::Noop);
+        self.first_index_of_term = self.log.push(self.term, Payload::Noop);
         self.refresh_progress();
         self.replicate_all(now);
     }
@@ -138,12 +139,12 @@
         }
     }
 
-    /// Starts following every member of the membership in force. Whoever it
-    /// leaves out is followed until the change is committed, so that it learns
-    /// that it has no vote any more.
+    /// Tracks the progress of every member of the effective membership. Removed
+    /// members stay tracked until their removal is committed, so that they
+    /// receive the change and learn that they are no longer voters.
     pub(crate) fn refresh_progress(&mut self) {
         let members: Vec<Member> = self.membership().all().collect();
-        if self.is_membership_settled() {
+        if self.is_membership_committed() {
             self.progress.retain(|member, _| members.contains(member));
         }
         let last = self.log.last_index();
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,23 +1,23 @@
-//! What a leader knows of one follower.
+//! Replication progress of a follower, tracked by the leader.
 
 use beamtray_types::{LogIndex, Time};
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     /// Highest index known to match the leader's log.
-    pub(crate) matched: LogIndex,
+    pub(crate) match_index: LogIndex,
     /// Next index to send.
-    pub(crate) next: LogIndex,
-    /// Latest `sent_at` that the follower answered, on the leader's clock.
-    pub(crate) answered: Option<Time>,
+    pub(crate) next_index: LogIndex,
+    /// Latest `sent_at` acknowledged by the follower, on the leader's clock.
+    pub(crate) last_acknowledged: Option<Time>,
 }
 
 impl Progress {
     pub(crate) fn starting_after(last: LogIndex) -> Self {
         Self {
-            matched: LogIndex(0),
-            next: last.next(),
-            answered: None,
+            match_index: LogIndex(0),
+            next_index: last.next(),
+            last_acknowledged: None,
         }
     }
 }
--- a/crates/consensus/tests/log/harness.rs
+++ b/crates/consensus/tests/log/harness.rs
@@ -1,4 +1,5 @@
-//! Members on a virtual clock, joined by a network that tests can cut.
+//! Test harness: a group on a virtual clock and a simulated network whose links
+//! tests can block.
 
 use beamtray_consensus::{
     Entry, Membership, Message, Output, Payload, Raft, RaftConfig, Role, Snapshot,
@@ -21,13 +22,13 @@
     pub now: Time,
     pub members: BTreeMap<Member, Raft>,
     pub applied: BTreeMap<Member, Vec<Entry>>,
-    pub cuts: BTreeSet<(Member, Member)>,
+    pub blocked_links: BTreeSet<(Member, Member)>,
     pub paused: BTreeSet<Member>,
-    /// Leaders of each term.
+    /// Leaders observed in each term.
     pub leaders: BTreeMap<Term, BTreeSet<Member>>,
-    /// Members that held a lease at the same moment, if ever.
-    pub shared_lease: Option<(Member, Member)>,
-    under_way: Vec<(Time, Message)>,
+    /// Two members that held a lease at the same time, if observed.
+    pub concurrent_leases: Option<(Member, Member)>,
+    in_flight: Vec<(Time, Message)>,
     config: RaftConfig,
 }
 
@@ -35,9 +36,9 @@
     pub fn new(count: u32, seed: u64, withhold_votes: bool) -> Self {
         let voters: Vec<Member> = (1..=count).map(member).collect();
         let config = RaftConfig {
-            heartbeat: Duration::from_millis(150),
-            lease: Duration::from_millis(600),
-            election: Duration::from_millis(700),
+            heartbeat_interval: Duration::from_millis(150),
+            lease_duration: Duration::from_millis(600),
+            election_timeout: Duration::from_millis(700),
             withhold_votes,
             seed,
         };
@@ -45,11 +46,11 @@
             now: Time(1_000_000),
             members: BTreeMap::new(),
             applied: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             paused: BTreeSet::new(),
             leaders: BTreeMap::new(),
-            shared_lease: None,
-            under_way: Vec::new(),
+            concurrent_leases: None,
+            in_flight: Vec::new(),
             config,
         };
         let snapshot = Snapshot {
@@ -85,12 +86,12 @@
     fn step(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            self.under_way.drain(..).partition(|(at, _)| *at <= now);
-        self.under_way = rest;
+            self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        self.in_flight = rest;
         for (_, message) in due {
             let to = message.to;
             if self.paused.contains(&to) {
-                self.under_way.push((now + STEP, message));
+                self.in_flight.push((now + STEP, message));
             } else if let Some(raft) = self.members.get_mut(&to) {
                 raft.handle(now, message);
             }
@@ -117,8 +118,8 @@
         for output in raft.take_outputs() {
             match output {
                 Output::Send(message) => {
-                    if !self.cuts.contains(&(from, message.to)) {
-                        self.under_way.push((self.now + DELAY, message));
+                    if !self.blocked_links.contains(&(from, message.to)) {
+                        self.in_flight.push((self.now + DELAY, message));
                     }
                 }
                 Output::Apply(entry) => self.applied.entry(from).or_default().push(entry),
@@ -136,26 +137,26 @@
             }
             if raft.has_lease(now) {
                 if let Some(other) = holder {
-                    self.shared_lease = Some((other, *member));
+                    self.concurrent_leases = Some((other, *member));
                 }
                 holder = Some(*member);
             }
         }
     }
 
-    pub fn cut(&mut self, one: Member, other: Member) {
-        self.cuts.insert((one, other));
-        self.cuts.insert((other, one));
+    pub fn block_link(&mut self, one: Member, other: Member) {
+        self.blocked_links.insert((one, other));
+        self.blocked_links.insert((other, one));
     }
 
     pub fn isolate(&mut self, one: Member) {
         let all: Vec<Member> = self.members.keys().copied().collect();
         for other in all {
-            self.cut(one, other);
+            self.block_link(one, other);
         }
     }
 
-    /// The leader with a lease.
+    /// Returns a leader that holds a lease.
     pub fn leader(&self) -> Option<Member> {
         let mut all = self.members.iter();
         let found = all.find(|(_, raft)| raft.has_lease(self.now));
@@ -173,7 +174,7 @@
         index
     }
 
-    /// Commands that a member applied, in order.
+    /// Returns the commands that a member applied, in order.
     pub fn commands(&self, member: Member) -> Vec<u8> {
         let entries = self.applied[&member].iter();
         entries
@@ -184,7 +185,8 @@
             .collect()
     }
 
-    /// Whether every pair of members applied the same, as far as both got.
+    /// Returns whether no two members applied different entries at the same
+    /// index.
     pub fn agrees(&self) -> bool {
         let mut by_index: BTreeMap<LogIndex, &Entry> = BTreeMap::new();
         self.applied.values().flatten().all(|entry| {
--- a/crates/control/src/configure.rs
+++ b/crates/control/src/configure.rs
@@ -1,10 +1,10 @@
 //! Confirmation of declarations.
 //!
-//! Confirming is one compare-and-swap in the key-value service at the revision
-//! that the plan was made on, and then one entry of the log. It is called
-//! accepted only when the entry is committed. A write whose reply is lost is
-//! written again under the same expectation: if the first one took effect, the
-//! second conflicts, and reading back shows whose it was.
+//! A confirmation is a compare-and-swap in the key-value service against the
+//! revision that the plan is based on, followed by a log entry. It is reported
+//! as accepted only when the entry is committed. A write whose reply is lost is
+//! retried with the same expected version: if the first write took effect, the
+//! retry conflicts, and reading the key back shows which operation wrote it.
 
 use crate::core::{LeaderPurpose, NodeCore, Purpose};
 use crate::event::{Event, Level};
@@ -19,24 +19,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between readings of the configuration by a leader.
+/// Interval between a leader's reads of the stored configuration.
 const READ_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Pause after a failed call.
+/// Delay before retrying a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// After this an operator is told that the outcome is unknown.
-const CONFIRM_PATIENCE: Duration = Duration::from_millis(6_000);
+/// Time after which an operator is answered that the outcome is unknown.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(6_000);
 
-/// The configuration as the key-value service holds it. Its revision is the
-/// key's version.
+/// The configuration as stored in the key-value service. Its revision is the
+/// version of the key.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct StoredConfiguration {
-    /// The write that put it there.
+    /// The operation that wrote it.
     pub operation: OperationId,
     /// The declaration.
     pub declaration: Declaration,
 }
 
-/// Who is to be answered.
+/// Recipient of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OperatorReply {
     Local(crate::io::OperatorCall),
@@ -49,20 +49,20 @@
     declaration: Declaration,
     replies: Vec<OperatorReply>,
     expires: Time,
-    /// When to write next; none while a call or an entry is under way.
+    /// Time of the next write; `None` while a call or log entry is pending.
     write_due: Option<Time>,
 }
 
-/// A leader's part in changes of configuration.
+/// A leader's pending configuration changes.
 #[derive(Clone, Debug)]
-pub(crate) struct Configuring {
+pub(crate) struct ConfigurationChanges {
     read_due: Time,
     confirmations: BTreeMap<OperationId, Confirmation>,
     /// Highest revision proposed to the log.
     proposed: Revision,
 }
 
-impl Configuring {
+impl ConfigurationChanges {
     pub(crate) fn new(now: Time) -> Self {
         Self {
             read_due: now,
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(crate) fn into_waiting(self) -> Vec<(OperationId, OperatorReply)> {
+    pub(crate) fn into_pending_replies(self) -> Vec<(OperationId, OperatorReply)> {
         let confirmations = self.confirmations.into_iter();
         confirmations
             .flat_map(|(operation, confirmation)| {
@@ -83,7 +83,7 @@
 }
 
 impl NodeCore {
-    /// Starts a confirmation, or joins one already under way.
+    /// Starts a confirmation, or joins a pending one for the same operation.
     pub(crate) fn confirm(
         &mut self,
         reply: OperatorReply,
@@ -107,27 +107,27 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let confirmations = &mut leadership.configuring.confirmations;
+        let confirmations = &mut leadership.configuration_changes.confirmations;
         let confirmation = confirmations.entry(operation).or_insert(Confirmation {
             base,
             declaration,
             replies: Vec::new(),
-            expires: now + CONFIRM_PATIENCE,
+            expires: now + CONFIRM_TIMEOUT,
             write_due: Some(now),
         });
         confirmation.replies.push(reply);
-        self.tick_configuring();
+        self.tick_configuration();
     }
 
-    pub(crate) fn tick_configuring(&mut self) {
+    pub(crate) fn tick_configuration(&mut self) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let configuring = &mut leadership.configuring;
+        let configuration_changes = &mut leadership.configuration_changes;
         let mut writes = Vec::new();
         let mut expired = Vec::new();
-        for (operation, confirmation) in &mut configuring.confirmations {
+        for (operation, confirmation) in &mut configuration_changes.confirmations {
             if now >= confirmation.expires {
                 expired.push(*operation);
             } else if confirmation.write_due.is_some_and(|due| now >= due) {
@@ -139,9 +139,9 @@
                 ));
             }
         }
-        let read = now >= configuring.read_due;
+        let read = now >= configuration_changes.read_due;
         if read {
-            configuring.read_due = now + READ_INTERVAL;
+            configuration_changes.read_due = now + READ_INTERVAL;
         }
         let key = configuration_key(self.config.group);
         for (operation, base, declaration) in writes {
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Another way for a stored configuration to be found: a leader that came
-    /// after the one that wrote it.
+    /// Lets a new leader discover a configuration that a previous leader stored
+    /// but did not propose to the log.
     pub(crate) fn on_configuration_read(&mut self, result: KeyValueResult) {
         if let KeyValueResult::Value { version, value } = result
             && let Ok(stored) = borsh::from_slice::<StoredConfiguration>(&value)
@@ -180,19 +180,22 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let known = self.state.revision.max(leadership.configuring.proposed);
+        let known = self
+            .state
+            .revision
+            .max(leadership.configuration_changes.proposed);
         if revision <= known {
             return;
         }
-        // Steps lead away from the revision in force; with another one on its
-        // way the whole declaration goes.
-        let under_way = leadership.configuring.proposed > self.state.revision;
-        let changes = if under_way {
+        // Incremental changes apply to the active revision; while another
+        // revision is pending, the whole declaration is sent instead.
+        let has_pending = leadership.configuration_changes.proposed > self.state.revision;
+        let changes = if has_pending {
             vec![DeclarationChange::Replace(stored.declaration)]
         } else {
-            self.state.declaration.changes_to(&stored.declaration)
+            self.state.declaration.diff(&stored.declaration)
         };
-        leadership.configuring.proposed = revision;
+        leadership.configuration_changes.proposed = revision;
         self.propose(vec![Command::Configure {
             operation: stored.operation,
             revision,
@@ -252,21 +255,21 @@
         let Ok(stored) = borsh::from_slice::<StoredConfiguration>(&value) else {
             return;
         };
-        let ours = stored.operation == operation;
+        let is_own_write = stored.operation == operation;
         let declaration = confirmation.declaration.clone();
         self.propose_configuration(Revision(version), stored);
-        if !ours {
+        if !is_own_write {
             let answer = self.conflict_answer(&declaration);
             self.finish_confirmation(operation, answer);
         }
     }
 
-    /// Answers confirmations whose entry is applied.
-    pub(crate) fn settle_confirmations(&mut self) {
+    /// Answers confirmations whose entry has been applied.
+    pub(crate) fn answer_applied_confirmations(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let confirmations = leadership.configuring.confirmations.keys();
+        let confirmations = leadership.configuration_changes.confirmations.keys();
         let settled: Vec<(OperationId, ConfigureOutcome)> = confirmations
             .filter_map(|operation| Some((*operation, self.state.operation(*operation)?)))
             .collect();
@@ -278,20 +281,27 @@
 
     fn confirmation(&mut self, operation: OperationId) -> Option<&mut Confirmation> {
         let leadership = self.leadership.as_mut()?;
-        leadership.configuring.confirmations.get_mut(&operation)
+        leadership
+            .configuration_changes
+            .confirmations
+            .get_mut(&operation)
     }
 
     fn finish_confirmation(&mut self, operation: OperationId, answer: OperatorAnswer) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(confirmation) = leadership.configuring.confirmations.remove(&operation) else {
+        let Some(confirmation) = leadership
+            .configuration_changes
+            .confirmations
+            .remove(&operation)
+        else {
             return;
         };
         let event = Event::new(Level::Info, "confirmation")
             .with("operation", operation)
             .with("base", confirmation.base)
-            .with("outcome", outcome_word(&answer));
+            .with("outcome", outcome_label(&answer));
         self.log(event);
         for reply in confirmation.replies {
             self.reply_to_operator(reply, answer.clone());
@@ -316,7 +326,7 @@
     }
 }
 
-fn outcome_word(answer: &OperatorAnswer) -> &'static str {
+fn outcome_label(answer: &OperatorAnswer) -> &'static str {
     match answer {
         OperatorAnswer::InForce { .. } => "in_force",
         OperatorAnswer::Conflict { .. } => "conflict",
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,4 +1,5 @@
-//! The core of one node: takes inputs, keeps the parts in step, gives outputs.
+//! The core of one node: dispatches inputs to its components and collects
+//! their outputs.
 
 use crate::config::ControlConfig;
 use crate::event::{Event, Level};
@@ -20,7 +21,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why the key-value service was called.
+/// Purpose of a call to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     ReadFounding,
@@ -30,7 +31,7 @@
     Leader(LeaderPurpose),
 }
 
-/// Why a leader called it. Answers to an earlier term's calls are dropped.
+/// Purpose of a leader's call. Results of calls from an earlier term are dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderPurpose {
     ReadCheckpoint,
@@ -42,40 +43,40 @@
     WriteVoters,
 }
 
-/// An operator's request that the leader answers for this node.
+/// An operator's request that was forwarded to the leader.
 #[derive(Clone, Debug)]
-pub(crate) struct ForwardedOperator {
+pub(crate) struct ForwardedRequest {
     pub(crate) call: crate::io::OperatorCall,
     pub(crate) expires: Time,
-    /// The answer when none comes.
-    pub(crate) otherwise: OperatorAnswer,
+    /// The answer given if the leader does not reply in time.
+    pub(crate) timeout_answer: OperatorAnswer,
 }
 
-/// One node's decisions.
+/// The control state machine of one node.
 #[derive(Debug)]
 pub struct NodeCore {
     pub(crate) config: ControlConfig,
     pub(crate) now: Time,
     pub(crate) outputs: Vec<Output>,
-    /// Generation of `state`; 0 before the node knows of any.
+    /// Generation of `state`; 0 while none is known.
     pub(crate) generation: Generation,
     pub(crate) state: ControlState,
     pub(crate) gates: GateMap,
     pub(crate) raft: Option<Raft>,
-    /// Generation whose log `raft` is or was. A run joins the log of a
-    /// generation at most once, so it never forgets a vote.
+    /// Generation of the current or most recent log in `raft`. An incarnation
+    /// joins the log of a generation at most once, so it never forgets a vote.
     pub(crate) raft_generation: Generation,
     pub(crate) leadership: Option<Leadership>,
     pub(crate) router: Router,
-    /// This node's clock when a leader was last known to have nothing newer
-    /// than `state`.
+    /// Latest time on this node's clock as of which a leader confirmed that
+    /// `state` was current.
     pub(crate) contact: Option<Time>,
     pub(crate) leader_hint: Option<Member>,
     pub(crate) peers: Peers,
     pub(crate) founding: Founding,
     pub(crate) calls: BTreeMap<KeyValueCall, (Time, Purpose)>,
     next_call: u64,
-    pub(crate) forwarded: BTreeMap<u64, ForwardedOperator>,
+    pub(crate) forwarded: BTreeMap<u64, ForwardedRequest>,
     pub(crate) hello_due: Time,
     pub(crate) stopping: Option<Time>,
     stopped: bool,
@@ -83,18 +84,18 @@
     pub(crate) rng: ChaCha8Rng,
 }
 
-/// How long an answer of the key-value service is awaited.
-pub(crate) const KEY_VALUE_PATIENCE: Duration = Duration::from_secs(5);
-/// How long a stopping node waits to be taken out of the group's lists.
-const LEAVE_PATIENCE: Duration = Duration::from_secs(3);
+/// How long a result of the key-value service is awaited.
+pub(crate) const KEY_VALUE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a stopping node waits to be removed from the group's node list.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl NodeCore {
-    /// A node that knows of no group yet.
+    /// Creates a node that does not know its group yet.
     pub fn new(config: ControlConfig, now: Time) -> Self {
         let router = Router::new(RouterConfig {
             seed: config.seed,
-            keeps_unknown: config.guards.keeps_unknown,
-            drops_duplicates: config.guards.drops_duplicates,
+            track_unknown_outcomes: config.guards.keeps_unknown,
+            drop_duplicate_attempts: config.guards.drops_duplicates,
         });
         Self {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes one input in and returns what is to be done, in order.
+    /// Handles one input and returns the resulting outputs in order.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
@@ -130,22 +131,25 @@
             Input::Peer { from, message } => self.on_peer(from, message),
             Input::Unsent { to, message } => self.on_unsent(to, message),
             Input::PeerLost { node } => {
-                let outputs = self.route(|router, now, view| router.on_node_lost(now, view, node));
-                self.carry(outputs);
+                let outputs = self
+                    .with_router(|router, now, view| router.on_node_disconnected(now, view, node));
+                self.emit_router_outputs(outputs);
             }
             Input::Caller { id, request } => {
                 let outputs =
-                    self.route(|router, now, view| router.on_request(now, view, id, request));
-                self.carry(outputs);
+                    self.with_router(|router, now, view| router.on_request(now, view, id, request));
+                self.emit_router_outputs(outputs);
             }
-            Input::CallerGone { id } => {
-                let outputs = self.route(|router, now, view| router.on_caller_gone(now, view, id));
-                self.carry(outputs);
+            Input::CallerDisconnected { id } => {
+                let outputs = self
+                    .with_router(|router, now, view| router.on_caller_disconnected(now, view, id));
+                self.emit_router_outputs(outputs);
             }
             Input::CallResult { call, outcome } => {
-                let outputs =
-                    self.route(|router, now, view| router.on_call_result(now, view, call, outcome));
-                self.carry(outputs);
+                let outputs = self.with_router(|router, now, view| {
+                    router.on_call_result(now, view, call, outcome)
+                });
+                self.emit_router_outputs(outputs);
             }
             Input::Grant { server, reply } => self.on_grant_reply(&server, reply),
             Input::KeyValue { call, result } => self.on_key_value(call, result),
@@ -153,16 +157,16 @@
             Input::Operator { call, request } => self.on_operator(call, request),
             Input::Stop => self.on_stop(),
         }
-        self.pump_raft();
+        self.process_raft_outputs();
         std::mem::take(&mut self.outputs)
     }
 
-    /// The group's state as far as this node has it.
+    /// The group's state as known to this node.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Generation of the group, 0 when unknown.
+    /// Generation of the group; 0 if unknown.
     pub fn generation(&self) -> Generation {
         self.generation
     }
@@ -172,7 +176,7 @@
         self.leadership.is_some() && self.has_lease()
     }
 
-    /// Whether this node has a vote.
+    /// Whether this node is a voter.
     pub fn is_voter(&self) -> bool {
         self.raft.as_ref().is_some_and(Raft::is_voter)
     }
@@ -182,7 +186,7 @@
         self.is_fresh() && self.stopping.is_none()
     }
 
-    /// Whether a leader vouched for the state within the configuration lease.
+    /// Whether a leader confirmed the state within the configuration lease.
     fn is_fresh(&self) -> bool {
         let lease = self.config.timing.configuration_lease();
         let fresh = self.contact.is_some_and(|at| self.now.since(at) < lease);
@@ -190,12 +194,12 @@
         known && (fresh || !self.config.guards.configuration_lease)
     }
 
-    /// The node's requests and tries in flight, for metrics.
+    /// The router, with its requests and attempts in flight, for metrics.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// Number of upstreams whose gate this node is.
+    /// Number of upstreams for which this node is the gate.
     pub fn gate_count(&self) -> usize {
         self.gates.count(self.config.me.node)
     }
@@ -211,16 +215,16 @@
         if let Some(raft) = &mut self.raft {
             raft.tick(self.now);
         }
-        self.pump_raft();
-        self.expire_calls();
+        self.process_raft_outputs();
+        self.expire_key_value_calls();
         self.tick_contact();
         self.tick_founding();
         self.tick_leader();
         self.tick_operators();
-        let outputs = self.route(|router, now, view| router.tick(now, view));
-        self.carry(outputs);
+        let outputs = self.with_router(|router, now, view| router.tick(now, view));
+        self.emit_router_outputs(outputs);
         self.tick_stop();
-        self.note_admission();
+        self.log_admission_change();
     }
 
     fn on_peer(&mut self, from: Member, message: PeerMessage) {
@@ -232,21 +236,21 @@
             PeerMessage::Hello(hello) => self.on_hello(from, hello),
             PeerMessage::Feed(feed) => self.on_feed(from, feed),
             PeerMessage::LeaderHint { generation, leader } => {
-                if generation >= self.generation && !self.is_in_contact() {
+                if generation >= self.generation && !self.has_recent_contact() {
                     self.leader_hint = Some(leader);
                     self.hello_due = self.now;
                 }
             }
             PeerMessage::Forward(forward) => {
-                let outputs =
-                    self.route(|router, now, view| router.on_forward(now, view, from, forward));
-                self.carry(outputs);
+                let outputs = self
+                    .with_router(|router, now, view| router.on_forward(now, view, from, forward));
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Cancel(attempt) => self.router.on_cancel(attempt),
             PeerMessage::Result { attempt, outcome } => {
-                let outputs =
-                    self.route(|router, now, view| router.on_result(now, view, attempt, outcome));
-                self.carry(outputs);
+                let outputs = self
+                    .with_router(|router, now, view| router.on_result(now, view, attempt, outcome));
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Operator { call, request } => {
                 self.on_remote_operator(from, call, request);
@@ -259,7 +263,7 @@
         }
     }
 
-    /// A try that never left this node did not run.
+    /// Handles a message that was never sent: a forwarded attempt did not run.
     fn on_unsent(&mut self, to: NodeId, message: PeerMessage) {
         match message {
             PeerMessage::Forward(forward) => {
@@ -267,10 +271,10 @@
                     reason: NotRunReason::NotConnected,
                     retry_after_micros: None,
                 };
-                let outputs = self.route(|router, now, view| {
+                let outputs = self.with_router(|router, now, view| {
                     router.on_result(now, view, forward.attempt, outcome)
                 });
-                self.carry(outputs);
+                self.emit_router_outputs(outputs);
             }
             PeerMessage::Operator { call, .. } => {
                 if let Some(forwarded) = self.forwarded.remove(&call) {
@@ -282,8 +286,8 @@
         }
     }
 
-    /// Runs the router with the present view.
-    pub(crate) fn route(
+    /// Runs `step` on the router with the current view.
+    pub(crate) fn with_router(
         &mut self,
         step: impl FnOnce(&mut Router, Time, &RoutingView) -> Vec<RouterOutput>,
     ) -> Vec<RouterOutput> {
@@ -296,7 +300,7 @@
         step(&mut self.router, self.now, &view)
     }
 
-    pub(crate) fn carry(&mut self, outputs: Vec<RouterOutput>) {
+    pub(crate) fn emit_router_outputs(&mut self, outputs: Vec<RouterOutput>) {
         for output in outputs {
             let output = match output {
                 RouterOutput::Forward { to, forward } => Output::Peer {
@@ -335,11 +339,11 @@
         }
     }
 
-    /// To be called whenever `state` changed.
+    /// Must be called whenever `state` has changed.
     pub(crate) fn on_state_changed(&mut self) {
-        self.gates = GateMap::of(&self.state);
-        let outputs = self.route(|router, now, view| router.tick(now, view));
-        self.carry(outputs);
+        self.gates = GateMap::from_state(&self.state);
+        let outputs = self.with_router(|router, now, view| router.tick(now, view));
+        self.emit_router_outputs(outputs);
     }
 
     pub(crate) fn call_key_value(&mut self, purpose: Purpose, request: KeyValueRequest) {
@@ -349,17 +353,17 @@
         self.outputs.push(Output::KeyValue { call, request });
     }
 
-    /// Whether a call for `purpose` is under way.
+    /// Whether a call for `purpose` is pending.
     pub(crate) fn is_calling(&self, purpose: &Purpose) -> bool {
         self.calls.values().any(|(_, other)| other == purpose)
     }
 
-    fn expire_calls(&mut self) {
+    fn expire_key_value_calls(&mut self) {
         let now = self.now;
         let expired: Vec<KeyValueCall> = self
             .calls
             .iter()
-            .filter(|(_, (since, _))| now.since(*since) > KEY_VALUE_PATIENCE)
+            .filter(|(_, (since, _))| now.since(*since) > KEY_VALUE_TIMEOUT)
             .map(|(call, _)| *call)
             .collect();
         for call in expired {
@@ -386,11 +390,11 @@
         self.router.stop();
         self.hello_due = self.now;
         self.log(Event::new(Level::Info, "stopping").with("pending", self.router.pending()));
-        self.hand_over_leadership();
+        self.transfer_leadership_for_stop();
     }
 
-    /// Ends a planned stop: when the group no longer counts on this node and
-    /// nothing is in flight, or when the time allowed is over.
+    /// Completes a planned stop once the group no longer depends on this node and
+    /// nothing is in flight, or when the stop timeout expires.
     fn tick_stop(&mut self) {
         let Some(since) = self.stopping else { return };
         if self.stopped {
@@ -398,9 +402,9 @@
         }
         let waited = self.now.since(since);
         let listed = self.state.nodes.contains_key(&self.config.me.node);
-        // A voter that ends before it is replaced is a voter lost, so it uses
-        // all the time it has.
-        let left = !self.is_voter() && (!listed || waited >= LEAVE_PATIENCE);
+        // A voter that stops before it is replaced is a lost voter, so it stays
+        // up to the stop timeout.
+        let left = !self.is_voter() && (!listed || waited >= LEAVE_TIMEOUT);
         let overdue = waited >= Duration::from_millis(self.config.stop_millis);
         if (left && self.router.is_idle()) || overdue {
             self.stopped = true;
@@ -413,7 +417,7 @@
         }
     }
 
-    fn note_admission(&mut self) {
+    fn log_admission_change(&mut self) {
         let admits = self.admits();
         if admits == self.was_admitting {
             return;
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -1,22 +1,22 @@
-//! Founding a control group, and founding it again when its voters can no
-//! longer form a majority.
+//! Founding of a control group, and founding of a new generation when its
+//! voters can no longer form a majority.
 //!
-//! The founding record in the key-value service is the one truth about which
-//! generation lives and whose votes count. It changes only by compare-and-swap,
-//! and a change of voters is written there before it takes effect.
+//! The founding record in the key-value service is the source of truth for the
+//! current generation and its voters. It is changed only by compare-and-swap,
+//! and a change of voters is written to it before it takes effect.
 //!
-//! A generation is over once, of every recorded set of voters, so many are
-//! lost for certain or have abandoned it that the rest is no majority. Lost for
-//! certain is a run whose machine is gone or whose node started again. A run
-//! abandons a generation when it has had no leader for long and hears that the
-//! others have none: it then takes no part in that log any more, so nothing
-//! can be agreed on or leased without it. The new generation starts from the
-//! latest state among the nodes in reach and the checkpoint.
+//! A generation is over once no recorded set of voters has a majority left that
+//! is neither permanently lost nor has abandoned the generation. An incarnation
+//! is permanently lost if its machine is gone or its node has restarted. It
+//! abandons a generation after a long time without a leader if the other voters
+//! have none either: it then no longer takes part in that log, so no entry can
+//! be committed and no lease obtained without it. The new generation starts from
+//! the latest state among the reachable nodes and the checkpoint.
 
 use crate::configure::StoredConfiguration;
 use crate::core::{NodeCore, Purpose};
 use crate::event::{Event, Level};
-use crate::feed::CONTACT_PATIENCE;
+use crate::feed::CONTACT_TIMEOUT;
 use crate::group::FOUNDING_INDEX;
 use crate::peers::spread_over_zones;
 use beamtray_keyvalue::{KeyValueRequest, KeyValueResult, Machine, MachineState, machine_name};
@@ -28,45 +28,45 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between readings of the founding record while no leader answers.
+/// Interval between reads of the founding record while no leader answers.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// Random addition to it, so that nodes do not read in step.
+/// Random jitter added to the interval so that nodes do not read in lockstep.
 const READ_JITTER_MILLIS: u64 = 500;
-/// The same per node of the fleet, which keeps all of them together under the
-/// service's rate.
+/// Jitter per node of the fleet, which keeps the combined read rate of all nodes
+/// below the service's limit.
 const READ_JITTER_PER_NODE_MILLIS: u64 = 25;
-/// A node counts as live for founding when it reported within this time.
-const LIVE_PATIENCE: Duration = Duration::from_secs(3);
-/// How long a voter is without a leader before it abandons its generation.
-/// Several elections fit into it.
-const ABANDON_PATIENCE: Duration = Duration::from_millis(3_500);
-/// A gap between ticks that shows a pause of this process.
-const PAUSE_NOTICED: Duration = Duration::from_millis(400);
-/// Whoever looks for a leader reports to everyone several times in this.
-const SEARCHING_PATIENCE: Duration = Duration::from_millis(1_200);
-/// How long a first founding waits for more nodes to report.
-const GATHER_TIME: Duration = Duration::from_millis(800);
+/// A node is considered live for founding if it reported within this time.
+const LIVE_REPORT_WINDOW: Duration = Duration::from_secs(3);
+/// Time without a leader after which a voter may abandon its generation. Long
+/// enough for several elections.
+const ABANDON_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Gap between ticks above which this process is assumed to have been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(400);
+/// Window in which a node without a leader sends several search reports.
+const SEARCH_REPORT_WINDOW: Duration = Duration::from_millis(1_200);
+/// How long the initial founding waits for more nodes to report.
+const INITIAL_DISCOVERY_WAIT: Duration = Duration::from_millis(800);
 
-/// The record of a group's founding.
+/// The stored record of a group's current generation.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct FoundingRecord {
-    /// The generation founded.
+    /// The generation.
     pub generation: Generation,
-    /// Its first voters.
+    /// Its initial voters.
     pub founders: BTreeSet<Member>,
-    /// Sets of voters of which one is in force: the present one, and the next
-    /// while a change is under way.
+    /// Sets of voters, one of which is in effect: the current set and, while a
+    /// change is pending, the next one.
     pub voters: Vec<BTreeSet<Member>>,
-    /// The state that the generation starts from.
+    /// Initial state of the generation.
     pub state: ControlState,
 }
 
-/// The latest state of a group that a leader saved.
+/// A checkpoint of a group's state, saved by its leader.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Checkpoint {
     /// Generation of the state.
     pub generation: Generation,
-    /// Last entry in the state.
+    /// Index of the last entry applied to the state.
     pub applied: LogIndex,
     /// The state.
     pub state: ControlState,
@@ -87,25 +87,24 @@
     format!("group-{group}-configuration")
 }
 
-/// What a node knows of its group's founding.
+/// A node's knowledge of its group's founding.
 #[derive(Clone, Debug)]
 pub(crate) struct Founding {
     started: Time,
     read_due: Time,
-    /// Another node reported a later generation.
-    told: bool,
-    /// The record as last read, with its version.
+    /// Whether another node reported a later generation.
+    newer_generation_reported: bool,
+    /// The record last read, with its version.
     record: Option<(u64, FoundingRecord)>,
-    /// Since when every recorded set of voters is known to be no majority.
-    lost_since: Option<Time>,
-    /// Since when this run has been looking for a leader without a break.
-    alone_since: Option<Time>,
+    /// Time since which no recorded set of voters has had a usable majority.
+    majority_lost_since: Option<Time>,
+    /// Time since which this node has been searching for a leader without a pause.
+    leaderless_since: Option<Time>,
     last_tick: Time,
-    /// Highest generation in whose log this run takes no part any more.
+    /// Highest generation that this node has abandoned.
     pub(crate) abandoned: Generation,
-    gone: BTreeSet<String>,
-    /// State that a new generation is to start from, while its configuration
-    /// is being read.
+    reclaimed_machines: BTreeSet<String>,
+    /// Initial state for a new generation, held while the configuration is read.
     state: Option<ControlState>,
     machines_due: Time,
 }
@@ -115,19 +114,19 @@
         Self {
             started: now,
             read_due: now,
-            told: false,
+            newer_generation_reported: false,
             record: None,
-            lost_since: None,
-            alone_since: None,
+            majority_lost_since: None,
+            leaderless_since: None,
             last_tick: now,
             abandoned: Generation(0),
-            gone: BTreeSet::new(),
+            reclaimed_machines: BTreeSet::new(),
             state: None,
             machines_due: now,
         }
     }
 
-    /// Nodes of the voters in the record as last read.
+    /// Nodes of the voters in the record last read.
     pub(crate) fn recorded_voters(&self) -> BTreeSet<NodeId> {
         let record = self.record.iter().flat_map(|(_, record)| &record.voters);
         record.flatten().map(|member| member.node).collect()
@@ -135,28 +134,28 @@
 
     pub(crate) fn read_soon(&mut self, now: Time) {
         self.read_due = self.read_due.min(now);
-        self.told = true;
+        self.newer_generation_reported = true;
     }
 
-    /// Starts the count of time without a leader anew.
+    /// Resets the time without a leader.
     pub(crate) fn restart_search(&mut self) {
-        self.alone_since = None;
+        self.leaderless_since = None;
     }
 
-    /// Counts the time without a leader. A gap between ticks is a pause of
-    /// this process, in which it could not have heard of one.
-    fn note_search(&mut self, now: Time, searching: bool) {
-        let paused = now.since(self.last_tick) > PAUSE_NOTICED;
+    /// Tracks the time without a leader. A long gap between ticks means that this
+    /// process was paused and could not have received messages from a leader.
+    fn track_leader_search(&mut self, now: Time, searching: bool) {
+        let paused = now.since(self.last_tick) > PAUSE_THRESHOLD;
         self.last_tick = now;
         if !searching {
-            self.alone_since = None;
-        } else if paused || self.alone_since.is_none() {
-            self.alone_since = Some(now);
+            self.leaderless_since = None;
+        } else if paused || self.leaderless_since.is_none() {
+            self.leaderless_since = Some(now);
         }
     }
 
-    pub(crate) fn note_machines(&mut self, list: &[Machine]) {
-        self.gone = list
+    pub(crate) fn update_machines(&mut self, list: &[Machine]) {
+        self.reclaimed_machines = list
             .iter()
             .filter(|machine| machine.state == MachineState::Gone)
             .map(|machine| machine.name.clone())
@@ -166,12 +165,15 @@
 
 impl NodeCore {
     pub(crate) fn tick_founding(&mut self) {
-        let quiet = self
+        let no_recent_contact = self
             .contact
-            .is_none_or(|at| self.now.since(at) > CONTACT_PATIENCE);
-        self.founding.note_search(self.now, quiet);
-        if (!quiet && !self.founding.told) || self.stopping.is_some() {
-            self.founding.lost_since = None;
+            .is_none_or(|at| self.now.since(at) > CONTACT_TIMEOUT);
+        self.founding
+            .track_leader_search(self.now, no_recent_contact);
+        if (!no_recent_contact && !self.founding.newer_generation_reported)
+            || self.stopping.is_some()
+        {
+            self.founding.majority_lost_since = None;
             return;
         }
         if self.now >= self.founding.machines_due {
@@ -179,9 +181,11 @@
             self.outputs.push(crate::io::Output::ReadMachines);
         }
         if self.now >= self.founding.read_due && !self.is_calling(&Purpose::ReadFounding) {
-            self.founding.told = false;
-            let crowd = self.config.peers.len() as u64 * READ_JITTER_PER_NODE_MILLIS;
-            let jitter = self.rng.random_range(0..READ_JITTER_MILLIS.max(crowd));
+            self.founding.newer_generation_reported = false;
+            let fleet_jitter = self.config.peers.len() as u64 * READ_JITTER_PER_NODE_MILLIS;
+            let jitter = self
+                .rng
+                .random_range(0..READ_JITTER_MILLIS.max(fleet_jitter));
             self.founding.read_due = self.now + READ_INTERVAL + Duration::from_millis(jitter);
             let key = founding_key(self.config.group);
             self.call_key_value(Purpose::ReadFounding, KeyValueRequest::Get { key });
@@ -190,7 +194,7 @@
 
     pub(crate) fn on_founding_read(&mut self, result: KeyValueResult) {
         match result {
-            KeyValueResult::Absent => self.found_first(),
+            KeyValueResult::Absent => self.found_initial_generation(),
             KeyValueResult::Value { version, value } => {
                 match borsh::from_slice::<FoundingRecord>(&value) {
                     Ok(record) => self.on_founding_record(version, record),
@@ -205,13 +209,13 @@
         }
     }
 
-    /// Founds the first generation once enough nodes reported, from the lowest
-    /// of them; should two try, compare-and-swap chooses.
-    fn found_first(&mut self) {
-        if self.now.since(self.founding.started) < GATHER_TIME {
+    /// Founds the first generation once enough nodes have reported. The lowest of
+    /// them does so; if two try, compare-and-swap lets only one succeed.
+    fn found_initial_generation(&mut self) {
+        if self.now.since(self.founding.started) < INITIAL_DISCOVERY_WAIT {
             return;
         }
-        let candidates = self.founders_in_reach();
+        let candidates = self.reachable_founders();
         let wanted = self.config.voters.min(self.config.peers.len() + 1);
         let lowest = candidates.iter().map(|(member, _)| member.node).min();
         if candidates.len() < wanted || lowest != Some(self.config.me.node) {
@@ -220,9 +224,9 @@
         self.write_founding(0, Generation(1), ControlState::default());
     }
 
-    fn founders_in_reach(&self) -> Vec<(Member, Zone)> {
+    fn reachable_founders(&self) -> Vec<(Member, Zone)> {
         let mut candidates = vec![(self.config.me, self.config.zone.clone())];
-        let live = self.peers.live(self.now, LIVE_PATIENCE);
+        let live = self.peers.live(self.now, LIVE_REPORT_WINDOW);
         candidates.extend(live.into_iter().map(|peer| (peer.member, peer.zone)));
         candidates
     }
@@ -231,7 +235,7 @@
         if self.is_calling(&Purpose::WriteFounding) {
             return;
         }
-        let candidates = self.founders_in_reach();
+        let candidates = self.reachable_founders();
         let count = self.config.voters.min(candidates.len());
         let founders: BTreeSet<Member> =
             spread_over_zones(&candidates, count).into_iter().collect();
@@ -255,7 +259,7 @@
         self.call_key_value(Purpose::WriteFounding, request);
     }
 
-    /// However the write ended, reading back tells the truth.
+    /// Reads the record back, which shows the outcome whatever the write returned.
     pub(crate) fn on_founding_written(&mut self) {
         self.founding.read_due = self.now;
     }
@@ -267,24 +271,27 @@
             return self.join_as_founder(generation, &record.founders, state);
         }
         if record.generation > self.raft_generation.max(self.generation) && self.raft.is_some() {
-            // This log's generation is over.
+            // The generation of this log is over.
             self.raft = None;
             self.end_leadership();
         }
-        self.consider_refounding(version, &record);
+        self.refound_if_lost(version, &record);
     }
 
-    fn consider_refounding(&mut self, version: u64, record: &FoundingRecord) {
-        self.consider_abandoning(record);
-        let over = |member: &Member| self.is_out(*member, record.generation);
-        let all_over = record.voters.iter().all(|voters| is_blocked(voters, &over));
-        if !all_over && self.config.guards.refounding_wait {
-            self.founding.lost_since = None;
+    fn refound_if_lost(&mut self, version: u64, record: &FoundingRecord) {
+        self.abandon_if_stalled(record);
+        let excluded = |member: &Member| self.is_excluded(*member, record.generation);
+        let no_majority_left = record
+            .voters
+            .iter()
+            .all(|voters| lacks_majority(voters, &excluded));
+        if !no_majority_left && self.config.guards.refounding_wait {
+            self.founding.majority_lost_since = None;
             return;
         }
-        let since = *self.founding.lost_since.get_or_insert(self.now);
-        // A leader lost just now may have held its lease this long; grants
-        // under it are waited for by the new generation's leader.
+        let since = *self.founding.majority_lost_since.get_or_insert(self.now);
+        // A leader that was just lost may still hold its lease for this long. The
+        // new generation's leader waits for the grants issued under it.
         let timing = &self.config.timing;
         let wait = timing.with_drift(timing.leader_lease()) + timing.election();
         if self.now.since(since) < wait {
@@ -303,21 +310,26 @@
         }
     }
 
-    /// Gives up on a generation that stands still: this run has had no leader
-    /// for long, and so many others are lost or look for one too that no
+    /// Abandons a generation that makes no progress: this voter has had no leader
+    /// for a long time, and so many others are lost or without a leader that no
     /// recorded set of voters can have a majority elsewhere.
-    fn consider_abandoning(&mut self, record: &FoundingRecord) {
+    fn abandon_if_stalled(&mut self, record: &FoundingRecord) {
         let generation = record.generation;
-        let votes = self.raft_generation == generation && self.raft.is_some();
-        let alone = self
+        let is_participant = self.raft_generation == generation && self.raft.is_some();
+        let leaderless = self
             .founding
-            .alone_since
-            .is_some_and(|since| self.now.since(since) > ABANDON_PATIENCE);
-        if !votes || !alone {
+            .leaderless_since
+            .is_some_and(|since| self.now.since(since) > ABANDON_TIMEOUT);
+        if !is_participant || !leaderless {
             return;
         }
-        let out = |member: &Member| self.is_out(*member, generation) || self.is_searching(*member);
-        if record.voters.iter().all(|voters| is_blocked(voters, &out)) {
+        let excluded =
+            |member: &Member| self.is_excluded(*member, generation) || self.is_leaderless(*member);
+        if record
+            .voters
+            .iter()
+            .all(|voters| lacks_majority(voters, &excluded))
+        {
             self.founding.abandoned = generation;
             self.raft = None;
             self.end_leadership();
@@ -327,18 +339,18 @@
         }
     }
 
-    /// Whether a run reported itself just now, as only those do that have no
-    /// leader, or is this one.
-    fn is_searching(&self, member: Member) -> bool {
-        let heard = self.peers.get(member.node);
+    /// Whether `member` is this node or recently reported to it, as nodes that
+    /// search for a leader do.
+    fn is_leaderless(&self, member: Member) -> bool {
+        let report = self.peers.get(member.node);
         member == self.config.me
-            || heard.is_some_and(|peer| {
-                peer.member == member && self.now.since(peer.at) < SEARCHING_PATIENCE
+            || report.is_some_and(|peer| {
+                peer.member == member && self.now.since(peer.at) < SEARCH_REPORT_WINDOW
             })
     }
 
-    /// Whether a run takes no part in a generation's log any more.
-    fn is_out(&self, member: Member, generation: Generation) -> bool {
+    /// Whether a member no longer takes part in a generation's log.
+    fn is_excluded(&self, member: Member, generation: Generation) -> bool {
         if member == self.config.me {
             return self.founding.abandoned >= generation;
         }
@@ -349,8 +361,8 @@
         abandoned || self.is_lost(member)
     }
 
-    /// Whether no node in reach has later state of `generation`; among equals
-    /// the lowest node founds.
+    /// Whether no reachable node has later state of `generation`. Ties are
+    /// resolved in favor of the lowest node.
     fn has_latest_state(&self, generation: Generation) -> bool {
         let rank = |known: Generation, applied, node| {
             let applied = if known == generation {
@@ -360,25 +372,29 @@
             };
             (applied, std::cmp::Reverse(node))
         };
-        let mine = rank(self.generation, self.state.applied, self.config.me.node);
-        let live = self.peers.live(self.now, LIVE_PATIENCE);
+        let own_rank = rank(self.generation, self.state.applied, self.config.me.node);
+        let live = self.peers.live(self.now, LIVE_REPORT_WINDOW);
         live.iter()
-            .all(|peer| rank(peer.generation, peer.applied, peer.member.node) <= mine)
+            .all(|peer| rank(peer.generation, peer.applied, peer.member.node) <= own_rank)
     }
 
-    /// Whether a run is over for certain: its machine is gone, or a later run
-    /// of its node reported itself.
+    /// Whether a member is permanently lost: its machine is gone, or a later
+    /// incarnation of its node has reported.
     fn is_lost(&self, member: Member) -> bool {
         if member.node == self.config.me.node {
             return member.incarnation < self.config.me.incarnation;
         }
-        // Incarnations of one node rise, so a late report of an earlier run
-        // is not taken for a successor.
+        // Incarnations of a node increase, so a delayed report of an earlier one
+        // is not mistaken for a successor.
         let replaced = self
             .peers
             .get(member.node)
             .is_some_and(|peer| peer.member.incarnation > member.incarnation);
-        replaced || self.founding.gone.contains(&machine_name(member))
+        replaced
+            || self
+                .founding
+                .reclaimed_machines
+                .contains(&machine_name(member))
     }
 
     pub(crate) fn on_checkpoint_to_found(&mut self, result: KeyValueResult) {
@@ -391,7 +407,7 @@
                 let Ok(checkpoint) = borsh::from_slice::<Checkpoint>(&value) else {
                     return;
                 };
-                // The checkpoint may be from before this generation's founding.
+                // The checkpoint may predate the founding of this generation.
                 if checkpoint.generation < record.generation {
                     record.state.clone()
                 } else {
@@ -407,8 +423,8 @@
         self.call_key_value(purpose, KeyValueRequest::Get { key });
     }
 
-    /// A configuration may have been accepted after the checkpoint. The new
-    /// generation starts from it, so that no node ever goes back to an older.
+    /// Applies the stored configuration, which may have been accepted after the
+    /// checkpoint, so that no node ever reverts to an older configuration.
     pub(crate) fn on_configuration_to_found(&mut self, result: KeyValueResult) {
         let (Some((version, record)), Some(mut state)) =
             (self.founding.record.clone(), self.founding.state.take())
@@ -431,13 +447,13 @@
             }
             _ => return,
         }
-        self.founding.lost_since = None;
+        self.founding.majority_lost_since = None;
         self.write_founding(version, record.generation.next(), state);
     }
 }
 
-/// Whether the voters that are not `out` are less than a majority.
-fn is_blocked(voters: &BTreeSet<Member>, out: &dyn Fn(&Member) -> bool) -> bool {
-    let left = voters.iter().filter(|member| !out(member)).count();
+/// Whether the voters that are not `excluded` are fewer than a majority.
+fn lacks_majority(voters: &BTreeSet<Member>, excluded: &dyn Fn(&Member) -> bool) -> bool {
+    let left = voters.iter().filter(|member| !excluded(member)).count();
     left < voters.len() / 2 + 1
 }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,4 +1,4 @@
-//! The node's member of the replicated log, and the state that it applies.
+//! The node's consensus member and the application of committed entries.
 
 use crate::core::NodeCore;
 use crate::event::{Event, Level};
@@ -14,18 +14,18 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Entries kept behind a snapshot before the log is compacted.
-const LOG_ENTRIES_KEPT: usize = 512;
-/// Index of the snapshot that founds a generation. Above 0, so that a member
+/// Log length above which the log is compacted into a snapshot.
+const LOG_COMPACTION_THRESHOLD: usize = 512;
+/// Index of a generation's initial snapshot. Greater than 0, so that a member
 /// that starts empty is always sent the snapshot.
 pub(crate) const FOUNDING_INDEX: LogIndex = LogIndex(1);
 
 impl NodeCore {
     fn raft_config(&mut self) -> RaftConfig {
         RaftConfig {
-            heartbeat: self.config.timing.heartbeat(),
-            lease: self.config.timing.leader_lease(),
-            election: self.config.timing.election(),
+            heartbeat_interval: self.config.timing.heartbeat(),
+            lease_duration: self.config.timing.leader_lease(),
+            election_timeout: self.config.timing.election(),
             withhold_votes: self.config.guards.withhold_votes,
             seed: self.rng.next_u64(),
         }
@@ -56,7 +56,8 @@
         self.founding.restart_search();
     }
 
-    /// Replaces the state by that of a generation, or a later one of the same.
+    /// Replaces the state with one of `generation`: a new generation, or a later
+    /// state of the current one.
     pub(crate) fn adopt_state(&mut self, generation: Generation, state: ControlState) {
         if generation > self.generation {
             self.contact = None;
@@ -79,8 +80,11 @@
             return;
         }
         if generation > self.raft_generation {
-            // Only a leader that counts this run as a member sends these.
-            let invited = matches!(message.body, Body::Append { .. } | Body::Install { .. });
+            // Only a leader that has this incarnation as a member sends these.
+            let invited = matches!(
+                message.body,
+                Body::AppendEntries { .. } | Body::InstallSnapshot { .. }
+            );
             if !invited || message.to != self.config.me {
                 return;
             }
@@ -91,8 +95,8 @@
         }
     }
 
-    /// Carries out what the log asks for and follows changes of leadership.
-    pub(crate) fn pump_raft(&mut self) {
+    /// Processes outputs of the consensus member and handles leadership changes.
+    pub(crate) fn process_raft_outputs(&mut self) {
         loop {
             let Some(raft) = &mut self.raft else { return };
             let outputs = raft.take_outputs();
@@ -103,7 +107,7 @@
                 self.on_raft_output(output);
             }
         }
-        self.follow_role();
+        self.update_leadership();
         self.compact_log();
     }
 
@@ -134,7 +138,7 @@
             command,
         };
         if let Some(leadership) = &mut self.leadership {
-            leadership.remember(entry.clone());
+            leadership.record_entry(entry.clone());
         }
         self.apply(self.raft_generation, &[entry]);
     }
@@ -156,8 +160,8 @@
         }
     }
 
-    /// Applies committed entries that follow the state without a gap; others
-    /// are already applied, or will come again.
+    /// Applies committed entries that directly follow the state. Other entries
+    /// are already applied or will be sent again.
     pub(crate) fn apply(&mut self, generation: Generation, entries: &[FeedEntry]) {
         if generation != self.generation {
             return;
@@ -189,13 +193,13 @@
         }
     }
 
-    /// Starts or ends the leader's work as the log's leadership changes.
-    fn follow_role(&mut self) {
+    /// Starts or ends the leader's duties when the consensus role changes.
+    fn update_leadership(&mut self) {
         let Some(raft) = &self.raft else { return };
-        let leads = raft.role() == Role::Leader;
+        let is_leader = raft.role() == Role::Leader;
         let term = raft.term();
         let current = self.leadership.as_ref().map(|leadership| leadership.term);
-        if leads && current != Some(term) && raft.has_lease(self.now) {
+        if is_leader && current != Some(term) && raft.has_lease(self.now) {
             let elected_at = raft.elected_at();
             self.leadership = Some(Leadership::new(
                 &self.config,
@@ -211,7 +215,7 @@
                 .with("term", term);
             self.log(event);
         }
-        if !leads && self.leadership.is_some() {
+        if !is_leader && self.leadership.is_some() {
             self.end_leadership();
             let event = Event::new(Level::Info, "not_leading").with("term", term);
             self.log(event);
@@ -221,13 +225,13 @@
     fn compact_log(&mut self) {
         let Some(raft) = &mut self.raft else { return };
         let same = self.raft_generation == self.generation;
-        if same && raft.log_len() > LOG_ENTRIES_KEPT {
+        if same && raft.log_len() > LOG_COMPACTION_THRESHOLD {
             raft.compact(self.state.applied, encode_state(&self.state));
         }
     }
 
-    /// Hands leadership to another voter before a planned stop.
-    pub(crate) fn hand_over_leadership(&mut self) {
+    /// Transfers leadership to another voter before a planned stop.
+    pub(crate) fn transfer_leadership_for_stop(&mut self) {
         let now = self.now;
         let me = self.config.me;
         let Some(raft) = &mut self.raft else { return };
@@ -237,7 +241,7 @@
         let voters = raft.membership().voters.iter().copied();
         let successor = voters
             .filter(|member| *member != me)
-            .max_by_key(|member| (raft.matched(*member), raft.last_answer(*member)));
+            .max_by_key(|member| (raft.match_index(*member), raft.last_acknowledged(*member)));
         if let Some(successor) = successor {
             let handed = raft.transfer_leadership(now, successor).is_ok();
             let event = Event::new(Level::Info, "leadership_transfer")
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -41,7 +41,7 @@
 impl Deployment {
     fn new() -> Self {
         let mut directory = directory();
-        directory.confirm_gone(at(0), &UpstreamId::from("near".to_owned()));
+        directory.confirm_terminated(at(0), &UpstreamId::from("near".to_owned()));
         Self {
             node: dispatcher(),
             directory,
@@ -50,7 +50,8 @@
     }
 
     fn restart_upstream(&mut self, millis: u64) {
-        self.directory.confirm_gone(at(millis), &self.upstream);
+        self.directory
+            .confirm_terminated(at(millis), &self.upstream);
         let id = format!("life-{millis}");
         let record = record(&id, "pool", "here", 9_000);
         self.directory.register(at(millis), record);
@@ -67,7 +68,7 @@
         self.decide(millis)
     }
 
-    /// Polls the node, which lends the trial permits that it asks for itself.
+    /// Polls the node, which issues the trial permits that it asks for itself.
     fn decide(&mut self, millis: u64) -> Vec<Decision> {
         let mut decisions = self.node.poll(at(millis), &self.directory);
         for decision in std::mem::take(&mut decisions) {
@@ -76,7 +77,7 @@
                 continue;
             };
             let quarantine = self.node.quarantine_mut();
-            let reply = quarantine.lend_permit(at(millis), &request);
+            let reply = quarantine.issue_permit(at(millis), &request);
             quarantine.handle_trial_reply(at(millis), &reply);
             decisions.extend(self.node.poll(at(millis), &self.directory));
         }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that may hold keys.
+//! An emulator of an upstream that may own keys.
 
 use beamtray_catalog::{UpstreamId, UpstreamRecord, UpstreamState};
 use beamtray_sharding::{
@@ -9,132 +9,133 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an upstream does with a request that it can't queue.
+/// What an upstream does with a request that exceeds its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullPolicy {
-    /// It says so.
+    /// Rejects the request.
     Shed,
-    /// It never answers.
+    /// Never answers the request.
     Hang,
 }
 
-/// Fixed values of an upstream.
+/// Configuration of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamConfig {
-    /// Its incarnation.
+    /// Id of the incarnation.
     pub id: UpstreamId,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// Whether it runs only requests whose key it holds.
-    pub divided: bool,
-    /// What it does with more.
+    /// Whether it runs only requests whose key it owns.
+    pub is_sharded: bool,
+    /// What it does with requests beyond the queue.
     pub full: FullPolicy,
-    /// Its time for a request, in percent of the request's work.
+    /// Service time in percent of the request's nominal work.
     pub slowness_percent: u32,
 }
 
-/// Tells one run of a request from the others.
+/// Identifies one execution of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// A request as it arrives.
+/// An incoming request.
 #[derive(Clone, Debug)]
 pub struct WorkRequest {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its key, if it has one.
+    /// Shard key, if the request has one.
     pub key: Option<ShardKey>,
-    /// Incarnation that is meant.
+    /// Incarnation that the request is addressed to.
     pub target: UpstreamId,
-    /// Its work at an upstream of ordinary speed.
+    /// Service time at an upstream whose slowness is 100 percent.
     pub work: Duration,
 }
 
-/// A request at work.
+/// A request that is being executed.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Tells it from others.
+    /// Identifies the execution.
     pub id: RunId,
-    /// The request.
+    /// The request being executed.
     pub request: WorkRequest,
-    /// When it ends.
+    /// When the execution completes.
     pub ends: Time,
 }
 
-/// What becomes of a request that arrives.
+/// Outcome of submitting a request.
 #[derive(Clone, Debug)]
 pub enum Arrival {
-    /// It begins to run.
+    /// Execution has started.
     Runs(Run),
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// The upstream is full and says so; it has not run.
+    /// The upstream is full and rejected the request without running it.
     Full,
-    /// Another incarnation is meant, or the key is not held; it has not run.
+    /// The request is addressed to another incarnation, or its key is not owned here; it was
+    /// not run.
     Misdirected,
-    /// It never gets an answer.
+    /// The request never gets an answer.
     Hangs,
 }
 
-/// A grant in force, for checkers.
+/// A grant that the upstream has accepted, as invariant checkers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GrantTaken {
-    /// The keys.
+pub struct AcceptedGrant {
+    /// Keys that the grant covers.
     pub range: KeyRange,
-    /// The token.
+    /// Fencing token of the grant.
     pub token: FencingToken,
-    /// When it was first taken.
+    /// When the grant was first accepted.
     pub since: Time,
-    /// When it runs out.
+    /// When the grant expires.
     pub ends: Time,
-    /// How its newest order came.
+    /// How the latest order for it was delivered.
     pub delivery: Delivery,
 }
 
-/// How an order came to an upstream.
+/// How an order was delivered to an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivery {
-    /// Long after it was sent: held up on its way, or left lying by the upstream.
+    /// Long after it was sent: delayed in the network, or left unprocessed by the upstream.
     pub is_late: bool,
-    /// Right after its sender ran again or its link was whole again.
-    pub is_after_trouble: bool,
+    /// Shortly after its sender resumed or the network path recovered.
+    pub is_after_recovery: bool,
 }
 
-/// An upstream.
+/// An emulated upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamEmulator {
-    /// Its fixed values.
+    /// Configuration, fixed for the life of the upstream.
     pub config: UpstreamConfig,
-    /// What it says of itself.
+    /// State that it reports in its registration.
     pub state: UpstreamState,
-    grants: Vec<GrantTaken>,
-    /// Grants that were given back while work on their keys went on.
-    given_back: Vec<GrantTaken>,
-    floors: Vec<u64>,
+    grants: Vec<AcceptedGrant>,
+    /// Grants that were released while requests for their keys were still running.
+    released_in_use: Vec<AcceptedGrant>,
+    min_tokens: Vec<u64>,
     running: Vec<Run>,
     queue: VecDeque<WorkRequest>,
     next_run: u64,
-    /// Releases that wait for work to end.
+    /// Releases that wait for running requests to complete.
     releases: Vec<(KeyRange, u64)>,
 }
 
 impl UpstreamEmulator {
-    /// An upstream that holds nothing.
+    /// Creates an upstream without grants.
     pub fn new(config: UpstreamConfig) -> Self {
         Self {
             config,
             state: UpstreamState::Ready,
             grants: Vec::new(),
-            given_back: Vec::new(),
-            floors: vec![0; KeyRange::ALL.len() as usize],
+            released_in_use: Vec::new(),
+            min_tokens: vec![0; KeyRange::ALL.len() as usize],
             running: Vec::new(),
             queue: VecDeque::new(),
             next_run: 0,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Its registration.
+    /// Returns the registration record.
     pub fn record(&self) -> UpstreamRecord {
         UpstreamRecord {
             id: self.config.id.clone(),
@@ -155,26 +156,27 @@
         }
     }
 
-    /// The grant under which it may run a request for a key.
-    pub fn grant(&self, now: Time, key: ShardKey) -> Option<&GrantTaken> {
+    /// Returns the unexpired grant that covers `key`.
+    pub fn grant(&self, now: Time, key: ShardKey) -> Option<&AcceptedGrant> {
         self.grants
             .iter()
             .find(|grant| grant.range.contains(key) && now < grant.ends)
     }
 
-    /// The grants in force.
-    pub fn grants(&self, now: Time) -> impl Iterator<Item = &GrantTaken> {
+    /// Returns the unexpired grants.
+    pub fn grants(&self, now: Time) -> impl Iterator<Item = &AcceptedGrant> {
         self.grants.iter().filter(move |grant| now < grant.ends)
     }
 
-    /// Takes an order. A release that must wait for work is answered by
-    /// [`UpstreamEmulator::released`].
+    /// Handles an order that arrives promptly. Returns `None` for a release that has to wait
+    /// for running requests; its completion is reported by
+    /// [`UpstreamEmulator::take_completed_releases`].
     pub fn order(&mut self, now: Time, order: &GrantOrder) -> Option<GrantReply> {
-        self.delivered(now, order, Delivery::default())
+        self.deliver_order(now, order, Delivery::default())
     }
 
-    /// Takes an order that came in that way.
-    pub fn delivered(
+    /// Handles an order that was delivered as `delivery` says.
+    pub fn deliver_order(
         &mut self,
         now: Time,
         order: &GrantOrder,
@@ -184,16 +186,16 @@
             return Some(GrantReply::Replaced);
         }
         match &order.kind {
-            OrderKind::Grant { hold, .. } => Some(self.take(now, order, *hold, delivery)),
+            OrderKind::Grant { hold, .. } => Some(self.accept_grant(now, order, *hold, delivery)),
             OrderKind::Release => self.release(order),
         }
     }
 
-    fn floor(&mut self, range: KeyRange) -> &mut [u64] {
-        &mut self.floors[usize::from(range.first.0)..=usize::from(range.last.0)]
+    fn min_tokens_of(&mut self, range: KeyRange) -> &mut [u64] {
+        &mut self.min_tokens[usize::from(range.first.0)..=usize::from(range.last.0)]
     }
 
-    fn take(
+    fn accept_grant(
         &mut self,
         now: Time,
         order: &GrantOrder,
@@ -201,21 +203,26 @@
         delivery: Delivery,
     ) -> GrantReply {
         let token = order.token.0;
-        if self.floor(order.range).iter().any(|floor| *floor > token) {
+        if self
+            .min_tokens_of(order.range)
+            .iter()
+            .any(|min_token| *min_token > token)
+        {
             return GrantReply::Outdated;
         }
-        self.floor(order.range).fill(token);
-        let standing = self.grant(now, order.range.first);
-        // What came right after trouble is first taken when it is taken again.
-        let is_first =
-            |grant: &&GrantTaken| grant.delivery.is_after_trouble && !delivery.is_after_trouble;
-        let since = standing
-            .filter(|grant| !is_first(grant))
+        self.min_tokens_of(order.range).fill(token);
+        let current = self.grant(now, order.range.first);
+        // A grant that arrived just after a recovery counts as held only from its renewal.
+        let restarts_hold = |grant: &&AcceptedGrant| {
+            grant.delivery.is_after_recovery && !delivery.is_after_recovery
+        };
+        let since = current
+            .filter(|grant| !restarts_hold(grant))
             .map_or(now, |grant| grant.since);
-        // A shorter grant does not end a longer one that stands.
-        let ends = standing.map_or(now, |grant| grant.ends).max(now + hold);
-        self.cut(order.range);
-        self.grants.push(GrantTaken {
+        // A grant never shortens the current hold.
+        let ends = current.map_or(now, |grant| grant.ends).max(now + hold);
+        self.remove_range(order.range);
+        self.grants.push(AcceptedGrant {
             range: order.range,
             token: order.token,
             since,
@@ -225,8 +232,8 @@
         GrantReply::Granted
     }
 
-    /// Removes a range from all grants.
-    fn cut(&mut self, range: KeyRange) {
+    /// Removes `range` from all grants, splitting those that it overlaps in part.
+    fn remove_range(&mut self, range: KeyRange) {
         let mut rest = Vec::new();
         for grant in self.grants.drain(..) {
             if !grant.range.overlaps(range) {
@@ -239,7 +246,7 @@
                     last,
                     ..grant.range
                 };
-                rest.push(GrantTaken { range, ..grant });
+                rest.push(AcceptedGrant { range, ..grant });
             }
             if grant.range.last > range.last {
                 let first = ShardKey(range.last.0 + 1);
@@ -247,7 +254,7 @@
                     first,
                     ..grant.range
                 };
-                rest.push(GrantTaken { range, ..grant });
+                rest.push(AcceptedGrant { range, ..grant });
             }
         }
         self.grants = rest;
@@ -255,16 +262,17 @@
 
     fn release(&mut self, order: &GrantOrder) -> Option<GrantReply> {
         let token = order.token.0;
-        for floor in self.floor(order.range) {
-            *floor = (*floor).max(token);
+        for min_token in self.min_tokens_of(order.range) {
+            *min_token = (*min_token).max(token);
         }
-        let at_work = self.is_at_work(order.range);
-        if at_work {
-            let of_range = |grant: &&GrantTaken| grant.range.overlaps(order.range);
-            self.given_back.extend(self.grants.iter().filter(of_range));
+        let has_running_work = self.has_running_work(order.range);
+        if has_running_work {
+            let of_range = |grant: &&AcceptedGrant| grant.range.overlaps(order.range);
+            self.released_in_use
+                .extend(self.grants.iter().filter(of_range));
         }
-        self.cut(order.range);
-        if at_work {
+        self.remove_range(order.range);
+        if has_running_work {
             self.releases.push((order.range, order.call.0));
             return None;
         }
@@ -273,16 +281,16 @@
         ))))
     }
 
-    fn is_at_work(&self, range: KeyRange) -> bool {
+    fn has_running_work(&self, range: KeyRange) -> bool {
         let mut keys = self.running.iter().filter_map(|run| run.request.key);
         keys.any(|key| range.contains(key))
     }
 
-    /// Whether it is at work on a key of a range, under a lease that has not run out or
-    /// would not have if the key had not been given back.
-    pub fn works_under_lease(&self, now: Time, range: KeyRange) -> bool {
+    /// Whether a request for a key in `range` is running under a lease that has not expired, or
+    /// that would not have expired had the key not been released.
+    pub fn is_working_under_lease(&self, now: Time, range: KeyRange) -> bool {
         let leases = || {
-            let all = self.grants.iter().chain(&self.given_back);
+            let all = self.grants.iter().chain(&self.released_in_use);
             all.filter(|one| !one.delivery.is_late)
         };
         let is_leased = |key| leases().any(|one| one.range.contains(key) && now < one.ends);
@@ -290,26 +298,26 @@
         keys.any(|key| range.contains(key) && is_leased(key))
     }
 
-    /// Calls whose release has been waiting and is complete now.
-    pub fn released(&mut self) -> Vec<u64> {
+    /// Removes and returns the call ids of releases that were waiting and are now complete.
+    pub fn take_completed_releases(&mut self) -> Vec<u64> {
         let releases = std::mem::take(&mut self.releases);
         let (waiting, done): (Vec<_>, Vec<_>) = releases
             .into_iter()
-            .partition(|(range, _)| self.is_at_work(*range));
+            .partition(|(range, _)| self.has_running_work(*range));
         self.releases = waiting;
         if self.releases.is_empty() {
-            self.given_back.clear();
+            self.released_in_use.clear();
         }
         done.into_iter().map(|(_, call)| call).collect()
     }
 
-    /// Takes a request.
+    /// Submits a request.
     pub fn arrive(&mut self, now: Time, request: WorkRequest) -> Arrival {
-        if request.target.name != self.config.id.name || !self.may_run(now, &request) {
+        if request.target.name != self.config.id.name || !self.can_run(now, &request) {
             return Arrival::Misdirected;
         }
         if self.running.len() < self.config.slots {
-            return Arrival::Runs(self.begin(now, request));
+            return Arrival::Runs(self.start_run(now, request));
         }
         if self.queue.len() < self.config.queue {
             self.queue.push_back(request);
@@ -321,8 +329,8 @@
         }
     }
 
-    fn may_run(&self, now: Time, request: &WorkRequest) -> bool {
-        if !self.config.divided {
+    fn can_run(&self, now: Time, request: &WorkRequest) -> bool {
+        if !self.config.is_sharded {
             return true;
         }
         request
@@ -330,7 +338,7 @@
             .is_some_and(|key| self.grant(now, key).is_some())
     }
 
-    fn begin(&mut self, now: Time, request: WorkRequest) -> Run {
+    fn start_run(&mut self, now: Time, request: WorkRequest) -> Run {
         let id = RunId(self.next_run);
         self.next_run += 1;
         let work = request.work * self.config.slowness_percent / 100;
@@ -343,8 +351,9 @@
         run
     }
 
-    /// Ends a run and begins those that waited; queued requests whose key is
-    /// gone come back as misdirected.
+    /// Ends an execution and starts queued requests. Returns the ended request, the executions
+    /// started, and the queued requests that are rejected as misdirected because their key is no
+    /// longer owned here.
     pub fn end(
         &mut self,
         now: Time,
@@ -352,27 +361,27 @@
     ) -> (Option<WorkRequest>, Vec<Run>, Vec<WorkRequest>) {
         let index = self.running.iter().position(|other| other.id == run);
         let ended = index.map(|index| self.running.swap_remove(index).request);
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         let mut refused = Vec::new();
         while self.running.len() < self.config.slots {
             let Some(request) = self.queue.pop_front() else {
                 break;
             };
-            if self.may_run(now, &request) {
-                begun.push(self.begin(now, request));
+            if self.can_run(now, &request) {
+                started.push(self.start_run(now, request));
             } else {
                 refused.push(request);
             }
         }
-        (ended, begun, refused)
+        (ended, started, refused)
     }
 
-    /// Drops a request whose caller left.
+    /// Removes a queued request whose caller disconnected.
     pub fn drop_request(&mut self, id: &str) {
         self.queue.retain(|request| request.id != id);
     }
 
-    /// Requests at work and waiting.
+    /// Returns the number of running and queued requests.
     pub fn load(&self) -> usize {
         self.running.len() + self.queue.len()
     }
--- a/crates/grantsearch/src/search.rs
+++ b/crates/grantsearch/src/search.rs
@@ -1,80 +1,80 @@
-//! Breadth first: the counter-case that is found is one of the shortest.
+//! Breadth-first search, so that a counterexample is of minimal length.
 
-use crate::check::Broken;
+use crate::check::Violation;
 use crate::scope::Scope;
-use crate::world::{Line, Step, World};
+use crate::world::{Step, TraceEntry, World};
 use std::collections::HashSet;
 use std::fmt;
 
-/// How far a search goes.
+/// Limits of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most steps of a history.
+    /// Maximum number of steps in a history.
     pub depth: usize,
-    /// Most states: a few kilobytes of memory for each that is not searched yet.
+    /// Maximum number of states. Each unexpanded state takes a few kilobytes of memory.
     pub states: usize,
 }
 
-/// A history that breaks a promise.
+/// A history that violates an invariant.
 #[derive(Clone, Debug)]
-pub struct CounterCase {
-    /// What does not hold.
-    pub broken: Broken,
-    /// How it came to that.
+pub struct Counterexample {
+    /// The violation.
+    pub violation: Violation,
+    /// Steps that lead to the violation.
     pub steps: Vec<Step>,
-    /// The same for a reader.
-    pub lines: Vec<Line>,
+    /// Human-readable trace of the steps.
+    pub trace: Vec<TraceEntry>,
 }
 
-impl fmt::Display for CounterCase {
+impl fmt::Display for Counterexample {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
             "{} after {} steps",
-            self.broken,
+            self.violation,
             self.steps.len()
         )?;
-        for line in &self.lines {
+        for line in &self.trace {
             writeln!(formatter, "{line}")?;
         }
         Ok(())
     }
 }
 
-/// How a search ended.
+/// Outcome of a search.
 #[derive(Clone, Debug)]
 pub enum Outcome {
     /// All histories within the scope were searched, of any length.
     Exhausted,
-    /// All histories of that many steps were searched; there are longer ones.
+    /// All histories up to the depth limit were searched; longer ones exist.
     DepthReached,
-    /// There were too many states; the depth given is the last one searched whole.
+    /// The limit on states was reached; the reported depth is the last one searched completely.
     TooManyStates,
-    /// A promise is broken.
-    Found(Box<CounterCase>),
+    /// An invariant is violated.
+    Found(Box<Counterexample>),
 }
 
-/// A search that has ended.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// How.
+    /// How the search ended.
     pub outcome: Outcome,
-    /// Steps of the longest histories of which all were searched.
+    /// Largest number of steps for which all histories were searched.
     pub depth: usize,
-    /// States that were visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps that were taken from them.
+    /// Number of steps applied.
     pub steps: usize,
 }
 
 impl Search {
-    /// Whether there are no longer histories than were searched.
+    /// Whether the whole state space of the scope was searched.
     pub fn is_exhausted(&self) -> bool {
         matches!(self.outcome, Outcome::Exhausted)
     }
 
-    /// The counter-case, if there is one.
-    pub fn found(&self) -> Option<&CounterCase> {
+    /// Returns the counterexample, if one was found.
+    pub fn found(&self) -> Option<&Counterexample> {
         match &self.outcome {
             Outcome::Found(case) => Some(case),
             Outcome::Exhausted | Outcome::DepthReached | Outcome::TooManyStates => None,
@@ -98,9 +98,9 @@
     }
 }
 
-/// A state's place in the tree of histories.
+/// The edge that leads to a state in the search tree.
 #[derive(Clone, Copy, Debug)]
-struct Origin {
+struct SearchNode {
     parent: usize,
     step: Step,
 }
@@ -108,14 +108,14 @@
 /// Searches all histories of the scope.
 pub fn search(scope: &Scope, limits: Limits) -> Search {
     let start = World::new(scope);
-    // States are told apart by a hash of 64 bits: among ten million, the chance that two
-    // of them share one is 3 in a million.
+    // States are identified by a 64-bit hash: among ten million states, the probability that
+    // any two collide is 3 in a million.
     let mut visited = HashSet::from([start.fingerprint()]);
-    // The start has no origin; a parent of 0 is the start, others count from 1.
-    let mut origins: Vec<Origin> = Vec::new();
+    // The initial state has no node. Parent 0 denotes it; other parents are indices plus one.
+    let mut nodes: Vec<SearchNode> = Vec::new();
     let mut frontier = vec![(start, 0)];
     let mut steps = 0;
-    let ended = |outcome, depth, states, steps| Search {
+    let result = |outcome, depth, states, steps| Search {
         outcome,
         depth,
         states,
@@ -128,48 +128,54 @@
                 let mut child = world.clone();
                 child.apply(step);
                 steps += 1;
-                let broken = child.broken().cloned();
-                let broken = broken.or_else(|| child.stays_unowned());
-                if let Some(broken) = broken {
-                    let case = counter_case(scope, &origins, Origin { parent, step }, broken);
+                let violation = child.violation().cloned();
+                let violation = violation.or_else(|| child.ownership_timeout());
+                if let Some(violation) = violation {
+                    let case =
+                        counterexample(scope, &nodes, SearchNode { parent, step }, violation);
                     let outcome = Outcome::Found(Box::new(case));
-                    return ended(outcome, depth, visited.len(), steps);
+                    return result(outcome, depth, visited.len(), steps);
                 }
                 if visited.insert(child.fingerprint()) {
-                    origins.push(Origin { parent, step });
-                    next.push((child, origins.len()));
+                    nodes.push(SearchNode { parent, step });
+                    next.push((child, nodes.len()));
                 }
                 if visited.len() > limits.states {
-                    return ended(Outcome::TooManyStates, depth, visited.len(), steps);
+                    return result(Outcome::TooManyStates, depth, visited.len(), steps);
                 }
             }
         }
         if next.is_empty() {
-            return ended(Outcome::Exhausted, depth, visited.len(), steps);
+            return result(Outcome::Exhausted, depth, visited.len(), steps);
         }
         frontier = next;
     }
-    ended(Outcome::DepthReached, limits.depth, visited.len(), steps)
+    result(Outcome::DepthReached, limits.depth, visited.len(), steps)
 }
 
-/// Plays the history again and writes down what happens.
-fn counter_case(scope: &Scope, origins: &[Origin], last: Origin, broken: Broken) -> CounterCase {
+/// Replays the history with tracing enabled.
+fn counterexample(
+    scope: &Scope,
+    nodes: &[SearchNode],
+    last: SearchNode,
+    violation: Violation,
+) -> Counterexample {
     let mut steps = vec![last.step];
     let mut parent = last.parent;
     while parent > 0 {
-        let origin = origins[parent - 1];
-        steps.push(origin.step);
-        parent = origin.parent;
+        let node = nodes[parent - 1];
+        steps.push(node.step);
+        parent = node.parent;
     }
     steps.reverse();
     let mut world = World::new(scope);
-    world.write_down();
+    world.enable_trace();
     for step in &steps {
         world.apply(*step);
     }
-    CounterCase {
-        broken,
+    Counterexample {
+        violation,
         steps,
-        lines: world.lines(),
+        trace: world.trace(),
     }
 }
--- a/crates/grantsearch/src/standby.rs
+++ b/crates/grantsearch/src/standby.rs
@@ -1,7 +1,8 @@
-//! A node that prolongs recorded holds while it hears no granter.
+//! A standby node that renews recorded grants while it does not hear from the granter.
 //!
-//! A small copy of the product's duty: it acts by the newest record that it heard of, gives
-//! the same holder the same token, and stops when the granter's last word has run out. The
+//! A reduced model of the production standby. It acts on the newest record that it knows, renews
+//! grants for the same holder under the same token, and stops when the granter's last
+//! authorization expires. The
 //! store does not answer it, so it never declines.
 
 use beamtray_sharding::{
@@ -13,10 +14,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// How long the granter must have been silent.
+/// How long the granter must have been silent before the standby acts.
 const GRANTER_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// The standby's name in records.
+/// The id of the standby in records.
 pub(crate) fn standby_id() -> StandbyId {
     StandbyId {
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 7_000)),
@@ -24,46 +25,47 @@
     }
 }
 
-/// The standby.
+/// State of the standby.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Standby {
-    word_until: Time,
-    word_heard: Option<Time>,
-    knows: Option<AssignmentRecord>,
-    prolonged_at: Option<Time>,
+    authorized_until: Time,
+    authorized_at: Option<Time>,
+    known_record: Option<AssignmentRecord>,
+    renewed_at: Option<Time>,
     due: BTreeMap<KeyRange, Time>,
 }
 
 impl Standby {
-    /// Granter and standby hear each other: records, words, reports.
-    pub fn meets(&mut self, now: Time, granter: &mut Granter, record: &AssignmentRecord) {
-        let known = self.knows.as_ref().map(AssignmentRecord::number);
+    /// Exchanges records, status reports and authorizations with the granter.
+    pub fn exchange(&mut self, now: Time, granter: &mut Granter, record: &AssignmentRecord) {
+        let known = self.known_record.as_ref().map(AssignmentRecord::number);
         if known < Some(record.number()) {
-            self.knows = Some(record.clone());
+            self.known_record = Some(record.clone());
         }
-        let knows: Option<RecordNumber> = self.knows.as_ref().map(AssignmentRecord::number);
-        let prolonged = self.prolonged_at.map(|at| now.since(at));
+        let known_record: Option<RecordNumber> =
+            self.known_record.as_ref().map(AssignmentRecord::number);
+        let prolonged = self.renewed_at.map(|at| now.since(at));
         let id = standby_id();
         granter.standby_reported(
             now,
             &id,
             StandbyStatus {
-                known_record: knows,
+                known_record,
                 prolonged,
             },
         );
         if granter.standbys_to_authorize(now).contains(&id) {
             granter.standby_authorized(now, &id);
-            self.word_until = now + STANDBY_AUTHORIZATION;
-            self.word_heard = Some(now);
+            self.authorized_until = now + STANDBY_AUTHORIZATION;
+            self.authorized_at = Some(now);
         }
     }
 
-    /// Orders that are due.
+    /// Returns the renewals that are due.
     pub fn poll(&mut self, now: Time, hold: Duration, renewal: Duration) -> Vec<GrantOrder> {
-        let silence = self.word_heard.map(|heard| now.since(heard));
-        let is_acting = now < self.word_until && silence >= Some(GRANTER_SILENCE);
-        let known = self.knows.as_ref().filter(|_| is_acting);
+        let silence = self.authorized_at.map(|at| now.since(at));
+        let is_acting = now < self.authorized_until && silence >= Some(GRANTER_SILENCE);
+        let known = self.known_record.as_ref().filter(|_| is_acting);
         let Some(record) = known.filter(|record| record.standbys.contains(&standby_id())) else {
             return Vec::new();
         };
@@ -89,7 +91,7 @@
             });
         }
         if !orders.is_empty() {
-            self.prolonged_at = Some(now);
+            self.renewed_at = Some(now);
         }
         orders
     }
--- a/crates/grantsearch/src/world.rs
+++ b/crates/grantsearch/src/world.rs
@@ -1,4 +1,4 @@
-//! A state of the small world.
+//! A state of the model.
 
 mod faults;
 mod orders;
@@ -6,10 +6,10 @@
 mod start;
 mod time;
 
-use crate::check::{Broken, Judge};
+use crate::check::{InvariantChecker, Violation};
 use crate::scope::{Faults, Scope};
 use crate::standby::Standby;
-use crate::transport::{Call, HeldCopy, Term};
+use crate::transport::{Call, DelayedCopy, Term};
 use crate::upstream::Upstream;
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::{AssignmentRecord, GrantOrder, Granter, KeyRange};
@@ -18,131 +18,131 @@
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hasher};
 
-/// What may happen next.
+/// A possible next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes up to the next moment at which a fault could make a difference.
-    Pass,
-    /// The order that was just written arrives, and its answer too.
-    Arrives,
-    /// It is held up on its way.
-    HeldUp,
-    /// It arrives, its answer is lost, and it may arrive once more.
-    Twice,
-    /// The upstream has it, leaves it unanswered and may carry it out later.
-    Late,
-    /// A copy that was held up arrives now; copies count in the order of their writing.
-    CopyArrives(usize),
-    /// The path between the granter and an upstream is cut.
+    /// Time advances to the next moment at which a fault could make a difference.
+    AdvanceTime,
+    /// The order that was just sent arrives, and so does its reply.
+    Deliver,
+    /// The order is delayed in the network.
+    Delay,
+    /// The order arrives, its reply is lost, and a duplicate may arrive later.
+    LoseReply,
+    /// The upstream receives the order, sends no reply and may execute it later.
+    DeferExecution,
+    /// A delayed copy arrives, given by its index in sending order.
+    DeliverCopy(usize),
+    /// The network between the granter and an upstream is partitioned.
     Cut(usize),
-    /// It heals.
+    /// The partition ends.
     Heal(usize),
-    /// An upstream's process stands still.
-    Stand(usize),
-    /// It goes on, with what is in its buffers.
-    GoOn(usize),
-    /// An upstream ends and starts again under its id.
+    /// An upstream's process is paused.
+    PauseUpstream(usize),
+    /// A paused upstream resumes and executes the orders in its receive buffer.
+    ResumeUpstream(usize),
+    /// An upstream restarts under the same id.
     RestartSameId(usize),
-    /// An upstream ends and starts again under another id.
+    /// An upstream restarts under a new id.
     RestartNewId(usize),
-    /// An upstream is to lose its keys.
+    /// An upstream starts draining.
     Drain(usize),
-    /// The granter ends, having given up its place.
-    EndGranter,
-    /// The granter stands still; what it wrote goes on.
-    FreezeGranter,
-    /// The granter that stands still goes on, succeeded or not.
-    ContinueGranter,
-    /// The store takes no records.
+    /// The granter exits after giving up its leadership.
+    StopGranter,
+    /// The granter is paused; orders that it has sent stay in flight.
+    PauseGranter,
+    /// A paused granter resumes, whether or not it has a successor.
+    ResumeGranter,
+    /// The store stops accepting records.
     StoreFails,
-    /// It takes records again.
+    /// The store accepts records again.
     StoreReturns,
 }
 
-/// What happened, for a reader.
+/// One event of a human-readable trace.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// When.
+pub struct TraceEntry {
+    /// Time of the event.
     pub at: Time,
-    /// What.
+    /// Description of the event.
     pub text: String,
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for TraceEntry {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.at.as_millis() as f64 / 1_000.0;
         write!(formatter, "{seconds:8.2} s  {}", self.text)
     }
 }
 
-/// The granter's process.
+/// A granter process.
 #[derive(Clone, Debug)]
 struct Process {
     term: Term,
     granter: Granter,
     calls: Vec<Call>,
-    /// Whether a kept connection to an upstream is there, by its index.
+    /// Whether there is an open connection to each upstream, by index.
     connected: Vec<bool>,
-    is_frozen: bool,
+    is_paused: bool,
 }
 
-/// How the granter reaches an upstream.
+/// State of an upstream and of the network path from the granter to it.
 #[derive(Clone, Debug, Default)]
 struct Path {
     is_cut: bool,
-    /// The upstream's process stands still.
-    is_still: bool,
+    /// Whether the upstream's process is paused.
+    is_paused: bool,
     healed_at: Option<Time>,
     /// When the upstream is up again after a restart.
-    back_at: Option<Time>,
-    /// The id that it has then.
+    restarts_at: Option<Time>,
+    /// Its id after the restart.
     next_id: Option<UpstreamId>,
-    /// The directory says that it is to lose its keys.
+    /// Whether it is registered as draining.
     is_draining: bool,
 }
 
 impl Path {
     fn is_open(&self) -> bool {
-        !self.is_cut && self.back_at.is_none()
+        !self.is_cut && self.restarts_at.is_none()
     }
 }
 
-/// A process that stood still went on.
+/// A process that was paused and has resumed.
 #[derive(Clone, Copy, Debug)]
-struct Continued {
+struct ResumedProcess {
     term: Term,
     at: Time,
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Debug)]
 pub struct World {
     scope: Scope,
     ranges: Vec<KeyRange>,
     now: Time,
-    left: Faults,
+    remaining_faults: Faults,
     process: Option<Process>,
-    /// When the next granter is there.
+    /// When the next granter takes over.
     successor_at: Option<Time>,
     terms: u64,
-    /// Stands still and was succeeded.
-    stalled: Option<Process>,
+    /// A paused granter that has a successor.
+    superseded: Option<Process>,
     store_fails: bool,
     /// The newest durable record.
     record: AssignmentRecord,
     upstreams: Vec<Upstream>,
     paths: Vec<Path>,
-    copies: Vec<HeldCopy>,
-    /// Written at this moment; what becomes of them is to be decided.
-    undecided: VecDeque<GrantOrder>,
+    copies: Vec<DelayedCopy>,
+    /// Orders sent at this moment whose delivery is still to be chosen.
+    pending_orders: VecDeque<GrantOrder>,
     standby: Option<Standby>,
-    continued: Vec<Continued>,
-    judge: Judge,
-    /// Written down for a reader; no part of the state.
-    lines: Option<Vec<Line>>,
+    resumed: Vec<ResumedProcess>,
+    checker: InvariantChecker,
+    /// Trace of events, if enabled; not part of the state.
+    trace: Option<Vec<TraceEntry>>,
 }
 
-/// Hashes what is written to it.
+/// Hashes the text written to it.
 struct HashWriter(DefaultHasher);
 
 impl Write for HashWriter {
@@ -153,16 +153,21 @@
 }
 
 impl World {
-    /// Tells states apart. The granter shows all that it has only to be read by people, so
-    /// that is what is hashed.
+    /// Returns a hash that identifies the state. The granter exposes its complete state only through
+    /// its `Debug` output, so that is what is hashed.
     pub fn fingerprint(&self) -> u64 {
         let mut writer = HashWriter(DefaultHasher::new());
-        let time = (self.now, self.left, self.successor_at, self.terms);
-        let processes = (&self.process, &self.stalled, &self.continued);
+        let time = (
+            self.now,
+            self.remaining_faults,
+            self.successor_at,
+            self.terms,
+        );
+        let processes = (&self.process, &self.superseded, &self.resumed);
         let stored = (self.store_fails, &self.record);
         let upstreams = (&self.upstreams, &self.paths);
-        let orders = (&self.copies, &self.undecided);
-        // Writing to a hasher can't fail.
+        let orders = (&self.copies, &self.pending_orders);
+        // Writing to a hasher cannot fail.
         let _ = write!(
             writer,
             "{:?}",
@@ -173,63 +178,65 @@
                 upstreams,
                 orders,
                 &self.standby,
-                &self.judge
+                &self.checker
             )
         );
         writer.0.finish()
     }
 
-    /// What is broken, if something is.
-    pub fn broken(&self) -> Option<&Broken> {
-        self.judge.broken.as_ref()
+    /// Returns the first violation, if there is one.
+    pub fn violation(&self) -> Option<&Violation> {
+        self.checker.violation.as_ref()
     }
 
-    /// Begins to write down what happens.
-    pub fn write_down(&mut self) {
-        self.lines = Some(Vec::new());
+    /// Starts recording a trace.
+    pub fn enable_trace(&mut self) {
+        self.trace = Some(Vec::new());
     }
 
-    /// What was written down.
-    pub fn lines(self) -> Vec<Line> {
-        self.lines.unwrap_or_default()
+    /// Returns the recorded trace.
+    pub fn trace(self) -> Vec<TraceEntry> {
+        self.trace.unwrap_or_default()
     }
 
-    fn note(&mut self, text: impl FnOnce() -> String) {
+    fn trace_event(&mut self, text: impl FnOnce() -> String) {
         let at = self.now;
-        if let Some(lines) = &mut self.lines {
-            lines.push(Line { at, text: text() });
+        if let Some(trace) = &mut self.trace {
+            trace.push(TraceEntry { at, text: text() });
         }
     }
 
-    /// What may happen next.
+    /// Returns the possible next steps.
     pub fn steps(&self) -> Vec<Step> {
-        if !self.undecided.is_empty() {
-            return self.fates();
+        if !self.pending_orders.is_empty() {
+            return self.delivery_steps();
         }
-        let mut steps = vec![Step::Pass];
+        let mut steps = vec![Step::AdvanceTime];
         let arriving = self.copies.iter().enumerate();
-        let arriving = arriving.filter(|(_, copy)| self.may_arrive(copy));
-        steps.extend(arriving.map(|(index, _)| Step::CopyArrives(index)));
+        let arriving = arriving.filter(|(_, copy)| self.can_arrive(copy));
+        steps.extend(arriving.map(|(index, _)| Step::DeliverCopy(index)));
         steps.extend(self.fault_steps());
         steps
     }
 
-    /// Does a step that [`World::steps`] lists.
+    /// Applies a step that [`World::steps`] returned.
     pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Pass => self.pass(),
-            Step::Arrives | Step::HeldUp | Step::Twice | Step::Late => self.decide(step),
-            Step::CopyArrives(index) => self.copy_arrives(index),
+            Step::AdvanceTime => self.advance_time(),
+            Step::Deliver | Step::Delay | Step::LoseReply | Step::DeferExecution => {
+                self.apply_delivery(step)
+            }
+            Step::DeliverCopy(index) => self.deliver_copy(index),
             Step::Cut(upstream) => self.cut(upstream),
             Step::Heal(upstream) => self.heal(upstream),
-            Step::Stand(upstream) => self.stand(upstream),
-            Step::GoOn(upstream) => self.go_on(upstream),
+            Step::PauseUpstream(upstream) => self.pause_upstream(upstream),
+            Step::ResumeUpstream(upstream) => self.resume_upstream(upstream),
             Step::RestartSameId(upstream) => self.restart(upstream, true),
             Step::RestartNewId(upstream) => self.restart(upstream, false),
             Step::Drain(upstream) => self.drain(upstream),
-            Step::EndGranter => self.end_granter(),
-            Step::FreezeGranter => self.freeze_granter(),
-            Step::ContinueGranter => self.continue_granter(),
+            Step::StopGranter => self.stop_granter(),
+            Step::PauseGranter => self.pause_granter(),
+            Step::ResumeGranter => self.resume_granter(),
             Step::StoreFails => self.store_fails(),
             Step::StoreReturns => self.store_returns(),
         }
--- a/crates/grantsearch/src/world/start.rs
+++ b/crates/grantsearch/src/world/start.rs
@@ -1,7 +1,7 @@
-//! How a history begins: all ranges held and renewed, nobody at fault.
+//! The initial state: all ranges are held and renewed, without faults.
 
 use super::{Path, Process, World};
-use crate::check::Judge;
+use crate::check::InvariantChecker;
 use crate::scope::{Faults, Scope};
 use crate::standby::{Standby, standby_id};
 use crate::transport::Term;
@@ -16,21 +16,21 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The term of the record that the first granter finds.
+/// Term of the record that the first granter reads.
 const FOUNDING_TERM: u64 = 1;
-/// After that a granter counts nothing of the one before it any more.
+/// Time after which a granter no longer allows for grants of its predecessor.
 const WARM_UP: Duration = Duration::from_millis(5_000);
-/// Requests a second that an upstream can work on; all are alike.
+/// Requests per second that each upstream can serve.
 const CAPACITY: f64 = 20.0;
 
-/// The id of an upstream, by its index and how often it had another.
+/// Returns the id of an upstream from its index and incarnation number.
 pub(super) fn upstream_id(index: usize, number: u32) -> UpstreamId {
     let letter = char::from(b'a' + index as u8);
     UpstreamId::from(format!("{letter}{number}"))
 }
 
 impl World {
-    /// A world in which the first granter has held its place for some time.
+    /// Creates a state in which the first granter has been the leader for some time.
     pub fn new(scope: &Scope) -> Self {
         let ranges = KeyRange::ALL.divide(scope.ranges as u32);
         let ids = (0..scope.upstreams).map(|index| upstream_id(index, 1));
@@ -40,35 +40,35 @@
             scope: *scope,
             ranges,
             now: Time::ZERO,
-            left: Faults::default(),
+            remaining_faults: Faults::default(),
             process: None,
             successor_at: None,
             terms: FOUNDING_TERM,
-            stalled: None,
+            superseded: None,
             store_fails: false,
             record,
             paths: vec![Path::default(); upstreams.len()],
             upstreams,
             copies: Vec::new(),
-            undecided: VecDeque::new(),
+            pending_orders: VecDeque::new(),
             standby: scope.standby.then(Standby::default),
-            continued: Vec::new(),
-            judge: Judge::new(scope),
-            lines: None,
+            resumed: Vec::new(),
+            checker: InvariantChecker::new(scope),
+            trace: None,
         };
         world.elect();
         while world.now < Time::ZERO + WARM_UP {
             world.tick();
         }
-        world.left = scope.faults;
+        world.remaining_faults = scope.faults;
         world
     }
 
-    /// A granter takes over by the durable record.
+    /// Starts a granter from the durable record.
     pub(super) fn elect(&mut self) {
         self.terms += 1;
         let term = self.terms;
-        self.note(|| format!("granter {term} takes over"));
+        self.trace_event(|| format!("granter {term} takes over"));
         let epoch = Epoch(term);
         let granter = Granter::new(self.now, self.scope.timing, epoch, Some(&self.record));
         let mut process = Process {
@@ -76,18 +76,18 @@
             granter,
             calls: Vec::new(),
             connected: vec![false; self.upstreams.len()],
-            is_frozen: false,
+            is_paused: false,
         };
         if self.scope.standby {
             process.granter.set_standbys(self.now, &[standby_id()]);
         }
         self.process = Some(process);
         self.successor_at = None;
-        self.tell_candidates();
+        self.update_candidates();
     }
 
-    /// The directory tells the granter which upstreams there are.
-    pub(super) fn tell_candidates(&mut self) {
+    /// Passes the registered upstreams to the granter.
+    pub(super) fn update_candidates(&mut self) {
         let registered = self.upstreams.iter().zip(&self.paths);
         let candidates: Vec<Candidate> = registered
             .map(|(upstream, path)| candidate(upstream.id.clone(), path.is_draining))
@@ -111,8 +111,8 @@
     }
 }
 
-/// A record in which each range is held by another upstream. A granter makes it, so that
-/// it has all that records have; only its slices are others.
+/// Creates a record in which each range is held by a different upstream. A granter creates the
+/// record so that it is complete; only its slices are replaced.
 fn founding_record(scope: &Scope, upstreams: &[Upstream], ranges: &[KeyRange]) -> AssignmentRecord {
     let epoch = Epoch(FOUNDING_TERM);
     let mut granter = Granter::new(Time::ZERO, scope.timing, epoch, None);
--- a/crates/grantsearch/tests/kept.rs
+++ b/crates/grantsearch/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Scopes in which the rule is kept: connections are reset when a call is given up on.
+//! Scopes without violations: connections are reset when a call times out.
 
 mod common;
 
@@ -12,7 +12,7 @@
         cuts: 1,
         ..Faults::default()
     });
-    scope.longest_pass = Duration::from_millis(100);
+    scope.max_time_step = Duration::from_millis(100);
     assert_kept(&scope, 100);
 }
 
@@ -20,33 +20,33 @@
 fn with_two_cuts_and_two_messages_held_up() {
     let faults = Faults {
         cuts: 2,
-        messages: 2,
+        delayed_messages: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
 }
 
-/// An upstream that stands still, or is slow, carries orders out when its path is whole again.
+/// A paused or slow upstream executes orders after its path has recovered.
 #[test]
 fn with_orders_that_lie_with_their_upstream_and_two_cuts() {
     let faults = Faults {
         cuts: 2,
-        late: 2,
+        deferred_orders: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 14);
 }
 
-/// A process that stands still for any time, beside all else that may leave an order lying.
+/// A process that is paused for any time, combined with the other causes of late execution.
 #[test]
 fn with_an_upstream_that_stands_still_for_any_time() {
     let mut scope = reset().with(Faults {
         cuts: 2,
-        stands: 1,
-        late: 1,
+        upstream_pauses: 1,
+        deferred_orders: 1,
         ..Faults::default()
     });
-    scope.asks_first = true;
+    scope.probe_before_grant = true;
     assert_kept(&scope, 11);
 }
 
@@ -54,21 +54,21 @@
 fn with_a_granter_succeeded_twice() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 2,
+        delayed_messages: 1,
+        granter_exits: 2,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
 }
 
-/// Keys that are asked for go on at once, not after a hold.
+/// Released keys are reassigned at once, not after a hold.
 #[test]
 fn with_upstreams_that_drain() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
+        delayed_messages: 1,
         drains: 2,
-        ends: 1,
+        granter_exits: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 10);
@@ -78,8 +78,8 @@
 fn with_a_granter_that_stands_still() {
     let faults = Faults {
         cuts: 1,
-        ends: 1,
-        freezes: 1,
+        granter_exits: 1,
+        granter_pauses: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 13);
@@ -89,8 +89,8 @@
 fn with_an_upstream_that_has_another_id_after_a_restart() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         restarts_new_id: 1,
         ..Faults::default()
     };
@@ -101,20 +101,20 @@
 fn with_an_upstream_that_restarts_under_its_id() {
     let faults = Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         restarts_same_id: 1,
         ..Faults::default()
     };
     assert_kept(&reset().with(faults), 11);
 }
 
-/// What is left of a connection is lost with the process that it led to.
+/// Data in flight on a connection is lost when the receiving process restarts.
 #[test]
 fn with_an_upstream_that_restarts_while_the_granter_stands_still() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        freezes: 1,
+        granter_pauses: 1,
         restarts_same_id: 1,
         ..Faults::default()
     });
@@ -126,8 +126,8 @@
 fn with_three_upstreams_and_two_ranges() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         ..Faults::default()
     });
     scope.upstreams = 3;
@@ -139,8 +139,8 @@
 fn with_a_standby() {
     let mut scope = reset().with(Faults {
         cuts: 1,
-        messages: 1,
-        ends: 1,
+        delayed_messages: 1,
+        granter_exits: 1,
         ..Faults::default()
     });
     scope.standby = true;
--- a/crates/node/src/command/explain.rs
+++ b/crates/node/src/command/explain.rs
@@ -1,7 +1,7 @@
-//! `explain`: the story of a request or a key from log lines.
+//! `explain`: reconstructs the timeline of a request or a key from log lines.
 
 use super::{ExplainArguments, Outcome};
-use beamtray_explain::{Entry, Line, key_story, request_story};
+use beamtray_explain::{Line, TimelineEntry, key_timeline, request_timeline};
 use eyre::{Result, WrapErr};
 use std::fs::File;
 use std::io::{BufRead, BufReader, stdin};
@@ -9,24 +9,24 @@
 pub(super) fn run(arguments: &ExplainArguments) -> Result<Outcome> {
     let (request, key) = (&arguments.request, arguments.key);
     if request.is_some() == key.is_some() {
-        eprintln!("name one of --request and --key");
+        eprintln!("specify exactly one of --request and --key");
         return Ok(Outcome::Invalid);
     }
     let lines = read(&arguments.files)?;
-    let story = match (request, key) {
-        (Some(request), _) => request_story(&lines, request),
-        (None, Some(key)) => key_story(&lines, arguments.service.as_deref(), key),
+    let timeline = match (request, key) {
+        (Some(request), _) => request_timeline(&lines, request),
+        (None, Some(key)) => key_timeline(&lines, arguments.service.as_deref(), key),
         (None, None) => Vec::new(),
     };
-    Ok(print(&story, lines.len()))
+    Ok(print(&timeline, lines.len()))
 }
 
-fn print(story: &[Entry], lines: usize) -> Outcome {
-    if story.is_empty() {
-        eprintln!("none of {lines} lines tells of it");
+fn print(timeline: &[TimelineEntry], lines: usize) -> Outcome {
+    if timeline.is_empty() {
+        eprintln!("no matching entry in {lines} log lines");
         return Outcome::Failed;
     }
-    for entry in story {
+    for entry in timeline {
         print!("{entry}");
     }
     Outcome::Done
--- a/crates/node/src/edge/callers.rs
+++ b/crates/node/src/edge/callers.rs
@@ -1,18 +1,18 @@
-//! The edge for callers.
+//! HTTP server for callers.
 
-use crate::event::{EdgeEvent, UnseenCaller};
+use crate::event::{EdgeEvent, ResponderGuard};
 use beamtray_http::{CallerServer, CallerServerConfig, HttpRequest, HttpResponse, Target};
 use beamtray_routing::CallerRequest;
 use beamtray_types::{ServiceName, StepError};
 use stakker::sync::Channel;
 
-/// Header with the time that a caller still waits, in milliseconds.
+/// Header with the time left until the caller's deadline, in milliseconds.
 pub(crate) const DEADLINE_HEADER: &str = "beamtray-deadline-ms";
-/// Header with the caller's own name for the request.
+/// Header with the caller's idempotency key for the request.
 pub(crate) const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Headers that concern one connection only (RFC 9110, 7.6.1) or that
-/// beamtray writes itself.
-const OWN_HEADERS: [&str; 12] = [
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1) and
+/// headers that beamtray sets itself.
+const UNFORWARDED_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
     "host",
@@ -27,7 +27,7 @@
     IDEMPOTENCY_HEADER,
 ];
 
-/// Starts taking callers' requests.
+/// Starts the HTTP server for callers.
 pub(crate) fn serve_callers(
     config: CallerServerConfig,
     events: Channel<EdgeEvent>,
@@ -35,7 +35,7 @@
     CallerServer::start(config, move |request, responder| {
         match caller_request(request) {
             Some(request) => {
-                let caller = UnseenCaller::new(responder);
+                let caller = ResponderGuard::new(responder);
                 events.send(EdgeEvent::Caller(request, caller));
             }
             None => {
@@ -53,7 +53,7 @@
         .and_then(|millis| millis.trim().parse::<u64>().ok())
         .map(|millis| millis.saturating_mul(1_000));
     let idempotency_key = request.header(IDEMPOTENCY_HEADER).map(str::to_owned);
-    let whole = if request.query.is_empty() {
+    let path_and_query = if request.query.is_empty() {
         request.path
     } else {
         format!("{}?{}", request.path, request.query)
@@ -63,19 +63,19 @@
         key: target.key,
         method: request.method,
         path: target.rest,
-        target: whole,
-        headers: end_to_end(request.headers),
+        target: path_and_query,
+        headers: end_to_end_headers(request.headers),
         body: request.body,
         deadline_micros,
         idempotency_key,
     })
 }
 
-/// The headers that are passed on.
-pub(crate) fn end_to_end(headers: Vec<(String, String)>) -> Vec<(String, String)> {
+/// Returns the headers that are forwarded.
+pub(crate) fn end_to_end_headers(headers: Vec<(String, String)>) -> Vec<(String, String)> {
     headers
         .into_iter()
-        .filter(|(name, _)| !OWN_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !UNFORWARDED_HEADERS.contains(&name.as_str()))
         .filter(|(name, _)| !name.starts_with("beamtray-"))
         .collect()
 }
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -1,4 +1,5 @@
-//! Edge threads: they carry bytes and typed messages, and decide nothing.
+//! I/O threads: HTTP servers and clients that pass typed messages to and from the
+//! event loop and make no decisions.
 
 mod callers;
 mod operators;
@@ -8,6 +9,6 @@
 
 pub(crate) use callers::serve_callers;
 pub(crate) use operators::{operator_response, serve_operators};
-pub(crate) use platform::PlatformEdge;
+pub(crate) use platform::PlatformClient;
 pub(crate) use responders::ResponderPool;
-pub(crate) use upstreams::UpstreamEdge;
+pub(crate) use upstreams::UpstreamClient;
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,8 +1,9 @@
-//! Connections between nodes: borsh frames over TCP, in the loop.
+//! Connections between nodes: Borsh frames over TCP, handled in the event loop.
 //!
-//! A node dials whom it sends to and only reads from whom it accepted. A link
-//! reports what it never sent, so that the core can tell `not run` from
-//! `unknown`, and that it broke, so that nothing is waited for in vain.
+//! Connections are unidirectional: a node sends on connections it opened and
+//! reads from connections it accepted. A link reports messages that were never
+//! sent, so that the core can tell `not run` from `unknown`, and a broken
+//! connection, so that the core stops waiting for replies.
 
 use beamtray_control::{Envelope, PeerMessage};
 use beamtray_types::NodeId;
@@ -16,15 +17,15 @@
 
 const POLL_PRIORITY: u32 = 5;
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// A peer that lets this much pile up unread is cut off.
+/// The connection is closed when more than this is buffered for a peer that does not read.
 const MAX_UNSENT_BYTES: usize = 32 * 1024 * 1024;
-/// Connections accepted at once.
+/// Maximum number of accepted connections open at once.
 const MAX_ACCEPTED: usize = 4_096;
 
-/// What became of a link.
+/// Why a link closed.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// The connection could not be made; these messages were never sent.
+    /// The connection could not be established; these messages were never sent.
     NotConnected(Vec<PeerMessage>),
     /// The connection broke; messages on it may be lost.
     Broken,
@@ -35,13 +36,13 @@
     node: NodeId,
     stream: TcpStreamBuf,
     connected: bool,
-    waiting: Vec<PeerMessage>,
-    ended: bool,
+    unsent: Vec<PeerMessage>,
+    closed: bool,
     events: Fwd<(NodeId, LinkEvent)>,
 }
 
 impl PeerLink {
-    /// Dials a peer.
+    /// Starts connecting to a peer.
     pub(crate) fn init(
         cx: CX![],
         node: NodeId,
@@ -52,8 +53,8 @@
             node,
             stream: TcpStreamBuf::new(),
             connected: false,
-            waiting: Vec::new(),
-            ended: false,
+            unsent: Vec::new(),
+            closed: false,
             events,
         };
         let ready = fwd_to!([cx], ready() as (Ready));
@@ -68,67 +69,67 @@
                 link.stream.init(source);
                 link.stream.set_nodelay(true);
             }
-            Err(_) => link.end(cx),
+            Err(_) => link.close(cx),
         }
         Some(link)
     }
 
-    /// Sends a message, at once or when the connection is made.
+    /// Sends a message, buffering it until the connection is established.
     pub(crate) fn send(&mut self, cx: CX![], frame: Vec<u8>, message: PeerMessage) {
-        if self.ended {
-            let unsent = LinkEvent::NotConnected(vec![message]);
-            return self.events.fwd((self.node, unsent));
+        if self.closed {
+            let event = LinkEvent::NotConnected(vec![message]);
+            return self.events.fwd((self.node, event));
         }
         self.stream.out.extend_from_slice(&frame);
         if !self.connected {
-            self.waiting.push(message);
+            self.unsent.push(message);
         }
         if self.stream.out.len() > MAX_UNSENT_BYTES || self.stream.flush().is_err() {
-            self.end(cx);
+            self.close(cx);
         }
     }
 
     fn ready(&mut self, cx: CX![], ready: Ready) {
-        if self.ended {
+        if self.closed {
             return;
         }
         if ready.is_error() || ready.is_read_closed() {
-            return self.end(cx);
+            return self.close(cx);
         }
         if ready.is_writable() {
             self.stream.pause_writes(false);
             if self.stream.flush().is_err() {
-                return self.end(cx);
+                return self.close(cx);
             }
             self.connected = true;
-            self.waiting.clear();
+            self.unsent.clear();
         }
-        // The peer never writes here: readable means that it closed.
+        // The peer never writes on this connection: readable means that it closed it.
         if ready.is_readable() && self.connected {
             match self.stream.read(READ_CHUNK_BYTES) {
                 ReadStatus::NewData | ReadStatus::WouldBlock => {}
-                ReadStatus::EndOfStream | ReadStatus::Error(_) => self.end(cx),
+                ReadStatus::EndOfStream | ReadStatus::Error(_) => self.close(cx),
             }
         }
     }
 
-    fn end(&mut self, cx: CX![]) {
-        if self.ended {
+    fn close(&mut self, cx: CX![]) {
+        if self.closed {
             return;
         }
-        self.ended = true;
+        self.closed = true;
         self.stream.deinit();
         let event = if self.connected {
             LinkEvent::Broken
         } else {
-            LinkEvent::NotConnected(std::mem::take(&mut self.waiting))
+            LinkEvent::NotConnected(std::mem::take(&mut self.unsent))
         };
         self.events.fwd((self.node, event));
         stop!(cx);
     }
 }
 
-/// Encodes a message for a link.
+/// Encodes an envelope as a frame, or returns `None` if it cannot be encoded.
 pub(crate) fn frame(envelope: &Envelope) -> Option<Vec<u8>> {
     encode(envelope).ok()
 }
@@ -185,15 +186,15 @@
             let received = new.len();
             self.frames.extend(new);
             self.stream.rd = self.stream.wr;
-            if !self.take_frames(received) {
+            if !self.deliver_frames(received) {
                 stop!(cx);
                 return;
             }
         }
     }
 
-    /// Passes whole frames on; false when the stream cannot be read further.
-    fn take_frames(&mut self, received: usize) -> bool {
+    /// Forwards complete frames; returns false if the stream is invalid.
+    fn deliver_frames(&mut self, received: usize) -> bool {
         let mut received = received;
         loop {
             match self.frames.next_message::<Envelope>() {
@@ -211,7 +212,7 @@
     }
 }
 
-/// Accepts connections of peers.
+/// Accepts connections from peers.
 pub(crate) struct PeerListener {
     listener: MioSource<TcpListener>,
     readers: stakker::ActorOwnSlab<PeerReader>,
@@ -220,7 +221,7 @@
 }
 
 impl PeerListener {
-    /// Starts accepting.
+    /// Starts accepting connections.
     pub(crate) fn init(
         cx: CX![],
         listener: std::net::TcpListener,
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,12 +1,12 @@
-//! The actor around the core's: it carries out what the core asks for and
-//! brings it what happened.
+//! The actor that connects the core's actor to the outside: it performs the
+//! core's outputs and delivers inputs to it.
 
-use crate::edge::{PlatformEdge, ResponderPool, UpstreamEdge, operator_response};
-use crate::event::{EdgeEvent, Probe, not_run};
+use crate::edge::{PlatformClient, ResponderPool, UpstreamClient, operator_response};
+use crate::event::{EdgeEvent, Probe, not_run_response};
 use crate::logging;
 use crate::metrics::Metrics;
 use crate::peer::{LinkEvent, PeerLink, frame};
-use beamtray_actor::{NodeActor, ProcessClock, TICK};
+use beamtray_actor::{NodeActor, ProcessClock, TICK_INTERVAL};
 use beamtray_control::{
     ControlConfig, Envelope, Event, Input, Level, NodeCore, OperatorCall, Output, PeerMessage,
 };
@@ -20,33 +20,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// After a failed connection a peer is not dialled again for this long.
-const REDIAL_PAUSE: Duration = Duration::from_millis(150);
+/// Delay before reconnecting to a peer after a link failed.
+const REDIAL_DELAY: Duration = Duration::from_millis(150);
 
-/// Everything that a shell needs from outside.
+/// Dependencies of a [`Shell`].
 pub(crate) struct ShellParts {
     pub(crate) control: ControlConfig,
     pub(crate) peers: BTreeMap<NodeId, SocketAddr>,
-    pub(crate) upstreams: UpstreamEdge,
-    pub(crate) platform: PlatformEdge,
+    pub(crate) upstreams: UpstreamClient,
+    pub(crate) platform: PlatformClient,
     pub(crate) responders: ResponderPool,
     pub(crate) log: Logger,
 }
 
 struct Caller {
     responder: Responder,
-    since: Instant,
+    received_at: Instant,
 }
 
-/// Carries a node's core.
+/// Runs a node's core and performs its I/O.
 pub(crate) struct Shell {
     node: ActorOwn<NodeActor>,
     config: ControlConfig,
     peers: BTreeMap<NodeId, SocketAddr>,
     links: BTreeMap<NodeId, ActorOwn<PeerLink>>,
     redial_at: BTreeMap<NodeId, Instant>,
-    upstreams: UpstreamEdge,
-    platform: PlatformEdge,
+    upstreams: UpstreamClient,
+    platform: PlatformClient,
     responders: Option<ResponderPool>,
     callers: BTreeMap<RequestId, Caller>,
     operators: BTreeMap<OperatorCall, Responder>,
@@ -65,7 +65,7 @@
         let outputs = fwd_to!([cx], output() as (Output));
         let control = parts.control.clone();
         let node = actor!(cx, NodeActor::init(control, clock, outputs), ret_nop!());
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self {
             node,
             config: parts.control,
@@ -85,22 +85,22 @@
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
-        self.notice_gone_callers();
+        after!(TICK_INTERVAL, [cx], tick());
+        self.cancel_disconnected_callers();
         self.input(Input::Tick);
     }
 
-    /// Callers whose connection closed need no answer any more.
-    fn notice_gone_callers(&mut self) {
-        let gone: Vec<RequestId> = self
+    /// Removes callers whose connection closed and reports them to the core.
+    fn cancel_disconnected_callers(&mut self) {
+        let disconnected: Vec<RequestId> = self
             .callers
             .iter()
-            .filter(|(_, caller)| caller.responder.is_gone())
+            .filter(|(_, caller)| caller.responder.is_disconnected())
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in disconnected {
             self.callers.remove(&id);
-            self.input(Input::CallerGone { id });
+            self.input(Input::CallerDisconnected { id });
         }
     }
 
@@ -108,18 +108,24 @@
         call!([self.node], input(input));
     }
 
-    /// Takes a message of an edge thread.
-    pub(crate) fn edge(&mut self, cx: CX![], event: EdgeEvent) {
+    /// Handles a message from an I/O thread.
+    pub(crate) fn handle_edge_event(&mut self, cx: CX![], event: EdgeEvent) {
         match event {
             EdgeEvent::Input(input) => self.input(input),
             EdgeEvent::Caller(request, caller) => {
-                let Some(responder) = caller.seen() else {
+                let Some(responder) = caller.into_responder() else {
                     return;
                 };
                 let id = RequestId(self.next_request);
                 self.next_request += 1;
-                let since = cx.now();
-                self.callers.insert(id, Caller { responder, since });
+                let received_at = cx.now();
+                self.callers.insert(
+                    id,
+                    Caller {
+                        responder,
+                        received_at,
+                    },
+                );
                 self.input(Input::Caller { id, request });
             }
             EdgeEvent::Operator(request, responder) => {
@@ -134,20 +140,21 @@
 
     fn probe(&mut self, probe: Probe, responder: Responder) {
         let metrics = Rc::clone(&self.metrics);
-        let look = Box::new(move |core: &NodeCore| {
+        let inspection = Box::new(move |core: &NodeCore| {
             let response = match probe {
                 Probe::Health => HttpResponse::text(200, "ok\n"),
                 Probe::Ready if core.admits() => HttpResponse::text(200, "ready\n"),
                 Probe::Ready => HttpResponse::text(503, "not admitting requests\n"),
                 Probe::Metrics => HttpResponse::text(200, metrics.encode(core)),
             };
-            // Small and for private addresses: written in place.
+            // These responses are small and go to internal addresses, so they are written
+            // directly from the event loop.
             responder.respond(response);
         });
-        call!([self.node], inspect(look));
+        call!([self.node], inspect(inspection));
     }
 
-    /// Takes a message of another node.
+    /// Handles a message from another node.
     pub(crate) fn peer_message(&mut self, _: CX![], received: usize, envelope: Envelope) {
         self.metrics.peer_bytes_received.inc_by(received as u64);
         self.metrics.peer_messages_received.inc();
@@ -160,7 +167,7 @@
         });
     }
 
-    /// A peer sent what cannot be read; its connection is closed.
+    /// Logs an invalid frame, after which the peer's connection is closed, or a failed accept.
     pub(crate) fn peer_refused(&mut self, _: CX![], address: SocketAddr, cause: String) {
         let event = Event::new(Level::Warning, "peer_refused")
             .with("step", "read frame")
@@ -199,9 +206,9 @@
         let Some(caller) = self.callers.remove(&id) else {
             return;
         };
-        let elapsed = cx.now().saturating_duration_since(caller.since);
+        let elapsed = cx.now().saturating_duration_since(caller.received_at);
         self.metrics
-            .answered(answer.status, answer.run_state, elapsed);
+            .record_answer(answer.status, answer.run_state, elapsed);
         self.respond(caller.responder, answer_response(answer));
     }
 
@@ -234,7 +241,8 @@
         }
     }
 
-    /// Starts a link unless the last one failed just now.
+    /// Opens a link unless the redial delay after the last one has not elapsed;
+    /// returns whether it was opened.
     fn dial(&mut self, cx: CX![], to: NodeId) -> bool {
         let Some(address) = self.peers.get(&to).copied() else {
             return false;
@@ -250,7 +258,7 @@
 
     fn link_event(&mut self, cx: CX![], node: NodeId, event: LinkEvent) {
         self.links.remove(&node);
-        self.redial_at.insert(node, cx.now() + REDIAL_PAUSE);
+        self.redial_at.insert(node, cx.now() + REDIAL_DELAY);
         match event {
             LinkEvent::NotConnected(messages) => {
                 for message in messages {
@@ -261,12 +269,12 @@
         }
     }
 
-    /// The planned stop is complete: answers are written out, then the loop ends.
+    /// Completes the planned stop: flushes responses, then stops the event loop.
     fn stopped(&mut self, cx: CX![], cut_off: usize) {
-        // Where the core has concluded all that it took, it has not seen the requests that
-        // are still here, and its word about them would come too late.
+        // If the core completed every request it received, the callers left here belong to
+        // requests it has not received, and it can no longer answer them.
         if cut_off == 0 {
-            self.refuse_unseen();
+            self.reject_undelivered_requests();
         }
         if let Some(responders) = self.responders.take() {
             responders.finish();
@@ -276,15 +284,15 @@
 }
 
 impl Shell {
-    /// Tells the callers whose requests the core has not taken that they did not run.
-    fn refuse_unseen(&mut self) {
+    /// Answers `not-run` to callers whose requests the core has not received.
+    fn reject_undelivered_requests(&mut self) {
         for (_, caller) in std::mem::take(&mut self.callers) {
-            self.respond(caller.responder, not_run());
+            self.respond(caller.responder, not_run_response());
         }
     }
 }
 
-/// A caller's answer as HTTP.
+/// Converts a caller's answer to an HTTP response.
 fn answer_response(answer: Answer) -> HttpResponse {
     let mut response = HttpResponse {
         status: answer.status,
--- a/crates/ownership/src/granter.rs
+++ b/crates/ownership/src/granter.rs
@@ -1,4 +1,5 @@
-//! The leader's side: renewals, new sets, and what may be given away.
+//! The leader's side of the grant protocol: renewals, new sets, and tracking
+//! which slices may be reassigned.
 
 use crate::grant::{GrantReply, GrantRequest, GrantSet, GrantedSlice};
 use beamtray_types::{
@@ -13,34 +14,38 @@
 pub struct GranterConfig {
     /// The control group.
     pub group: GroupId,
-    /// Between renewals, and how long an answer is awaited.
+    /// Renewal interval, and how long a reply is awaited.
     pub renewal: Duration,
-    /// Life of a grant on the server's clock.
+    /// Lifetime of a grant on the server's clock.
     pub grant: Duration,
-    /// The same stretched by the clock drift: how long the granter counts it.
+    /// The lifetime extended by the maximum clock drift: how long the granter
+    /// treats a grant as live.
     pub grant_bound: Duration,
-    /// Checks that protect sole ownership.
+    /// Checks that protect exclusive ownership.
     pub guards: GranterGuards,
 }
 
-/// Checks that a test can switch off one by one to see what each is for.
+/// Checks that tests can disable one by one to demonstrate what each protects.
 #[derive(Clone, Copy, Debug)]
 pub struct GranterGuards {
-    /// A silent owner's slices wait until its grants lapsed.
-    pub waits_for_lapse: bool,
-    /// A new leader waits until the grants of leaders before it lapsed.
-    pub waits_for_former: bool,
-    /// A revoked slice waits for requests in flight at its old owner.
+    /// Slices of an unresponsive owner are not reassigned before its grants
+    /// expire.
+    pub waits_for_expiry: bool,
+    /// A new leader waits until the grants of previous leaders have expired.
+    pub waits_for_previous_leaders: bool,
+    /// A revoked slice is not reassigned while its old owner has requests in
+    /// flight on it.
     pub waits_for_release: bool,
-    /// A new run of a server waits for the grants of the run before.
+    /// A new incarnation of a server gets no grant before those of the previous
+    /// incarnation expire.
     pub checks_incarnation: bool,
 }
 
 impl Default for GranterGuards {
     fn default() -> Self {
         Self {
-            waits_for_lapse: true,
-            waits_for_former: true,
+            waits_for_expiry: true,
+            waits_for_previous_leaders: true,
             waits_for_release: true,
             checks_incarnation: true,
         }
@@ -58,67 +63,67 @@
     pub request: GrantRequest,
 }
 
-/// Slices taken out of a server's set, until they are surely free.
+/// Slices removed from a server's set that may not be reassignable yet.
 #[derive(Clone, Debug)]
 struct Removed {
     ranges: Vec<SliceRange>,
-    /// Number of the first set without them.
+    /// Sequence number of the first set without them.
     sequence: u64,
-    /// When the last grant with them has lapsed, on the granter's clock.
-    lapses: Time,
+    /// Expiry of the last grant that includes them, on the granter's clock.
+    expires_at: Time,
     released: bool,
 }
 
-/// Number of a link's first set; 0 stands for none acknowledged.
-const FIRST_SEQUENCE: u64 = 1;
-/// Between questions whether requests in flight on revoked slices have ended.
-const RELEASE_POLL: Duration = Duration::from_millis(10);
-/// How long a lapsed removal is remembered. Long past the longest grant.
-const REMOVED_MEMORY: Duration = Duration::from_secs(60);
+/// Sequence number of a link's first set; 0 means that none is acknowledged.
+const INITIAL_SEQUENCE: u64 = 1;
+/// Interval between polls for the end of requests in flight on revoked slices.
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long an expired removal is kept; far longer than the longest grant.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
-struct Link {
+struct ServerLink {
     address: SocketAddr,
     incarnation: Option<Incarnation>,
-    /// The server's clock and when its reading arrived.
+    /// Reading of the server's clock, and the local time when it arrived.
     reading: Option<(Time, Time)>,
     set: Vec<GrantedSlice>,
     sequence: u64,
     acknowledged: u64,
     sent_at: Option<Time>,
-    due: Time,
-    /// When every grant sent so far has lapsed.
-    lapses: Time,
-    /// When the latest grant of this leader lapses.
+    next_send_at: Time,
+    /// Expiry of the last of all grants sent so far.
+    expires_at: Time,
+    /// Expiry of this leader's latest grant.
     granted_until: Option<Time>,
-    /// Before this a run that did not hold a grant must get none: another run
-    /// of the same server may hold one.
-    quiet_until: Time,
+    /// Until this time an incarnation that held no grant must not be given one:
+    /// another incarnation of the same server may still hold one.
+    no_grants_before: Time,
     removed: Vec<Removed>,
     created: Time,
     last_reply: Option<Time>,
 }
 
-/// Grants of one leader in one term.
+/// Issues and tracks the grants of one leader in one term.
 #[derive(Clone, Debug)]
 pub struct Granter {
     config: GranterConfig,
     generation: Generation,
     term: Term,
-    /// When the grants of every earlier leader have lapsed.
-    former_lapses: Time,
-    links: BTreeMap<ServerName, Link>,
+    /// Time by which the grants of all previous leaders have expired.
+    previous_grants_expire_at: Time,
+    links: BTreeMap<ServerName, ServerLink>,
 }
 
 impl Granter {
-    /// Starts granting after an election at `elected_at`.
+    /// Creates a granter for a leader elected at `elected_at`.
     pub fn new(
         config: GranterConfig,
         generation: Generation,
         term: Term,
         elected_at: Time,
     ) -> Self {
-        let wait = if config.guards.waits_for_former {
+        let wait = if config.guards.waits_for_previous_leaders {
             config.grant_bound
         } else {
             Duration::ZERO
@@ -127,40 +132,39 @@
             config,
             generation,
             term,
-            former_lapses: elected_at + wait,
+            previous_grants_expire_at: elected_at + wait,
             links: BTreeMap::new(),
         }
     }
 
-    /// States which servers there are, where, and what each is to hold.
+    /// Sets the servers with their addresses and the slices granted to each.
     pub fn set_servers(
         &mut self,
         now: Time,
         servers: impl IntoIterator<Item = (ServerName, SocketAddr, Vec<GrantedSlice>)>,
     ) {
         for (name, address, set) in servers {
-            let former_lapses = self.former_lapses;
+            let previous_grants_expire_at = self.previous_grants_expire_at;
             let link = self
                 .links
                 .entry(name)
-                .or_insert_with(|| Link::new(address, now, former_lapses));
+                .or_insert_with(|| ServerLink::new(address, now, previous_grants_expire_at));
             if link.address != address {
                 link.address = address;
-                link.forget_run();
+                link.reset_process_state();
             }
             link.set_slices(now, set);
         }
     }
 
-    /// Stops dealing with servers that are neither kept nor able to act under
-    /// a grant of this leader.
+    /// Drops servers that `keep` does not select and whose grants have expired.
     pub fn retain(&mut self, now: Time, keep: impl Fn(&ServerName) -> bool) {
         self.links
-            .retain(|name, link| keep(name) || now < link.lapses);
+            .retain(|name, link| keep(name) || now < link.expires_at);
     }
 
-    /// Messages that are due. `has_lease` is the leader's own lease at `now`;
-    /// without it nothing is sent.
+    /// Returns the messages that are due. `has_lease` tells whether the leader's
+    /// own lease is valid at `now`; without it nothing is sent.
     pub fn poll(&mut self, now: Time, has_lease: bool) -> Vec<PendingGrant> {
         if !has_lease {
             return Vec::new();
@@ -170,7 +174,7 @@
             .iter_mut()
             .filter(|(_, link)| link.is_due(now, config.renewal))
             .map(|(name, link)| {
-                link.due = now + config.renewal;
+                link.next_send_at = now + config.renewal;
                 link.sent_at = Some(now);
                 PendingGrant {
                     server: name.clone(),
@@ -181,11 +185,12 @@
             .collect()
     }
 
-    /// Takes a server's reply; whether it may allow what was not possible
-    /// before: slices were released, or the server was silent. A reading counts only when the leader's lease
-    /// is valid as it arrives: this bounds what a leader that is paused and
-    /// replaced can still send, to grants that lapse before its successor
-    /// stops waiting.
+    /// Handles a server's reply. Returns whether it may unblock changes: slices
+    /// were released, or the server had been unresponsive.
+    ///
+    /// A clock reading is used only if the leader's lease is valid when it
+    /// arrives. A leader that is paused and replaced can therefore only send
+    /// grants that expire before its successor stops waiting.
     pub fn handle(
         &mut self,
         now: Time,
@@ -194,7 +199,7 @@
         has_lease: bool,
     ) -> bool {
         let guards = self.config.guards;
-        let ours = (self.generation, self.term);
+        let current_leader = (self.generation, self.term);
         let Some(link) = self.links.get_mut(server) else {
             return false;
         };
@@ -202,16 +207,16 @@
         if !has_lease {
             return false;
         }
-        let was_silent = link
+        let was_unresponsive = link
             .last_reply
-            .is_none_or(|heard| now.since(heard) >= self.config.renewal * 2);
-        let waiting = link.removed.len();
+            .is_none_or(|last_heard_at| now.since(last_heard_at) >= self.config.renewal * 2);
+        let removed_before = link.removed.len();
         if link.incarnation != Some(reply.incarnation) {
-            // A state from before this generation may have missed the latest
-            // assignments, so only grants of this generation are continued.
+            // State from an earlier generation may lack the latest assignments,
+            // so only grants of this generation are renewed.
             let same_generation = reply.version.generation == self.generation;
             let holding = reply.was_holding && same_generation;
-            link.meet_run(now, reply.incarnation, holding, guards);
+            link.handle_new_incarnation(now, reply.incarnation, holding, guards);
         }
         link.last_reply = Some(now);
         let newer = link
@@ -220,97 +225,102 @@
         if newer {
             link.reading = Some((reply.reading, now));
         }
-        if (reply.version.generation, reply.version.term) == ours {
+        if (reply.version.generation, reply.version.term) == current_leader {
             link.acknowledge(reply, guards.waits_for_release);
             if link.is_releasing() {
-                // Requests are in flight on slices that someone waits for.
-                link.due = link.due.min(now + RELEASE_POLL);
+                // Requests are in flight on slices that are to be reassigned.
+                link.next_send_at = link.next_send_at.min(now + RELEASE_POLL_INTERVAL);
             }
         }
-        was_silent || link.removed.len() < waiting
+        was_unresponsive || link.removed.len() < removed_before
     }
 
-    /// Notes that a message got no answer.
-    pub fn failed(&mut self, server: &ServerName) {
+    /// Records that a message got no reply.
+    pub fn record_no_reply(&mut self, server: &ServerName) {
         if let Some(link) = self.links.get_mut(server) {
             link.sent_at = None;
         }
     }
 
-    /// Whether no grant that covers any of `range` can be acted under at
-    /// `server`, so that the range may go to another.
+    /// Whether `server` holds no usable grant for any part of `range`, so that
+    /// the range may be assigned to another server.
     pub fn is_free(&self, now: Time, server: &ServerName, range: SliceRange) -> bool {
         let guards = self.config.guards;
         let Some(link) = self.links.get(server) else {
-            return now >= self.former_lapses;
+            return now >= self.previous_grants_expire_at;
         };
-        if !guards.waits_for_lapse {
+        if !guards.waits_for_expiry {
             return true;
         }
         if link.set.iter().any(|slice| slice.range.overlaps(&range)) {
             return false;
         }
-        if now < link.quiet_until {
+        if now < link.no_grants_before {
             return false;
         }
         let removed = link.removed.iter();
         removed
             .filter(|removed| removed.ranges.iter().any(|other| other.overlaps(&range)))
-            .all(|removed| removed.released || now >= removed.lapses)
+            .all(|removed| removed.released || now >= removed.expires_at)
     }
 
-    /// Whether a server has been silent for so long that all its grants
-    /// lapsed; and since when.
-    pub fn lapsed_since(&self, now: Time, server: &ServerName) -> Option<Time> {
+    /// Time at which all grants of an unresponsive server expired; `None` while
+    /// one may still be valid.
+    pub fn expired_since(&self, now: Time, server: &ServerName) -> Option<Time> {
         let link = self.links.get(server)?;
-        let heard = link.last_reply.unwrap_or(link.created);
-        let lapsed = (heard + self.config.grant_bound).max(link.lapses);
-        (now >= lapsed).then_some(lapsed)
+        let last_heard_at = link.last_reply.unwrap_or(link.created);
+        let expired_at = (last_heard_at + self.config.grant_bound).max(link.expires_at);
+        (now >= expired_at).then_some(expired_at)
     }
 
-    /// Whether the server was first asked within `patience` and has not
-    /// answered yet.
-    pub fn is_awaited(&self, now: Time, server: &ServerName, patience: Duration) -> bool {
+    /// Whether the server was first contacted less than `timeout` ago and has
+    /// not replied yet.
+    pub fn is_first_reply_pending(
+        &self,
+        now: Time,
+        server: &ServerName,
+        timeout: Duration,
+    ) -> bool {
         self.links
             .get(server)
-            .is_some_and(|link| link.last_reply.is_none() && now.since(link.created) < patience)
+            .is_some_and(|link| link.last_reply.is_none() && now.since(link.created) < timeout)
     }
 
-    /// Whether the server may act under an unexpired grant of this leader.
+    /// Whether the server may hold an unexpired grant of this leader.
     pub fn is_granted(&self, now: Time, server: &ServerName) -> bool {
         let link = self.links.get(server);
         link.is_some_and(|link| link.granted_until.is_some_and(|until| now < until))
     }
 
-    /// Whether the server answered within the last two renewals.
+    /// Whether the server replied within the last two renewal intervals.
     pub fn is_answering(&self, now: Time, server: &ServerName) -> bool {
         self.links.get(server).is_some_and(|link| {
             link.last_reply
-                .is_some_and(|heard| now.since(heard) < self.config.renewal * 2)
+                .is_some_and(|last_heard_at| now.since(last_heard_at) < self.config.renewal * 2)
         })
     }
 }
 
-impl Link {
-    fn new(address: SocketAddr, now: Time, former_lapses: Time) -> Self {
+impl ServerLink {
+    fn new(address: SocketAddr, now: Time, previous_grants_expire_at: Time) -> Self {
         Self {
             address,
             incarnation: None,
             reading: None,
             set: Vec::new(),
-            sequence: FIRST_SEQUENCE,
+            sequence: INITIAL_SEQUENCE,
             acknowledged: 0,
             sent_at: None,
-            due: now,
-            lapses: former_lapses,
+            next_send_at: now,
+            expires_at: previous_grants_expire_at,
             granted_until: None,
-            quiet_until: former_lapses,
-            // Whatever earlier leaders granted is in force until the server
-            // takes a set of this leader, or until it lapsed.
+            no_grants_before: previous_grants_expire_at,
+            // Grants of previous leaders remain in force until they expire or
+            // the server accepts a set of this leader.
             removed: vec![Removed {
                 ranges: vec![SliceRange::ALL],
-                sequence: FIRST_SEQUENCE,
-                lapses: former_lapses,
+                sequence: INITIAL_SEQUENCE,
+                expires_at: previous_grants_expire_at,
                 released: false,
             }],
             created: now,
@@ -318,12 +328,12 @@
         }
     }
 
-    /// The server is to be met anew, at another address.
-    fn forget_run(&mut self) {
+    /// Discards what is known of the server's process after its address changed.
+    fn reset_process_state(&mut self) {
         self.incarnation = None;
         self.reading = None;
         self.acknowledged = 0;
-        self.quiet_until = self.quiet_until.max(self.lapses);
+        self.no_grants_before = self.no_grants_before.max(self.expires_at);
     }
 
     fn set_slices(&mut self, now: Time, set: Vec<GrantedSlice>) {
@@ -341,19 +351,19 @@
             self.removed.push(Removed {
                 ranges: gone,
                 sequence: self.sequence,
-                lapses: self.lapses,
+                expires_at: self.expires_at,
                 released: false,
             });
         }
         self.removed
-            .retain(|removed| !removed.released && now < removed.lapses + REMOVED_MEMORY);
+            .retain(|removed| !removed.released && now < removed.expires_at + REMOVED_RETENTION);
         self.set = set;
-        self.due = now;
+        self.next_send_at = now;
     }
 
     fn is_due(&self, now: Time, renewal: Duration) -> bool {
-        let waiting = self.sent_at.is_some_and(|sent| now.since(sent) < renewal);
-        now >= self.due && !waiting
+        let removed_before = self.sent_at.is_some_and(|sent| now.since(sent) < renewal);
+        now >= self.next_send_at && !removed_before
     }
 
     fn request(
@@ -363,14 +373,14 @@
         generation: Generation,
         term: Term,
     ) -> GrantRequest {
-        let may_grant = self.incarnation.is_some() && now >= self.quiet_until;
+        let can_grant = self.incarnation.is_some() && now >= self.no_grants_before;
         let valid_until = self
             .reading
-            .filter(|_| may_grant)
+            .filter(|_| can_grant)
             .map(|(reading, received)| {
-                let lapses = received + config.grant_bound;
-                self.lapses = self.lapses.max(lapses);
-                self.granted_until = self.granted_until.max(Some(lapses));
+                let expires_at = received + config.grant_bound;
+                self.expires_at = self.expires_at.max(expires_at);
+                self.granted_until = self.granted_until.max(Some(expires_at));
                 reading + config.grant
             });
         let set = if self.acknowledged == self.sequence {
@@ -381,19 +391,20 @@
         GrantRequest {
             group: config.group,
             version: Fence::new(generation, term, LogIndex(self.sequence)),
-            // Without leave to grant, the message is a probe of the clock.
-            incarnation: self.incarnation.filter(|_| may_grant),
+            // While granting is not allowed, the message only probes the clock.
+            incarnation: self.incarnation.filter(|_| can_grant),
             valid_until,
             set,
         }
     }
 
-    /// Another run of the server than the one known answers.
+    /// Handles a reply from an incarnation of the server not seen before.
     ///
-    /// A run that holds an unexpired grant proves that whoever granted it had
-    /// waited for the runs before, so its grants can be renewed at once. Any
-    /// other run waits until whatever an earlier run may hold has lapsed.
-    fn meet_run(
+    /// If it holds an unexpired grant, the leader that issued the grant had
+    /// already waited for earlier incarnations, so its grants can be renewed at
+    /// once. Otherwise it gets no grant until all grants that an earlier
+    /// incarnation may hold have expired.
+    fn handle_new_incarnation(
         &mut self,
         now: Time,
         incarnation: Incarnation,
@@ -402,17 +413,17 @@
     ) {
         let first = self.last_reply.is_none();
         if first && holding {
-            self.quiet_until = now;
+            self.no_grants_before = now;
         } else if guards.checks_incarnation {
-            self.quiet_until = self.quiet_until.max(self.lapses);
+            self.no_grants_before = self.no_grants_before.max(self.expires_at);
         }
         self.incarnation = Some(incarnation);
         self.reading = None;
         self.acknowledged = 0;
-        self.due = now.min(self.due);
+        self.next_send_at = now.min(self.next_send_at);
     }
 
-    /// Whether the server took a set without some slices and still has
+    /// Whether the server accepted a set without some slices and still has
     /// requests in flight on them.
     fn is_releasing(&self) -> bool {
         self.removed
@@ -424,11 +435,11 @@
         let sequence = reply.version.index.0;
         self.acknowledged = self.acknowledged.max(sequence);
         for removed in &mut self.removed {
-            let quiet = !removed
+            let no_requests_in_flight = !removed
                 .ranges
                 .iter()
                 .any(|range| reply.releasing.iter().any(|other| other.overlaps(range)));
-            if sequence >= removed.sequence && (quiet || !waits_for_release) {
+            if sequence >= removed.sequence && (no_requests_in_flight || !waits_for_release) {
                 removed.released = true;
             }
         }
--- a/crates/router/src/core/message.rs
+++ b/crates/router/src/core/message.rs
@@ -130,10 +130,10 @@
     AllLoad(LoadSum),
     /// Response statistics of upstreams, forwarded by a relay.
     Answers(Vec<AnswerStats>),
-    /// An upstream is gone: a different one answered at its address.
-    UpstreamGone(UpstreamId),
+    /// An upstream has terminated: a different one answered at its address.
+    UpstreamTerminated(UpstreamId),
     /// To the granter: an upstream asked the sender to stop sending requests for a while.
-    Rest(RestNotice),
+    Backoff(BackoffNotice),
     /// Upstreams that announced in responses that they are shutting down.
     UpstreamsLeaving(Vec<UpstreamId>),
     /// Requests suspected to have crashed upstreams.
@@ -152,7 +152,7 @@
     StandbyReport(StandbyReport),
     /// Asks for a permit to send a suspected request.
     TrialRequest(TrialRequest),
-    /// The lender's reply to a trial request.
+    /// The issuer's reply to a trial request.
     TrialReply(TrialReply),
     /// The outcome of a trial.
     TrialReport(TrialReport),
@@ -160,17 +160,17 @@
     RateLimits(Vec<RateLimitUpdate>),
     /// Asks for permits to send requests to a rate-limited upstream.
     PermitRequest(PermitRequest),
-    /// The lender's reply to a permit request.
+    /// The issuer's reply to a permit request.
     PermitReply(PermitReply),
 }
 
 /// An upstream's request to receive no requests for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct RestNotice {
+pub struct BackoffNotice {
     /// The upstream that asked.
     pub upstream: UpstreamHash,
     /// Duration asked for, in milliseconds.
-    pub rest_ms: u32,
+    pub backoff_ms: u32,
 }
 
 /// The result of a connection attempt to an upstream.
@@ -210,11 +210,11 @@
         upstream: UpstreamId,
     },
     /// An upstream rejected a request and asked this node to send none for a while.
-    RestRequested {
+    BackoffRequested {
         /// The upstream that asked.
         upstream: UpstreamId,
         /// How long no requests are to be sent.
-        rest: Duration,
+        backoff: Duration,
     },
     /// The client disconnected.
     Cancelled {
@@ -244,7 +244,7 @@
     },
     /// A different incarnation answers at an upstream's address.
     Replaced {
-        /// The upstream that is gone.
+        /// The upstream that has terminated.
         upstream: UpstreamId,
     },
     /// A connection attempt that checks an upstream has completed.
--- a/crates/router/src/core/node.rs
+++ b/crates/router/src/core/node.rs
@@ -1,12 +1,12 @@
 //! The core of one node: it handles timestamped inputs and returns outputs.
 
+mod backoff;
 mod fetch;
 mod gossip;
 mod leaving;
 mod load;
 mod quarantine;
 mod rate_limits;
-mod rests;
 mod slots;
 mod standby;
 mod store_health;
@@ -178,8 +178,8 @@
                 }
             }
             Input::UpstreamLeaving { upstream } => self.handle_leaving(now, upstream),
-            Input::RestRequested { upstream, rest } => {
-                self.handle_rest_request(now, &upstream, rest)
+            Input::BackoffRequested { upstream, backoff } => {
+                self.handle_backoff_request(now, &upstream, backoff)
             }
             Input::Cancelled { ticket } => {
                 self.dispatcher.cancel(ticket);
@@ -193,7 +193,7 @@
                 reply,
             } => {
                 if reply == GrantReply::Replaced {
-                    self.views.proved_gone(now, &order.holder);
+                    self.views.confirm_terminated(now, &order.holder);
                     self.apply_view_changes(now);
                 }
                 if epoch == STANDBY_TERM {
@@ -205,8 +205,8 @@
                 self.poll_control(now);
             }
             Input::Replaced { upstream } => {
-                self.control.proved_gone(&upstream);
-                self.handle_gone(now, upstream);
+                self.control.confirm_terminated(&upstream);
+                self.handle_replaced(now, upstream);
             }
             Input::Probed { upstream, liveness } => self.handle_probe(now, &upstream, liveness),
             Input::Resumed => self.resumed(now),
@@ -243,20 +243,20 @@
             Datagram::AllLoad(sum) => self.handle_all_load(now, from, sum),
             Datagram::Answers(answers) => self.handle_answers(now, from, answers),
             // The granter reassigns keys only on evidence of its own.
-            Datagram::UpstreamGone(upstream) => {
-                self.views.proved_gone(now, upstream);
+            Datagram::UpstreamTerminated(upstream) => {
+                self.views.confirm_terminated(now, upstream);
                 self.apply_view_changes(now);
-                self.handle_upstream_ended(now, upstream);
+                self.handle_upstream_terminated(now, upstream);
             }
-            Datagram::Rest(notice) => self.handle_rest_notice(now, notice),
+            Datagram::Backoff(notice) => self.handle_backoff_notice(now, notice),
             Datagram::UpstreamsLeaving(upstreams) => self.handle_leaving_notice(now, upstreams),
             Datagram::SlotRequest(request) => self.assign_slot(now, from, request),
             Datagram::SlotReply(reply) => self.dispatcher.handle_slot_reply(now, *reply),
-            Datagram::TrialRequest(request) => self.lend_trial(now, from, request),
+            Datagram::TrialRequest(request) => self.issue_trial_permit(now, from, request),
             Datagram::TrialReply(reply) => self.handle_trial_reply(now, reply),
             Datagram::TrialReport(report) => self.handle_trial_report(now, report),
             Datagram::RateLimits(limits) => self.handle_limits(now, limits),
-            Datagram::PermitRequest(request) => self.lend_permits(now, from, request),
+            Datagram::PermitRequest(request) => self.issue_permits(now, from, request),
             Datagram::PermitReply(reply) => self.dispatcher.handle_permit_reply(now, reply),
             Datagram::Suspicions(suspicions) => self.handle_suspicions(now, suspicions),
             Datagram::KeyReport(report) => self.control.add_key_report(report),
@@ -273,15 +273,15 @@
         }
     }
 
-    /// Handles proof that an upstream is gone, and informs the other nodes so that they need not
-    /// each send it a request to find out.
-    fn handle_gone(&mut self, now: Time, upstream: UpstreamId) {
+    /// Handles proof that an upstream has terminated, and informs the other nodes so that they need
+    /// not each send it a request to find out.
+    fn handle_replaced(&mut self, now: Time, upstream: UpstreamId) {
         let was_known = self.views.directory.get(&upstream).is_some();
-        self.views.proved_gone(now, &upstream);
+        self.views.confirm_terminated(now, &upstream);
         self.apply_view_changes(now);
-        self.handle_upstream_ended(now, &upstream);
+        self.handle_upstream_terminated(now, &upstream);
         if was_known {
-            self.send(Datagram::UpstreamGone(upstream), Audience::All);
+            self.send(Datagram::UpstreamTerminated(upstream), Audience::All);
         }
     }
 
@@ -520,7 +520,7 @@
                 | Datagram::TrialRequest(_)
                 | Datagram::PermitRequest(_)
                 | Datagram::KeyReport(_)
-                | Datagram::Rest(_)
+                | Datagram::Backoff(_)
                 | Datagram::Answers(_)
                 | Datagram::StandbyReport(_)
                 | Datagram::StandbyLease(_)
--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -255,7 +255,7 @@
         registry.register(
             "permits",
             "Permits for upstreams that name a rate: questions and what was used here; lent and \
-             denied as a lender",
+             denied as an issuer",
             self.permits.clone(),
         );
         registry.register(
@@ -323,7 +323,7 @@
         self.waiting.set(waiting as i64);
         self.under_way.set(under_way as i64);
         self.slots_in_use.clear();
-        self.remove_gone_upstreams(core);
+        self.remove_deregistered_upstreams(core);
         for registration in views.directory.iter() {
             let id = &registration.record.id;
             let label = UpstreamLabel {
@@ -351,12 +351,12 @@
         self.limited_upstreams
             .set(dispatcher.rate_limited_count() as i64);
         self.resting_upstreams
-            .set(dispatcher.resting_count(now) as i64);
+            .set(dispatcher.backed_off_count(now) as i64);
         let permits = dispatcher.permit_counts();
         for (outcome, count) in [
             ("asked", permits.asked),
             ("used", permits.used),
-            ("lent", permits.lent),
+            ("lent", permits.issued),
             ("denied", permits.denied),
         ] {
             let label = PermitLabel { outcome };
@@ -418,8 +418,8 @@
         }
     }
 
-    /// Removes the histograms of upstreams that are gone.
-    fn remove_gone_upstreams(&self, core: &NodeCore) {
+    /// Removes the histograms of deregistered upstreams.
+    fn remove_deregistered_upstreams(&self, core: &NodeCore) {
         let directory = &core.inspect().0.directory;
         let known = |name: &String| directory.registered(&UpstreamName(name.clone())).is_some();
         self.upstreams_with_latency.borrow_mut().retain(|id| {
--- a/crates/router/src/shell/peers.rs
+++ b/crates/router/src/shell/peers.rs
@@ -5,7 +5,7 @@
 use crate::shell::handle::Shared;
 use beamtray_dispatch::KeyReport;
 use beamtray_metastore::Revision;
-use beamtray_wire::{FrameBuffer, FrameError, Packed, encode};
+use beamtray_wire::{CompressedMessage, FrameBuffer, FrameError, encode};
 use bytes::Bytes;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -108,8 +108,8 @@
     let mut stream = TcpStream::connect(address).await?;
     configure_socket(&stream);
     stream.write_all(&encode(request)?).await?;
-    let packed: Packed = read_message(&mut stream).await?;
-    Ok(packed.open()?)
+    let packed: CompressedMessage = read_message(&mut stream).await?;
+    Ok(packed.decompress()?)
 }
 
 async fn read_message<T: borsh::BorshDeserialize>(stream: &mut TcpStream) -> Result<T, PeerError> {
@@ -215,7 +215,7 @@
     let bytes = match receiver.await.map_err(|_| PeerError::Ended)? {
         PreparedAnswer::Cached(bytes) => bytes,
         PreparedAnswer::Fresh(replica_states, snapshots) => {
-            let bytes = Bytes::from(encode(&Packed::new(&snapshots)?)?);
+            let bytes = Bytes::from(encode(&CompressedMessage::new(&snapshots)?)?);
             shared.answer_cache.store(CachedAnswer {
                 request,
                 replica_states,
--- a/crates/router/tests/node.rs
+++ b/crates/router/tests/node.rs
@@ -6,7 +6,7 @@
 use beamtray_router::core::{
     Datagram, Input, LatestRevisions, NodeCore, NodeRecord, Output, RouterKeys, Snapshot, ViewName,
 };
-use beamtray_routersim::{SimDialect, usual_settings};
+use beamtray_routersim::{SimDialect, default_settings};
 use beamtray_types::Time;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 }
 
 fn core_with(dialect: Rc<SimDialect>) -> NodeCore {
-    let config = usual_settings(0).core_config(3);
+    let config = default_settings(0).core_config(3);
     NodeCore::new(config, dialect)
 }
 
@@ -44,7 +44,7 @@
 /// Guards against repeated reports of a replaced upstream: in a system of 70 nodes, each node
 /// had to send a request to each of 15 upstreams whose addresses had passed to others.
 #[test]
-fn proof_that_an_upstream_is_gone_is_sent_once() {
+fn proof_that_an_upstream_terminated_is_sent_once() {
     let dialect = Rc::new(SimDialect::default());
     let mut core = core_with(dialect.clone());
     let upstream = UpstreamId::from("u-1".to_owned());
@@ -73,19 +73,19 @@
     core.handle(at(10), Input::Snapshots(address(2), vec![snapshot]));
     let heard = Datagram::Answers(Vec::new());
     core.handle(at(20), Input::Datagram(address(2), heard));
-    let gone = |outputs: Vec<Output>| {
-        let is_gone_report =
-            |output: &Output| matches!(output, Output::Send(Datagram::UpstreamGone(_), _));
+    let termination_reports = |outputs: Vec<Output>| {
+        let is_termination_report =
+            |output: &Output| matches!(output, Output::Send(Datagram::UpstreamTerminated(_), _));
         outputs
             .iter()
-            .filter(|output| is_gone_report(output))
+            .filter(|output| is_termination_report(output))
             .count()
     };
     let replaced = || Input::Replaced {
         upstream: upstream.clone(),
     };
-    assert_eq!(gone(core.handle(at(30), replaced())), 1);
-    assert_eq!(gone(core.handle(at(40), replaced())), 0);
+    assert_eq!(termination_reports(core.handle(at(30), replaced())), 1);
+    assert_eq!(termination_reports(core.handle(at(40), replaced())), 0);
     let (views, _, _) = core.inspect();
     assert!(views.directory.get(&upstream).is_none());
 }
@@ -112,7 +112,7 @@
 /// A copy of the members view with `count` other nodes of this zone, in order of rising
 /// capacity.
 fn members(count: u16) -> Snapshot {
-    let own = usual_settings(0).core_config(3).control.record;
+    let own = default_settings(0).core_config(3).control.record;
     let others = (1..=count).map(|index| NodeRecord {
         name: format!("other-{index:02}"),
         run: 1,
@@ -163,7 +163,7 @@
     let mut core = core();
     core.handle(at(0), Input::Tick);
     assert_eq!(snapshot_sources(core.handle(at(490), Input::Tick)), []);
-    let seeds = &usual_settings(0).seeds;
+    let seeds = &default_settings(0).seeds;
     let first = snapshot_sources(core.handle(at(510), Input::Tick));
     assert!(!first.is_empty() && first.iter().all(|one| seeds.contains(one)));
 }
--- a/crates/routersim/src/check/tokens.rs
+++ b/crates/routersim/src/check/tokens.rs
@@ -1,50 +1,50 @@
-//! Under which tokens upstreams had each key.
+//! Tracks the fencing tokens under which upstreams have held each key.
 
 use beamtray_catalog::UpstreamId;
 use beamtray_sharding::KeyRange;
 use std::fmt;
 
-/// An upstream, in one of its lives or over all that have its name, by what stands for the
-/// incarnation.
+/// An upstream. `incarnation` identifies one process or, when incarnations are merged, all
+/// processes with its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// Its number.
+    /// Index of the upstream.
     pub index: usize,
-    /// Its incarnation.
+    /// Number of its incarnation.
     pub incarnation: u64,
-    /// Its name.
+    /// Its identity.
     pub id: UpstreamId,
 }
 
-/// A grant as an upstream takes it.
+/// A grant that an upstream accepts.
 #[derive(Clone, Copy, Debug)]
-pub struct Taking {
-    /// The keys.
+pub struct GrantObservation {
+    /// The granted keys.
     pub range: KeyRange,
-    /// The token.
+    /// The fencing token.
     pub token: u64,
-    /// Whether it tells against the router if the token is too low.
+    /// Whether a token that is too low counts as a violation.
     pub is_counted: bool,
 }
 
-/// A token under which an upstream had a key.
+/// A token under which an upstream has held a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Had {
+struct TokenUse {
     token: u64,
     index: usize,
     incarnation: u64,
 }
 
-impl Had {
+impl TokenUse {
     fn is_by(&self, holder: &Holder) -> bool {
         (self.index, self.incarnation) == (holder.index, holder.incarnation)
     }
 }
 
-/// The highest token of a key, and the highest of all other holders.
+/// The highest token of a key and the highest among its other holders.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyTokens {
-    highest: Had,
+    highest: TokenUse,
     of_others: u64,
 }
 
@@ -62,7 +62,7 @@
             self.highest.token = self.highest.token.max(token);
         } else if token > self.highest.token {
             self.of_others = self.highest.token;
-            self.highest = Had {
+            self.highest = TokenUse {
                 token,
                 index: holder.index,
                 incarnation: holder.incarnation,
@@ -73,16 +73,16 @@
     }
 }
 
-/// A token that is not above all under which others had the keys.
+/// A token that is not higher than all tokens of other holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TokenTooLow {
     token: u64,
-    others_had: u64,
+    highest_other_token: u64,
 }
 
 impl fmt::Display for TokenTooLow {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (token, had) = (self.token, self.others_had);
+        let (token, had) = (self.token, self.highest_other_token);
         write!(formatter, "under {token}, another had them under {had}")
     }
 }
@@ -102,16 +102,23 @@
 }
 
 impl Tokens {
-    /// An upstream has keys from now on.
-    pub fn take(&mut self, holder: &Holder, taking: Taking) -> Option<TokenTooLow> {
-        let range = taking.range;
+    /// Records an accepted grant and returns an error value if its token is too low.
+    pub fn take(
+        &mut self,
+        holder: &Holder,
+        accepted_grant: GrantObservation,
+    ) -> Option<TokenTooLow> {
+        let range = accepted_grant.range;
         let keys = &mut self.keys[usize::from(range.first.0)..=usize::from(range.last.0)];
-        let mut others_had = 0;
+        let mut highest_other_token = 0;
         for key in keys {
-            others_had = others_had.max(key.highest_of_others(holder));
-            key.note(holder, taking.token);
+            highest_other_token = highest_other_token.max(key.highest_of_others(holder));
+            key.note(holder, accepted_grant.token);
         }
-        let token = taking.token;
-        (others_had >= token && taking.is_counted).then_some(TokenTooLow { token, others_had })
+        let token = accepted_grant.token;
+        (highest_other_token >= token && accepted_grant.is_counted).then_some(TokenTooLow {
+            token,
+            highest_other_token,
+        })
     }
 }
--- a/crates/routersim/src/lib.rs
+++ b/crates/routersim/src/lib.rs
@@ -1,7 +1,6 @@
-//! Model checking of the router by simulation: real cores of several nodes,
-//! an emulated store and emulated upstreams on one virtual clock, faults drawn
-//! from a seed, and checkers that see only what clients, upstreams and the
-//! store see.
+//! Deterministic simulation testing of the router. Several real node cores run against an
+//! emulated store and emulated upstreams on one virtual clock. Faults are drawn from a seed,
+//! and the checkers observe only what clients, upstreams and the store can observe.
 
 mod check;
 mod dialect;
@@ -9,28 +8,34 @@
 mod guard;
 mod world;
 
-pub use check::{Checkers, Holder, OtherHolder, Promise, Taking, Violation};
+pub use check::{Checkers, GrantObservation, Holder, Invariant, OtherHolder, Violation};
 pub use dialect::SimDialect;
-pub use fault::{CutFrom, Fault, FaultPlan, Trouble};
+pub use fault::{CutFrom, Fault, FaultKind, FaultPlan};
 pub use guard::Guard;
-pub use world::{GiveUp, Outcome, SuspicionCosts, World, WorldConfig, WorldSize, usual_settings};
+pub use world::{
+    CloseMode, Outcome, SuspicionCosts, World, WorldConfig, WorldSize, default_settings,
+};
 
-/// Runs the history of a seed in a world of that size.
-pub fn explore(size: WorldSize, seed: u64) -> Outcome {
+/// Runs the history drawn from a seed in a world of the given size.
+pub fn run_seed(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
     let plan = FaultPlan::draw(seed, &config);
     World::new(config, plan).run()
 }
 
-/// The same with further kinds of trouble: see [`FaultPlan::draw_further`].
-pub fn explore_further(size: WorldSize, seed: u64) -> Outcome {
+/// Like [`run_seed`], with the additional fault kinds of [`FaultPlan::draw_extended`].
+pub fn run_seed_extended(size: WorldSize, seed: u64) -> Outcome {
     let config = WorldConfig::sized(size, seed);
-    let plan = FaultPlan::draw_further(seed, &config);
+    let plan = FaultPlan::draw_extended(seed, &config);
     World::new(config, plan).run()
 }
 
-/// Runs a history of given faults, with a protection switched off or none.
-pub fn play(mut config: WorldConfig, plan: FaultPlan, off: Option<Guard>) -> Outcome {
-    config.off = off;
+/// Runs a history with the given faults and, optionally, with one guard disabled.
+pub fn run_plan(
+    mut config: WorldConfig,
+    plan: FaultPlan,
+    disabled_guard: Option<Guard>,
+) -> Outcome {
+    config.disabled_guard = disabled_guard;
     World::new(config, plan).run()
 }
--- a/crates/routersim/src/world/orders.rs
+++ b/crates/routersim/src/world/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams and their answers.
+//! Orders to upstreams and the replies.
 
 use super::World;
 use super::network::{Event, Run};
@@ -8,13 +8,13 @@
 use beamtray_sharding::{CallId, GrantOrder, GrantReply, OrderKind};
 use std::time::Duration;
 
-/// How soon a connection is refused.
-const REFUSED_IN: Duration = Duration::from_millis(2);
-/// How long it waits for the answer to a release.
+/// Time until a connection is refused.
+const REFUSAL_DELAY: Duration = Duration::from_millis(2);
+/// Time for which a node waits for the response to a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Part of the unanswered orders that are taken late, in percent; the others
-/// are taken at once.
-const LATE: u32 = 50;
+/// Percentage of unanswered orders that are carried out late; the others are carried out at
+/// once.
+const LATE_PERCENT: u32 = 50;
 
 impl World {
     pub(super) fn order_arrives(&mut self, node: usize, run: Run, task: OrderTask, epoch: u64) {
@@ -37,9 +37,10 @@
         };
         let is_up = self.upstreams[index].is_some();
         if !is_up && !self.upstream_state[index].dark {
-            // Nobody listens there: its kernel says so, on old connections and new ones.
+            // No process listens there: the kernel resets existing connections and refuses new
+            // ones.
             self.forget_connections(node, run, index);
-            return self.order_answered(REFUSED_IN, pending, GrantReply::Undelivered);
+            return self.order_answered(REFUSAL_DELAY, pending, GrantReply::Undelivered);
         }
         if !is_up || !self.reaches(node, index) {
             return self.order_lost(index, timeout, pending);
@@ -47,7 +48,7 @@
         let delivery = self.delivery(node, index);
         let percent = self.orders_late_percent;
         let unanswered = percent > 0 && self.chance(percent);
-        if unanswered && self.chance(LATE) {
+        if unanswered && self.chance(LATE_PERCENT) {
             let delay = self.millis(2_000, 12_000);
             let order = pending.order.clone();
             let delivery = Delivery {
@@ -72,7 +73,7 @@
         self.carry_out(index, pending, delivery, true);
     }
 
-    /// An upstream carries an order out and answers, where the answer is waited for.
+    /// Carries out an order at an upstream and replies if the sender still waits.
     pub(super) fn carry_out(
         &mut self,
         index: usize,
@@ -102,7 +103,7 @@
     ) -> Option<GrantReply> {
         let now = self.now;
         let upstream = self.upstreams[index].as_mut()?;
-        let reply = upstream.delivered(now, order, delivery);
+        let reply = upstream.deliver_order(now, order, delivery);
         if reply == Some(GrantReply::Granted) {
             self.check_taken(index, order, delivery);
         }
--- a/crates/routersim/src/world/owners.rs
+++ b/crates/routersim/src/world/owners.rs
@@ -1,8 +1,8 @@
-//! What the checkers are shown of keys that upstreams hold.
+//! Reports key ownership at upstreams to the checkers.
 
 use super::World;
-use crate::check::{Holder, OVERLAP, OtherHolder, Taking};
-use beamtray_emulator::{Delivery, GrantTaken, UpstreamEmulator};
+use crate::check::{GrantObservation, Holder, OVERLAP, OtherHolder};
+use beamtray_emulator::{AcceptedGrant, Delivery, UpstreamEmulator};
 use beamtray_sharding::{GrantOrder, ShardKey};
 
 impl World {
@@ -20,14 +20,14 @@
             .filter_map(|(_, other)| other.as_ref())
     }
 
-    /// A request with a key begins to run.
+    /// Reports the start of a keyed request.
     pub(super) fn check_owner(&mut self, index: usize, key: ShardKey) {
         let now = self.now;
-        // Grants that came right after trouble don't count: their sender could not know
-        // what had become of the keys meanwhile.
+        // Grants that arrived right after a fault don't count, because their sender could not
+        // know what had happened to the keys meanwhile.
         let counted = |upstream: &UpstreamEmulator| {
             let grant = upstream.grant(now, key)?;
-            (!grant.delivery.is_after_trouble).then_some(grant.since)
+            (!grant.delivery.is_after_recovery).then_some(grant.since)
         };
         let Some(upstream) = &self.upstreams[index] else {
             return;
@@ -45,31 +45,32 @@
                 })
             })
             .collect();
-        self.checkers.keyed_begins(now, &id, key, since, &others);
+        self.checkers
+            .keyed_request_started(now, &id, key, since, &others);
     }
 
-    /// An upstream took a grant.
+    /// Reports that an upstream accepted a grant.
     pub(super) fn check_taken(&mut self, index: usize, order: &GrantOrder, delivery: Delivery) {
         let now = self.now;
         let Some(upstream) = &self.upstreams[index] else {
             return;
         };
         let holder = self.holder(index, upstream);
-        let taking = Taking {
+        let accepted_grant = GrantObservation {
             range: order.range,
             token: order.token.0,
-            // As above: the sender could not know. One that was held up or left lying
-            // counts here: its token tells how old it is.
-            is_counted: !delivery.is_after_trouble,
+            // As above, the sender could not know. A delayed grant does count here, because its
+            // token shows its age.
+            is_counted: !delivery.is_after_recovery,
         };
-        self.checkers.takes(now, &holder, taking);
-        // What was held up or left lying lasts from its arrival, later than its sender can
-        // know by any clock.
+        self.checkers.grant_accepted(now, &holder, accepted_grant);
+        // The hold of a delayed grant starts at its arrival, so it ends later than its sender
+        // can know from any clock.
         if delivery.is_late {
             return;
         }
         let ends = upstream.grant(now, order.range.first).map(|own| own.ends);
-        let overlaps = |grant: &GrantTaken| {
+        let overlaps = |grant: &AcceptedGrant| {
             let both_end = ends.map_or(grant.ends, |own| own.min(grant.ends));
             let is_long = both_end.since(now) > OVERLAP;
             is_long && !grant.delivery.is_late && grant.range.overlaps(order.range)
@@ -80,15 +81,15 @@
             if other.grants(now).any(overlaps) {
                 holding.push(other.config.id.clone());
             }
-            if other.works_under_lease(now, order.range) {
+            if other.is_working_under_lease(now, order.range) {
                 working.push(other.config.id.clone());
             }
         }
         for other in holding {
-            self.checkers.taken_twice(now, &holder.id, &other);
+            self.checkers.granted_while_held(now, &holder.id, &other);
         }
         for other in working {
-            self.checkers.taken_from_work(now, &holder.id, &other);
+            self.checkers.granted_during_work(now, &holder.id, &other);
         }
     }
 }
--- a/crates/routersim/src/world/stores.rs
+++ b/crates/routersim/src/world/stores.rs
@@ -1,9 +1,9 @@
-//! The store, its troubles, and the path to it.
+//! The store, its faults and the network path to it.
 
 use super::network::{Event, Run};
-use super::{CONTACT, HOUSEKEEPING, World};
-use crate::check::KEPT_WITHIN;
-use crate::fault::{Fault, Trouble};
+use super::{CONNECTED_AFTER, HOUSEKEEPING, World};
+use crate::check::POISON_PERSIST_TIME;
+use crate::fault::{Fault, FaultKind};
 use beamtray_emulator::{StoreEmulator, StoreReply, WatchWait};
 use beamtray_metastore::{StoreCall, StoreEra, StoreOutcome};
 use beamtray_router::core::{Input, StoreTask};
@@ -11,12 +11,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a node waits for an answer.
+/// Time for which a node waits for a response.
 const TIMEOUT: Duration = Duration::from_millis(900);
-/// Between two copies of the store.
-const COPY_PAUSE: Duration = Duration::from_millis(250);
-/// How long copies are kept.
-const COPIES_KEPT: Duration = Duration::from_secs(20);
+/// Interval between snapshots of the store.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which snapshots are kept.
+const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug)]
 struct Waiting {
@@ -26,66 +26,66 @@
     wait: WatchWait,
 }
 
-/// What is wrong with the store now.
+/// Current faults of the store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StoreState {
     pub down: bool,
     pub lost_percent: u32,
     pub late: bool,
-    pub deaf_until: Time,
-    /// When something was last wrong.
+    pub watches_silent_until: Time,
+    /// Time of the last fault.
     pub disturbed: Option<Time>,
     watches: Vec<Waiting>,
-    /// Its era.
+    /// Era of the store.
     pub era: StoreEra,
-    /// Copies of it, the oldest first; none where it never goes back.
-    copies: VecDeque<(Time, StoreEmulator)>,
-    copy_at: Time,
-    /// The copy from which it comes back, and when that was made.
+    /// Snapshots, oldest first; empty if the history has no rollback.
+    snapshots: VecDeque<(Time, StoreEmulator)>,
+    next_snapshot: Time,
+    /// Snapshot to be restored after the outage, with its time.
     kept: Option<(Time, StoreEmulator)>,
-    went_back: Option<GoneBack>,
+    rollback: Option<Rollback>,
 }
 
-/// The store came back from an older copy.
+/// A rollback of the store to an older snapshot.
 #[derive(Clone, Copy, Debug)]
-struct GoneBack {
+struct Rollback {
     copy_of: Time,
     at: Time,
 }
 
 impl StoreState {
-    /// Notes how the store stands, so that it can go back to that.
+    /// Takes a snapshot of the store if one is due.
     fn copy(&mut self, now: Time, store: &StoreEmulator) {
-        if now < self.copy_at || self.down {
+        if now < self.next_snapshot || self.down {
             return;
         }
-        self.copy_at = now + COPY_PAUSE;
-        self.copies.push_back((now, store.clone()));
-        while now.since(self.copies[0].0) > COPIES_KEPT {
-            self.copies.pop_front();
+        self.next_snapshot = now + SNAPSHOT_INTERVAL;
+        self.snapshots.push_back((now, store.clone()));
+        while now.since(self.snapshots[0].0) > SNAPSHOT_RETENTION {
+            self.snapshots.pop_front();
         }
     }
 
-    /// Chooses the newest copy of that age from which the store comes back.
-    pub fn keep_copy(&mut self, now: Time, age: Duration) {
-        let mut copies = self.copies.iter().rev();
-        let old = copies.find(|(at, _)| now.since(*at) >= age);
-        let copy = old.or(self.copies.front());
+    /// Selects the newest snapshot of at least the given age for the rollback.
+    pub fn select_snapshot(&mut self, now: Time, age: Duration) {
+        let mut snapshots = self.snapshots.iter().rev();
+        let old = snapshots.find(|(at, _)| now.since(*at) >= age);
+        let copy = old.or(self.snapshots.front());
         self.kept = copy.cloned();
     }
 
-    /// Until when the store kept what it was told, for processes that start after `now`: it
-    /// may be about to come back from an older copy, or have done so that lately that nobody
-    /// has told it again.
+    /// Time up to which writes are retained for processes that start after `now`. The store may
+    /// be about to roll back, or may have rolled back so recently that the lost writes have not
+    /// been repeated.
     pub fn keeps_until(&self, now: Time) -> Time {
         let coming = self.kept.as_ref().map(|(copy_of, _)| *copy_of);
         let lately = self
-            .went_back
-            .filter(|gone| now.since(gone.at) < KEPT_WITHIN);
+            .rollback
+            .filter(|gone| now.since(gone.at) < POISON_PERSIST_TIME);
         coming.or(lately.map(|gone| gone.copy_of)).unwrap_or(now)
     }
 
-    /// Drops the watches of a node whose process ended.
+    /// Drops the watches of a node whose process has ended.
     pub fn forget_node(&mut self, node: usize) {
         self.watches.retain(|waiting| waiting.node != node);
     }
@@ -96,10 +96,11 @@
 }
 
 impl World {
-    /// Whether the store has been sound for the contact time.
+    /// Whether the store has been free of faults for [`CONNECTED_AFTER`].
     pub(super) fn is_store_stable(&self) -> bool {
         let disturbed = self.store_state.disturbed;
-        !self.store_state.is_disturbed() && disturbed.is_none_or(|at| self.now.since(at) >= CONTACT)
+        !self.store_state.is_disturbed()
+            && disturbed.is_none_or(|at| self.now.since(at) >= CONNECTED_AFTER)
     }
 
     pub(super) fn store_arrives(
@@ -176,7 +177,7 @@
         self.store.call(self.now, call);
     }
 
-    /// Watches that wait on a path that falls silent never hear.
+    /// Drops watches whose network path fails; they never receive a response.
     pub(super) fn silence_watches(&mut self, concerns: impl Fn(usize) -> bool) {
         let watches = std::mem::take(&mut self.store_state.watches);
         for waiting in watches {
@@ -189,20 +190,20 @@
         }
     }
 
-    /// The store comes back from an older copy, and what operators and upstreams wrote since
-    /// is soon written again.
-    pub(super) fn store_goes_back(&mut self) {
+    /// Restores the store from the selected snapshot and schedules the repetition of later
+    /// writes by operators and upstreams.
+    pub(super) fn roll_back_store(&mut self) {
         let now = self.now;
         self.store_state.down = false;
         self.store_state.disturbed = Some(now);
         self.store_state.era.0 += 1;
         if let Some((copy_of, copy)) = self.store_state.kept.take() {
-            self.store.go_back_to(copy);
-            self.store_state.went_back = Some(GoneBack { copy_of, at: now });
+            self.store.restore(copy);
+            self.store_state.rollback = Some(Rollback { copy_of, at: now });
         }
-        self.store.leases_run = true;
-        self.store.renew_all(now);
-        self.store_state.copies.clear();
+        self.store.lease_expiry_enabled = true;
+        self.store.renew_all_leases(now);
+        self.store_state.snapshots.clear();
         let delay = self.millis(50, 800);
         self.schedule(delay, Event::WritesAgain);
     }
@@ -215,7 +216,7 @@
         self.write_registrations_again();
     }
 
-    /// Tells a node the store's era before what the store says, as answers do.
+    /// Passes the store's era to a node before the outcome, as real responses do.
     pub(super) fn store_answers(
         &mut self,
         node: usize,
@@ -233,7 +234,7 @@
 
     pub(super) fn housekeeping(&mut self) {
         self.schedule(HOUSEKEEPING, Event::Housekeeping);
-        let goes_back = |fault: &Fault| matches!(fault.trouble, Trouble::StoreGoesBack { .. });
+        let goes_back = |fault: &Fault| matches!(fault.kind, FaultKind::StoreGoesBack { .. });
         if self.faults.iter().any(goes_back) {
             self.store_state.copy(self.now, &self.store);
         }
@@ -246,7 +247,7 @@
     }
 
     fn answer_watches(&mut self) {
-        if self.store_state.down || self.now < self.store_state.deaf_until {
+        if self.store_state.down || self.now < self.store_state.watches_silent_until {
             return;
         }
         let watches = std::mem::take(&mut self.store_state.watches);
