--- a/crates/routersim/src/world/upstreams.rs
+++ b/crates/routersim/src/world/upstreams.rs
@@ -1,7 +1,7 @@
-//! Upstreams: registrations, orders and requests.
+//! Simulated upstreams: lifecycle, requests and responses.
 
 use super::network::{Event, Run};
-use super::restarts::tells_birth;
+use super::restarts::reports_birth;
 use super::{KEYED, POOL, World};
 use crate::check::COLD_START;
 use crate::check::Sender;
@@ -22,20 +22,19 @@
 use std::time::Duration;
 
 const PORT: u16 = 8000;
-/// How long it waits for a connection.
+/// Time for which a node waits for a connection.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Part of the crashes after which an old write of the dead upstream comes
-/// late, in percent.
-pub(super) const LATE_REGISTRATION: u32 = 50;
-/// How long an upstream works on a request that ends it.
+/// Percentage of crashes after which a delayed write of the crashed upstream arrives.
+pub(super) const LATE_REGISTRATION_PERCENT: u32 = 50;
+/// Time for which an upstream runs a poison request before it crashes.
 const POISON_WORK: Duration = Duration::from_millis(20);
-/// Heartbeats without a write after which a registration vanishes.
-pub(super) const MISSED: u32 = 3;
+/// Missed heartbeats after which a registration expires.
+pub(super) const MISSED_HEARTBEATS: u32 = 3;
 
-/// How an attempt ends that an upstream turns away.
-const TURNED_AWAY: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
+/// Outcome of an attempt that an upstream rejects.
+const REJECTED: AttemptOutcome = AttemptOutcome::NotExecuted(NotExecuted::Full);
 
-/// An attempt that an upstream has taken.
+/// An attempt accepted by an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Taken {
     node: usize,
@@ -44,22 +43,22 @@
     attempt: u32,
     repeatable: bool,
     poison: Option<String>,
-    /// Whether the upstream began to run it.
+    /// Whether the upstream has begun to run it.
     begun: bool,
 }
 
-/// What an upstream's answer says besides.
+/// Status information in an upstream's response.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub upstream: UpstreamId,
     pub rate: AdvertisedRate,
-    /// Whether the upstream leaves.
+    /// Whether the upstream is leaving.
     pub leaves: bool,
-    /// The rest that it asks for.
+    /// The retry-after period that it requests.
     pub rest: Option<Duration>,
 }
 
-/// A release that waits for work to end.
+/// A release that waits for running work to end.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRelease {
     pub node: usize,
@@ -69,33 +68,33 @@
     pub epoch: u64,
 }
 
-/// What the world knows of an upstream's place.
+/// State of an upstream across its incarnations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamState {
     pub incarnation: u64,
-    /// The incarnation that first had its name.
+    /// First incarnation with its current name.
     named: u64,
-    /// Whether the next incarnation keeps the name.
+    /// Whether the next incarnation keeps its name.
     pub keeps_name: bool,
-    /// Whether the address answers nothing at all.
+    /// Whether connections to the address time out.
     pub dark: bool,
-    /// Since when the store is out of reach.
+    /// Time since which the store is unreachable.
     pub cut_since: Option<Time>,
-    /// The only node that reaches it, if it is cut off.
+    /// The only node that reaches it, if it is partitioned.
     pub reached_from: Option<usize>,
-    /// Who does not reach it.
+    /// Links that are down.
     pub unreached_from: Option<CutFrom>,
-    /// When its links were whole again.
+    /// Time at which its links were restored.
     pub healed_at: Option<Time>,
-    /// Until when it is cold.
+    /// End of its cold start.
     pub cold_until: Time,
-    /// The rate that its answers name.
+    /// Rate limit that its responses advertise.
     pub rate: Option<RequestRate>,
-    /// The rest that it asks for as it turns all requests away.
+    /// Retry-after period with which it rejects all requests.
     pub rest: Option<Duration>,
-    /// Whether its answers say that it leaves.
+    /// Whether its responses announce that it is leaving.
     pub leaves: bool,
-    /// Whether it took its registration back for good.
+    /// Whether it has permanently deleted its registration.
     pub withdrawn: bool,
     pub next_heartbeat: Time,
     taken: BTreeMap<String, Taken>,
@@ -103,8 +102,8 @@
 }
 
 impl UpstreamState {
-    /// What the requests say that end upstreams and that this one has begun to run, once
-    /// for each.
+    /// Contents of the poison requests that this upstream has begun to run, one entry per
+    /// request.
     pub(super) fn poison_under_way(&self) -> Vec<String> {
         let begun = self.taken.values().filter(|taken| taken.begun);
         begun.filter_map(|taken| taken.poison.clone()).collect()
@@ -145,21 +144,21 @@
             healed_at: state.healed_at,
             ..UpstreamState::default()
         };
-        if self.now >= Time::ZERO + self.config.lead {
+        if self.now >= Time::ZERO + self.config.warm_up_time {
             self.upstream_state[index].cold_until = self.now + COLD_START;
         }
         let mut id = UpstreamId::from(format!("u{index}-{named}"));
-        id.started_at = tells_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
-        let divided = index < self.config.keyed;
+        id.started_at = reports_birth(index).then_some(StartTimestamp(self.now.0 / 1_000));
+        let is_sharded = index < self.config.keyed;
         let slowness_percent = [70, 100, 160][self.random.random_range(0..3)];
         self.upstreams[index] = Some(UpstreamEmulator::new(UpstreamConfig {
             id,
-            service: ServiceName::from(if divided { KEYED } else { POOL }),
+            service: ServiceName::from(if is_sharded { KEYED } else { POOL }),
             address: address(index),
             zone: ["a", "b", "c"][index % 3].into(),
             slots: 2,
             queue: 8,
-            divided,
+            is_sharded,
             full: if index.is_multiple_of(2) {
                 FullPolicy::Hang
             } else {
@@ -169,7 +168,7 @@
         }));
     }
 
-    /// An upstream begins to leave.
+    /// Starts the departure of an upstream.
     pub(super) fn drain(&mut self, index: usize, abrupt: bool) {
         let now = self.now;
         let Some(upstream) = &mut self.upstreams[index] else {
@@ -189,7 +188,7 @@
             self.store.put(now, &key_of(&id), value);
         }
         if self.is_store_stable() {
-            self.checkers.leaves(now, &id);
+            self.checkers.upstream_left(now, &id);
         }
         let incarnation = self.upstream_state[index].incarnation;
         let delay = self.millis(2_200, 5_000);
@@ -220,7 +219,7 @@
         self.break_off(index);
     }
 
-    /// Connections of an upstream end.
+    /// Ends the connections of an upstream.
     pub(super) fn break_off(&mut self, index: usize) {
         let dark = self.upstream_state[index].dark;
         let taken = std::mem::take(&mut self.upstream_state[index].taken);
@@ -233,8 +232,8 @@
         }
     }
 
-    /// An upstream ends without a word and comes back as another.
-    pub(super) fn crash(&mut self, index: usize, dark: bool, lasts: Duration) {
+    /// Crashes an upstream, which comes back under another name.
+    pub(super) fn crash(&mut self, index: usize, dark: bool, duration: Duration) {
         let Some(upstream) = self.upstreams[index].take() else {
             return;
         };
@@ -243,22 +242,22 @@
         self.upstream_state[index].dark = dark;
         self.break_off(index);
         self.upstream_state[index].withdrawn = true;
-        let back = lasts.max(Duration::from_secs(2));
+        let back = duration.max(Duration::from_secs(2));
         self.schedule(back, Event::UpstreamStart { index });
-        if self.chance(LATE_REGISTRATION) {
-            // A write of the dead one that was on its way for long.
+        if self.chance(LATE_REGISTRATION_PERCENT) {
+            // A delayed write of the crashed upstream.
             let delay = back + self.millis(1_500, 4_000);
             self.schedule(delay, Event::LateRegistration { record });
         }
-        // The store removes what is not written again.
+        // The store expires the registration, which is not renewed.
         let key = key_of(&id);
         if !self.store_state.down {
             self.store.delete(self.now, &key);
         }
     }
 
-    /// Sends a request to an upstream, as an attempt with a number of its own: an attempt
-    /// that did not arrive is not counted by the node, so its number comes again.
+    /// Sends a request to an upstream as an attempt with a unique number. The node does not
+    /// count an attempt that did not arrive, so the node would use the same number again.
     pub(super) fn forward(&mut self, node: usize, run: Run, ticket: Ticket, mut forward: Forward) {
         self.last_attempt += 1;
         forward.attempt = self.last_attempt;
@@ -291,7 +290,7 @@
         );
     }
 
-    /// A request of a node comes to an upstream.
+    /// Checks the rates at an upstream when a request arrives from a node.
     fn check_rate(&mut self, index: usize, node: usize, run: Run, upstream: &UpstreamId) {
         let present = self.upstreams[index].as_ref();
         if present.is_none_or(|present| present.config.id != *upstream) {
@@ -303,30 +302,32 @@
             .collect();
         let is_excused = |sender: Sender| excused[sender.node];
         self.checkers
-            .arrives_limited(self.now, upstream, sender, is_excused);
+            .arrived_rate_limited(self.now, upstream, sender, is_excused);
     }
 
-    /// An answer comes to a node, with what its upstream says of itself.
+    /// Reports the status information in a response that reaches a node.
     fn note_told(&mut self, node: usize, run: Run, answer: &Answer) {
         if self.nodes[node].run != run {
             return;
         }
         let sender = Sender { node, run };
         if matches!(answer.rate, AdvertisedRate::Limited(_)) {
-            self.checkers.told_rate(self.now, &answer.upstream, sender);
+            self.checkers
+                .rate_reported(self.now, &answer.upstream, sender);
         }
         if answer.leaves {
             self.checkers
-                .told_leaving(self.now, &answer.upstream, sender);
+                .leaving_reported(self.now, &answer.upstream, sender);
         }
     }
 
-    /// An upstream begins to say in its answers that it leaves. Its entry says so later.
+    /// Makes an upstream announce in its responses that it is leaving. Its registration says so
+    /// later.
     pub(super) fn say_it_leaves(&mut self, index: usize) {
         self.upstream_state[index].leaves = self.upstreams[index].is_some();
     }
 
-    /// An upstream begins to name a rate, or ceases to.
+    /// Makes an upstream advertise a rate limit, or stop doing so.
     pub(super) fn set_rate(&mut self, index: usize, rate: Option<RequestRate>) {
         self.upstream_state[index].rate = rate;
         let Some(upstream) = &self.upstreams[index] else {
@@ -335,8 +336,8 @@
         match rate {
             Some(rate) => self
                 .checkers
-                .names_rate(self.now, &upstream.config.id, rate),
-            None => self.checkers.names_no_rate(&upstream.config.id),
+                .rate_advertised(self.now, &upstream.config.id, rate),
+            None => self.checkers.rate_withdrawn(&upstream.config.id),
         }
     }
 
@@ -349,7 +350,8 @@
             .and_then(|core| core.inspect().0.configuration.clone())
             .map_or(0, |configuration| configuration.version.0);
         let age = self.now.since(at);
-        self.checkers.acted_by(self.now, node, version, newest, age);
+        self.checkers
+            .configuration_used(self.now, node, version, newest, age);
     }
 
     pub(super) fn forward_arrives(
@@ -387,13 +389,15 @@
             return self.end_attempt(CONNECT_TIMEOUT, &taken, outcome);
         }
         if self.now < self.upstream_state[index].cold_until {
-            self.checkers.arrives_cold(self.now, &forward.upstream);
+            self.checkers
+                .arrived_during_cold_start(self.now, &forward.upstream);
         }
         if self.is_connected(node) {
-            self.checkers.arrives(self.now, &forward.upstream);
+            self.checkers.request_arrived(self.now, &forward.upstream);
             let zone = self.upstreams[index].as_ref().map(|one| &one.config.zone);
             if let Some(zone) = zone {
-                self.checkers.arrives_in(self.now, zone, &forward.upstream);
+                self.checkers
+                    .arrived_in_zone(self.now, zone, &forward.upstream);
             }
         }
         if self.reaches_store(node) {
@@ -405,7 +409,7 @@
             self.input(node, run, Input::Replaced { upstream });
         }
         self.checkers
-            .arrives_resting(self.now, &forward.upstream, Sender { node, run });
+            .arrived_during_retry_after(self.now, &forward.upstream, Sender { node, run });
         if let Some(rest) = self.upstream_state[index].rest {
             return self.ask_for_rest(index, &taken, rest);
         }
@@ -418,7 +422,7 @@
         self.check_rate(index, node, run, &forward.upstream);
         let sender = Sender { node, run };
         self.checkers
-            .arrives_leaving(self.now, &forward.upstream, sender, asked.at);
+            .arrived_after_leaving(self.now, &forward.upstream, sender, asked.at);
         let now = self.now;
         let arrival = match &mut self.upstreams[index] {
             Some(upstream) => upstream.arrive(now, request),
@@ -427,7 +431,7 @@
         self.arrived(index, asked.id, taken, arrival);
     }
 
-    /// An upstream turns a request away and asks the node for rest.
+    /// Rejects a request with a retry-after period.
     fn ask_for_rest(&mut self, index: usize, taken: &Taken, rest: Duration) {
         let Some(upstream) = &self.upstreams[index] else {
             return;
@@ -437,8 +441,8 @@
             run: taken.run,
         };
         self.checkers
-            .asks_for_rest(self.now, &upstream.config.id, sender, rest);
-        self.answer_attempt(Duration::from_millis(1), index, taken, TURNED_AWAY);
+            .retry_after_sent(self.now, &upstream.config.id, sender, rest);
+        self.answer_attempt(Duration::from_millis(1), index, taken, REJECTED);
     }
 
     fn arrived(&mut self, index: usize, id: String, taken: Taken, arrival: Arrival) {
@@ -452,7 +456,7 @@
                 self.upstream_state[index].taken.insert(id, taken);
             }
             Arrival::Full => {
-                self.answer_attempt(soon, index, &taken, TURNED_AWAY);
+                self.answer_attempt(soon, index, &taken, REJECTED);
             }
             Arrival::Misdirected => {
                 let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
@@ -462,7 +466,7 @@
         }
     }
 
-    /// A request begins to run.
+    /// Starts running a request.
     fn begins(&mut self, index: usize, run: &WorkRun) {
         let incarnation = self.upstream_state[index].incarnation;
         self.schedule(
@@ -485,7 +489,8 @@
             self.schedule(POISON_WORK, Event::PoisonEnds { index, incarnation });
         }
         if !repeatable {
-            self.checkers.unrepeatable_begins(self.now, &run.request.id);
+            self.checkers
+                .unrepeatable_started(self.now, &run.request.id);
         }
     }
 
@@ -498,8 +503,8 @@
             return;
         };
         let (ended, begun, refused) = upstream.end(now, run);
-        let released = upstream.released();
-        if let Some(taken) = ended.and_then(|request| self.untake(index, &request.id)) {
+        let released = upstream.take_completed_releases();
+        if let Some(taken) = ended.and_then(|request| self.remove_taken(index, &request.id)) {
             let percent = self.answers_lost_percent;
             let lost = percent > 0 && self.chance(percent);
             let outcome = if lost {
@@ -510,7 +515,7 @@
             self.end_reached(index, &taken, outcome);
         }
         for request in refused {
-            if let Some(taken) = self.untake(index, &request.id) {
+            if let Some(taken) = self.remove_taken(index, &request.id) {
                 let outcome = AttemptOutcome::NotExecuted(NotExecuted::Misdirected);
                 self.end_reached(index, &taken, outcome);
             }
@@ -521,7 +526,7 @@
         for call in released {
             let pending = self.upstream_state[index].releases.get(&call);
             if pending.is_some_and(|pending| !self.reaches(pending.node, index)) {
-                // The answer is lost, and given up when its time is over.
+                // The response is lost; the attempt ends at its timeout.
                 continue;
             }
             if let Some(pending) = self.upstream_state[index].releases.remove(&call) {
@@ -532,19 +537,19 @@
         }
     }
 
-    fn untake(&mut self, index: usize, id: &str) -> Option<Taken> {
+    fn remove_taken(&mut self, index: usize, id: &str) -> Option<Taken> {
         self.upstream_state[index].taken.remove(id)
     }
 
-    /// Ends an attempt at its node, unless the upstream's packets don't come there: its
-    /// time ends it then.
+    /// Ends an attempt at its node if the upstream's packets reach it; otherwise the attempt
+    /// times out.
     fn end_reached(&mut self, index: usize, taken: &Taken, outcome: AttemptOutcome) {
         if self.reaches(taken.node, index) {
             self.answer_attempt(Duration::from_millis(1), index, taken, outcome);
         }
     }
 
-    /// Ends an attempt with its upstream's answer, if the outcome is one.
+    /// Ends an attempt, with the upstream's status information if the outcome is a response.
     fn answer_attempt(
         &mut self,
         after: Duration,
@@ -556,7 +561,7 @@
         let present = self.upstreams[index].as_ref().filter(|_| is_answer);
         let state = &self.upstream_state[index];
         let (rate, leaves) = (state.rate, state.leaves);
-        let rest = state.rest.filter(|_| outcome == TURNED_AWAY);
+        let rest = state.rest.filter(|_| outcome == REJECTED);
         let answer = present.map(|upstream| Answer {
             upstream: upstream.config.id.clone(),
             rate: rate.map_or(AdvertisedRate::Unlimited, AdvertisedRate::Limited),
@@ -590,7 +595,7 @@
         );
     }
 
-    /// The first end of an attempt that its node sees counts.
+    /// Ends an attempt at its node; only the first end counts.
     pub(super) fn attempt_ends(
         &mut self,
         node: usize,
@@ -613,7 +618,14 @@
             }
             if let Some(rest) = answer.rest {
                 let upstream = answer.upstream.clone();
-                self.input(node, run, Input::RestRequested { upstream, rest });
+                self.input(
+                    node,
+                    run,
+                    Input::BackoffRequested {
+                        upstream,
+                        backoff: rest,
+                    },
+                );
             }
         }
         let rate = answer.map(|answer| answer.rate);
--- a/crates/routersim/tests/popular_request.rs
+++ b/crates/routersim/tests/popular_request.rs
@@ -1,28 +1,28 @@
-//! What it costs a request that many make when upstreams end under it.
+//! The cost of upstream crashes to a harmless request that many clients send.
 //!
-//! It was merely there when they ended. From then on it is tried by one run at a time, and
-//! those that say the same wait for that one; some are refused. Requests for the same key
-//! that all say something else show what the ends themselves cost.
+//! The request is merely in flight when upstreams crash. From then on one run at a time tries
+//! it, requests with the same content wait for that run, and some are refused. Requests for the
+//! same key with different contents show the cost of the crashes alone.
 
-use beamtray_routersim::{Fault, FaultPlan, Trouble, WorldConfig, play};
+use beamtray_routersim::{Fault, FaultKind, FaultPlan, WorldConfig, run_plan};
 use beamtray_types::Time;
 use std::time::Duration;
 
 const SEEDS: u64 = 12;
-/// Between two requests: less than one takes, so that one or two are under way at any
-/// moment, and no more than one upstream can run.
+/// Interval between requests. It is shorter than a request takes, so that one or two are in
+/// flight at any moment, and no more than one upstream can run.
 const PAUSE_MS: u64 = 25;
-/// Upstreams that end.
+/// Number of upstreams that crash.
 const ENDS: usize = 5;
-/// Most that may be refused on suspicion, in percent of all.
+/// Maximum percentage of requests that may be refused on suspicion.
 const MOST_REFUSED_PERCENT: f64 = 1.0;
 
-/// The upstreams end one after the other, each once.
+/// The upstreams crash one after the other, each once.
 fn plan(config: &WorldConfig, is_read: bool, says_the_same: bool) -> FaultPlan {
     let popular = Fault {
         at: Time(7_000_000),
-        lasts: Duration::from_secs(30),
-        trouble: Trouble::PopularRequest {
+        duration: Duration::from_secs(30),
+        kind: FaultKind::PopularRequest {
             is_read,
             pause_ms: PAUSE_MS,
             says_the_same,
@@ -30,8 +30,8 @@
     };
     let ends = (0..config.upstreams().min(ENDS)).map(|upstream| Fault {
         at: Time(8_000_000 + 2_500_000 * upstream as u64),
-        lasts: Duration::from_secs(2),
-        trouble: Trouble::UpstreamCrash {
+        duration: Duration::from_secs(2),
+        kind: FaultKind::UpstreamCrash {
             upstream,
             dark: false,
         },
@@ -41,8 +41,8 @@
     }
 }
 
-/// Percent of the requests that were answered, and that were refused on suspicion, over
-/// all histories.
+/// Percentages of requests that were answered and that were refused on suspicion, over all
+/// histories.
 fn percents(nodes: usize, is_read: bool, says_the_same: bool) -> (f64, f64) {
     let (mut asked, mut served, mut refused) = (0, 0, 0);
     for seed in 0..SEEDS {
@@ -52,9 +52,9 @@
             ..WorldConfig::drawn(seed)
         };
         let plan = plan(&config, is_read, says_the_same);
-        let outcome = play(config, plan, None);
+        let outcome = run_plan(config, plan, None);
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
-        asked += outcome.asked;
+        asked += outcome.requests;
         served += outcome.served;
         refused += outcome.quarantined;
     }
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn a_popular_read_is_served_again_at_once() {
+fn popular_read_is_served_again_at_once() {
     costs_little(8, true);
 }
 
 #[test]
-fn a_popular_order_is_served_again_at_once() {
+fn popular_order_is_served_again_at_once() {
     costs_little(8, false);
 }
 
 #[test]
-fn a_popular_read_is_served_again_at_once_by_many_nodes() {
+fn popular_read_is_served_again_at_once_by_many_nodes() {
     costs_little(24, true);
 }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,35 +1,37 @@
-//! The retry budget: a share of the traffic, not a count per request.
+//! Retry budget: a token bucket that limits retries to a share of the traffic
+//! instead of a count per request.
 
-/// Retries saved up at most, so that a quiet hour does not pay for a storm.
-const MAX_SAVED: f64 = 20.0;
+/// Capacity of the bucket; limits the retry burst after a period with few
+/// failures.
+const MAX_TOKENS: f64 = 20.0;
 
-/// Grants retries as a share of the requests seen.
+/// Allows retries in proportion to the number of requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
-    saved: f64,
+    ratio: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries per request, from 0 to 1.
-    pub fn new(share: f64) -> Self {
+    /// Creates a budget of `ratio` retries per request, from 0 to 1.
+    pub fn new(ratio: f64) -> Self {
         Self {
-            share,
-            saved: MAX_SAVED * share.clamp(0.0, 1.0),
+            ratio,
+            tokens: MAX_TOKENS * ratio.clamp(0.0, 1.0),
         }
     }
 
-    /// Counts a request.
+    /// Adds the tokens earned by one request.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + self.share).min(MAX_SAVED);
+        self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS);
     }
 
-    /// Takes one retry, when the budget allows it.
+    /// Takes the token for one retry and returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/routing/src/ingress.rs
+++ b/crates/routing/src/ingress.rs
@@ -1,12 +1,12 @@
-//! The ingress: from a caller's request to its one final answer.
+//! The ingress role: takes a caller's request to its single final answer.
 //!
-//! Invariant: a request is tried again only when the try before provably did
-//! not run, or when it may be repeated. A final answer says `not run` only if
-//! that holds for every try.
+//! Invariant: a request is retried only if the previous attempt provably did
+//! not run or the request is repeatable. A final answer is `not-run` only if
+//! every attempt provably did not run.
 
 use crate::budget::RetryBudget;
 use crate::message::{Answer, AttemptId, CallerRequest, Forward, RequestId, RunState};
-use crate::pending::{Pending, Stage, Try};
+use crate::pending::{Attempt, Pending, Stage};
 use crate::pool::Pool;
 use crate::router::{RouterConfig, RouterOutput, RoutingView};
 use beamtray_settings::{Division, ServiceDeclaration};
@@ -16,44 +16,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause before a try that was refused for its owner or gate is made again,
-/// unless a new view comes first.
-pub(crate) const REROUTE_PAUSE: Duration = Duration::from_millis(20);
-/// How long a try may stay out after its slice went to another owner. A
-/// planned move waits for what is in flight, so its answer is on the way; an
-/// owner that was lost will not answer.
-const SUPERSEDED_GRACE: Duration = Duration::from_millis(300);
-/// When to come back while ownership is moving or the node is out of touch.
-const RETRY_AFTER_MOVE: Duration = Duration::from_millis(1_000);
-/// When to come back to a node that is stopping: at once, elsewhere.
+/// Delay before a retry after an attempt was refused with a wrong owner or
+/// gate. A new view ends it early.
+pub(crate) const REROUTE_DELAY: Duration = Duration::from_millis(20);
+/// How long to wait for the answer of an attempt after its slice was assigned
+/// to another owner. A planned move waits for requests in flight, so their
+/// answers are about to arrive; a failed owner will not answer.
+const SUPERSEDED_OWNER_GRACE: Duration = Duration::from_millis(300);
+/// Retry delay told to callers while ownership is moving or this node's state
+/// is stale.
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(1_000);
+/// Retry delay told to callers of a stopping node: short, because another node
+/// can serve the retry immediately.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(100);
 
-/// Requests of callers that have no final answer yet.
+/// Callers' requests that have no final answer yet.
 #[derive(Debug)]
 pub(crate) struct Ingress {
     pub(crate) pending: BTreeMap<RequestId, Pending>,
-    pub(crate) tries: BTreeMap<u64, RequestId>,
-    next_try: u64,
+    pub(crate) attempts: BTreeMap<u64, RequestId>,
+    next_attempt: u64,
     pub(crate) waiting: BTreeMap<ServiceName, usize>,
     pub(crate) budgets: BTreeMap<ServiceName, RetryBudget>,
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
     rng: ChaCha8Rng,
     stopping: bool,
-    pub(crate) keeps_unknown: bool,
+    pub(crate) track_unknown_outcomes: bool,
 }
 
 impl Ingress {
     pub(crate) fn new(config: RouterConfig) -> Self {
         Self {
             pending: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            next_try: 0,
+            attempts: BTreeMap::new(),
+            next_attempt: 0,
             waiting: BTreeMap::new(),
             budgets: BTreeMap::new(),
             pools: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(config.seed),
             stopping: false,
-            keeps_unknown: config.keeps_unknown,
+            track_unknown_outcomes: config.track_unknown_outcomes,
         }
     }
 
@@ -87,7 +89,7 @@
         }
         if !view.fresh {
             let reason = "this node is out of touch with its control group";
-            return outputs.push(refuse(503, reason, Some(RETRY_AFTER_MOVE)));
+            return outputs.push(refuse(503, reason, Some(RETRY_AFTER_UNAVAILABLE)));
         }
         let Some(service) = view.state.declaration.service(&request.service) else {
             return outputs.push(refuse(404, "no such service", None));
@@ -99,9 +101,10 @@
                 None,
             ));
         }
-        let longest = Duration::from_millis(service.deadline_millis);
-        let asked = request.deadline_micros.map(Duration::from_micros);
-        let deadline = now + asked.map_or(longest, |asked| asked.min(longest));
+        let max_deadline = Duration::from_millis(service.deadline_millis);
+        let requested = request.deadline_micros.map(Duration::from_micros);
+        let deadline =
+            now + requested.map_or(max_deadline, |requested| requested.min(max_deadline));
         self.budgets
             .entry(service.name.clone())
             .or_insert_with(|| RetryBudget::new(service.retry_share))
@@ -114,7 +117,7 @@
             repeatable,
             deadline,
             may_have_run: false,
-            rerouted: 0,
+            reroutes: 0,
             stage: Stage::Waiting {
                 until: now,
                 view: 0,
@@ -125,7 +128,7 @@
         self.route(now, view, id, outputs);
     }
 
-    pub(crate) fn on_caller_gone(
+    pub(crate) fn on_caller_disconnected(
         &mut self,
         _now: Time,
         id: RequestId,
@@ -134,13 +137,14 @@
         let Some(pending) = self.remove(id) else {
             return;
         };
-        if let Stage::Out(attempt) = pending.stage {
-            self.tries.remove(&attempt.id.number);
+        if let Stage::Sent(attempt) = pending.stage {
+            self.attempts.remove(&attempt.id.number);
             outputs.push(attempt.cancellation());
         }
     }
 
-    /// Sends a waiting request to its upstream's gate, or lets it wait on.
+    /// Sends a waiting request to its upstream's gate, or keeps it waiting if
+    /// it cannot be routed.
     pub(crate) fn route(
         &mut self,
         now: Time,
@@ -152,20 +156,21 @@
             return;
         };
         let Some(service) = view.state.declaration.service(&pending.request.service) else {
-            return self.give_up(id, 404, "the service is no longer declared", None, outputs);
+            return self.fail(id, 404, "the service is no longer declared", None, outputs);
         };
         if !view.fresh {
-            // Old state may name a server that is drained or replaced.
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+            // Stale state may name a server that has since been drained or
+            // replaced.
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         }
-        let Some((server, fence)) = self.target(now, view, service, id) else {
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+        let Some((server, fence)) = self.select_upstream(now, view, service, id) else {
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         };
         let Some(gate) = view.gates.get(&server) else {
-            return self.wait(now, view, service, id, REROUTE_PAUSE, outputs);
+            return self.wait_for_route(now, view, service, id, REROUTE_DELAY, outputs);
         };
-        let number = self.next_try;
-        self.next_try += 1;
+        let number = self.next_attempt;
+        self.next_attempt += 1;
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -181,25 +186,26 @@
             repeatable: pending.repeatable,
             request: pending.request.clone(),
         };
-        pending.stage = Stage::Out(Try {
+        pending.stage = Stage::Sent(Attempt {
             id: attempt,
             gate,
             server: server.clone(),
             fence,
-            superseded: None,
+            superseded_since: None,
         });
-        self.uncount_waiting(&service.name);
-        self.tries.insert(number, id);
+        self.decrement_waiting(&service.name);
+        self.attempts.insert(number, id);
         if let Some(pool) = self.pools.get_mut(&service.name) {
-            pool.started(&server);
+            pool.record_start(&server);
         }
         outputs.push(RouterOutput::Forward { to: gate, forward });
     }
 
-    /// The upstream for a request, and the fence of its ownership.
+    /// Selects the upstream of a request and returns the fence of its
+    /// ownership.
     ///
-    /// A hash is taken of a keyed service's keys alone.
-    fn target(
+    /// The key is hashed only for keyed services.
+    fn select_upstream(
         &mut self,
         now: Time,
         view: &RoutingView,
@@ -223,31 +229,31 @@
         Some((chosen, None))
     }
 
-    /// Lets a request wait for a new view or a pause, or refuses it when too
-    /// many wait.
-    pub(crate) fn wait(
+    /// Keeps a request waiting until a new view arrives or `delay` ends, or
+    /// refuses it if too many requests of the service wait.
+    pub(crate) fn wait_for_route(
         &mut self,
         now: Time,
         view: &RoutingView,
         service: &ServiceDeclaration,
         id: RequestId,
-        pause: Duration,
+        delay: Duration,
         outputs: &mut Vec<RouterOutput>,
     ) {
         let waiting = self.waiting.get(&service.name).copied().unwrap_or(0);
         if waiting > service.queue as usize {
             let reason = "too many requests wait for an owner";
-            return self.give_up(id, 503, reason, Some(RETRY_AFTER_MOVE), outputs);
+            return self.fail(id, 503, reason, Some(RETRY_AFTER_UNAVAILABLE), outputs);
         }
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.stage = Stage::Waiting {
-                until: now + pause,
+                until: now + delay,
                 view: view.state.applied.0,
             };
         }
     }
 
-    pub(crate) fn on_node_lost(
+    pub(crate) fn on_node_disconnected(
         &mut self,
         now: Time,
         view: &RoutingView,
@@ -258,12 +264,12 @@
             .pending
             .iter()
             .filter_map(|(id, pending)| match &pending.stage {
-                Stage::Out(attempt) if attempt.gate == node => Some((*id, attempt.id.number)),
+                Stage::Sent(attempt) if attempt.gate == node => Some((*id, attempt.id.number)),
                 _ => None,
             })
             .collect();
         for (id, number) in lost {
-            self.tries.remove(&number);
+            self.attempts.remove(&number);
             self.on_lost(
                 now,
                 view,
@@ -274,8 +280,9 @@
         }
     }
 
-    /// Ends what is past its deadline, re-routes what waited long enough or
-    /// can use a new view, and gives up on owners that were replaced.
+    /// Fails requests past their deadline, routes waiting requests whose delay
+    /// ended or for which a new view arrived, and abandons attempts at replaced
+    /// owners.
     pub(crate) fn tick(&mut self, now: Time, view: &RoutingView, outputs: &mut Vec<RouterOutput>) {
         let ids: Vec<RequestId> = self.pending.keys().copied().collect();
         for id in ids {
@@ -294,11 +301,11 @@
             return;
         };
         if now >= pending.deadline {
-            if let Stage::Out(attempt) = &pending.stage {
+            if let Stage::Sent(attempt) = &pending.stage {
                 outputs.push(attempt.cancellation());
             }
             let reason = "the deadline passed";
-            return self.give_up(id, 504, reason, Some(RETRY_AFTER_MOVE), outputs);
+            return self.fail(id, 504, reason, Some(RETRY_AFTER_UNAVAILABLE), outputs);
         }
         match &mut pending.stage {
             Stage::Waiting { until, view: seen } => {
@@ -306,7 +313,7 @@
                     self.route(now, view, id, outputs);
                 }
             }
-            Stage::Out(attempt) => {
+            Stage::Sent(attempt) => {
                 let hash = pending.request.hash();
                 let table = view.state.services.get(&pending.request.service);
                 let owned = hash.and_then(|hash| table?.find(hash));
@@ -314,13 +321,13 @@
                     slice.ownership.owner().is_some() && slice.ownership.fence() != attempt.fence
                 });
                 if attempt.fence.is_none() || !replaced {
-                    attempt.superseded = None;
+                    attempt.superseded_since = None;
                     return;
                 }
-                let since = *attempt.superseded.get_or_insert(now);
-                if now.since(since) >= SUPERSEDED_GRACE {
+                let since = *attempt.superseded_since.get_or_insert(now);
+                if now.since(since) >= SUPERSEDED_OWNER_GRACE {
                     let attempt = attempt.clone();
-                    self.tries.remove(&attempt.id.number);
+                    self.attempts.remove(&attempt.id.number);
                     outputs.push(attempt.cancellation());
                     self.on_lost(now, view, id, "the owner was replaced", outputs);
                 }
@@ -332,12 +339,12 @@
         let pending = self.pending.remove(&id)?;
         if matches!(pending.stage, Stage::Waiting { .. }) {
             let name = pending.request.service.clone();
-            self.uncount_waiting(&name);
+            self.decrement_waiting(&name);
         }
         Some(pending)
     }
 
-    fn uncount_waiting(&mut self, service: &ServiceName) {
+    fn decrement_waiting(&mut self, service: &ServiceName) {
         if let Some(waiting) = self.waiting.get_mut(service) {
             *waiting = waiting.saturating_sub(1);
         }
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,18 +1,19 @@
-//! What an ingress does when a try has ended: answer, try again or give up.
+//! Handling of attempt outcomes at the ingress: answer, retry or fail.
 
 use crate::budget::RetryBudget;
-use crate::ingress::{Ingress, REROUTE_PAUSE};
+use crate::ingress::{Ingress, REROUTE_DELAY};
 use crate::message::{Answer, AttemptId, NotRunReason, RequestId, RunState, UpstreamOutcome};
 use crate::pending::Stage;
 use crate::router::{RouterOutput, RoutingView};
 use beamtray_types::Time;
 use std::time::Duration;
 
-/// The pause doubles at most this often.
+/// Maximum number of doublings of the reroute delay.
 const MAX_REROUTE_DOUBLINGS: u32 = 3;
 
-/// Pause before an upstream that could not be reached is tried again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a retry when the upstream was unreachable, or when a refusal
+/// named no delay.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Ingress {
     pub(crate) fn on_result(
@@ -26,20 +27,20 @@
         if attempt.ingress != view.me {
             return;
         }
-        // A try that was given up on is not in the table: its late answer is
-        // nobody's.
-        let Some(id) = self.tries.remove(&attempt.number) else {
+        // Abandoned attempts are not in the table; their late outcomes are
+        // dropped.
+        let Some(id) = self.attempts.remove(&attempt.number) else {
             return;
         };
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        if let (Stage::Out(current), Some(pool)) =
+        if let (Stage::Sent(current), Some(pool)) =
             (&pending.stage, self.pools.get_mut(&pending.request.service))
         {
             let failed =
                 !matches!(outcome, UpstreamOutcome::Answered(ref answer) if answer.status < 500);
-            pool.finished(now, &current.server, failed);
+            pool.record_result(now, &current.server, failed);
         }
         match outcome {
             UpstreamOutcome::Answered(answer) => {
@@ -77,38 +78,38 @@
     ) {
         match reason {
             NotRunReason::NotOwner | NotRunReason::NotGate => {
-                let pause = self.reroute_pause(id);
-                self.retry(now, view, id, pause, outputs);
+                let delay = self.reroute_delay(id);
+                self.retry(now, view, id, delay, outputs);
             }
-            NotRunReason::NotConnected => self.retry(now, view, id, RECONNECT_PAUSE, outputs),
+            NotRunReason::NotConnected => self.retry(now, view, id, RETRY_DELAY, outputs),
             NotRunReason::Shed => {
-                let pause = after.unwrap_or(RECONNECT_PAUSE);
-                if self.withdraw(id) {
-                    return self.retry(now, view, id, pause, outputs);
+                let delay = after.unwrap_or(RETRY_DELAY);
+                if self.withdraw_retry(id) {
+                    return self.retry(now, view, id, delay, outputs);
                 }
                 let reason = "the upstream is over its limit";
-                self.give_up(id, 503, reason, Some(pause), outputs);
+                self.fail(id, 503, reason, Some(delay), outputs);
             }
             NotRunReason::QueueFull => {
-                let after = after.or(Some(RECONNECT_PAUSE));
-                self.give_up(id, 503, "the queue is full", after, outputs);
+                let after = after.or(Some(RETRY_DELAY));
+                self.fail(id, 503, "the queue is full", after, outputs);
             }
             NotRunReason::Expired => {
                 let reason = "the deadline passed before the request was sent";
-                self.give_up(id, 504, reason, Some(RECONNECT_PAUSE), outputs);
+                self.fail(id, 504, reason, Some(RETRY_DELAY), outputs);
             }
         }
     }
 
-    /// Doubles with each refusal: a new view ends the pause at once, and
-    /// without one another try is unlikely to fare better.
-    fn reroute_pause(&mut self, id: RequestId) -> Duration {
+    /// Returns a delay that doubles with each refusal. A new view ends the
+    /// delay early; without one a retry is likely to be refused again.
+    fn reroute_delay(&mut self, id: RequestId) -> Duration {
         let Some(pending) = self.pending.get_mut(&id) else {
-            return REROUTE_PAUSE;
+            return REROUTE_DELAY;
         };
-        let doublings = pending.rerouted.min(MAX_REROUTE_DOUBLINGS);
-        pending.rerouted += 1;
-        REROUTE_PAUSE * 2u32.pow(doublings)
+        let doublings = pending.reroutes.min(MAX_REROUTE_DOUBLINGS);
+        pending.reroutes += 1;
+        REROUTE_DELAY * 2u32.pow(doublings)
     }
 
     pub(crate) fn on_lost(
@@ -119,53 +120,54 @@
         cause: &str,
         outputs: &mut Vec<RouterOutput>,
     ) {
-        let keeps_unknown = self.keeps_unknown;
+        let track_unknown_outcomes = self.track_unknown_outcomes;
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        pending.may_have_run |= keeps_unknown;
-        let repeatable = pending.repeatable || !keeps_unknown;
-        if repeatable && self.withdraw(id) {
+        pending.may_have_run |= track_unknown_outcomes;
+        let repeatable = pending.repeatable || !track_unknown_outcomes;
+        if repeatable && self.withdraw_retry(id) {
             return self.retry(now, view, id, Duration::ZERO, outputs);
         }
         let reason = format!("no whole answer: {cause}");
-        self.give_up(id, 502, &reason, None, outputs);
+        self.fail(id, 502, &reason, None, outputs);
     }
 
-    /// Puts a request back among those that wait, when time is left.
+    /// Returns a request to the waiting stage, or fails it if its deadline
+    /// comes before the retry.
     fn retry(
         &mut self,
         now: Time,
         view: &RoutingView,
         id: RequestId,
-        pause: Duration,
+        delay: Duration,
         outputs: &mut Vec<RouterOutput>,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
         let name = pending.request.service.clone();
-        if now + pause >= pending.deadline {
+        if now + delay >= pending.deadline {
             let reason = "the deadline comes before the next try";
-            return self.give_up(id, 504, reason, Some(pause), outputs);
+            return self.fail(id, 504, reason, Some(delay), outputs);
         }
-        if matches!(pending.stage, Stage::Out(_)) {
+        if matches!(pending.stage, Stage::Sent(_)) {
             *self.waiting.entry(name.clone()).or_default() += 1;
         }
         pending.stage = Stage::Waiting {
-            until: now + pause,
+            until: now + delay,
             view: view.state.applied.0,
         };
         let Some(service) = view.state.declaration.service(&name) else {
-            return self.give_up(id, 404, "the service is no longer declared", None, outputs);
+            return self.fail(id, 404, "the service is no longer declared", None, outputs);
         };
-        if pause.is_zero() {
+        if delay.is_zero() {
             return self.route(now, view, id, outputs);
         }
-        self.wait(now, view, service, id, pause, outputs);
+        self.wait_for_route(now, view, service, id, delay, outputs);
     }
 
-    fn withdraw(&mut self, id: RequestId) -> bool {
+    fn withdraw_retry(&mut self, id: RequestId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
@@ -174,8 +176,9 @@
             .is_some_and(RetryBudget::withdraw)
     }
 
-    /// The final answer for a request that has none from an upstream.
-    pub(crate) fn give_up(
+    /// Sends the final answer for a request that received none from an
+    /// upstream.
+    pub(crate) fn fail(
         &mut self,
         id: RequestId,
         status: u16,
@@ -186,16 +189,16 @@
         let Some(pending) = self.remove(id) else {
             return;
         };
-        let out = matches!(pending.stage, Stage::Out(ref attempt)
-            if self.tries.remove(&attempt.id.number).is_some());
-        let may_have_run = pending.may_have_run || (out && self.keeps_unknown);
+        let out = matches!(pending.stage, Stage::Sent(ref attempt)
+            if self.attempts.remove(&attempt.id.number).is_some());
+        let may_have_run = pending.may_have_run || (out && self.track_unknown_outcomes);
         let run_state = if may_have_run {
             RunState::Unknown
         } else {
             RunState::NotRun
         };
-        // An unknown outcome must not invite a repetition of what may not be
-        // repeated.
+        // With an unknown outcome, a retry delay must not invite the caller to
+        // repeat a request that is not repeatable.
         let after = after.filter(|_| run_state == RunState::NotRun || pending.repeatable);
         outputs.push(RouterOutput::Answer {
             request: id,
--- a/crates/sim/src/check/drain.rs
+++ b/crates/sim/src/check/drain.rs
@@ -1,18 +1,19 @@
-//! A back end that is leaving receives no new request after a few seconds.
+//! A draining back end receives no new requests after a few seconds.
 //!
-//! From 3 s after the acceptance of a declaration that drains a server until
-//! somebody asks for one that does not, nothing may reach the server.
+//! From 3 s after a declaration that drains a server is accepted, no request may
+//! reach that server until an operator submits a declaration that does not drain
+//! it.
 
 use crate::record::{History, OperatorView, Record};
 use std::collections::BTreeMap;
 
-/// How long a drain may take to be felt, in microseconds.
-const DRAIN_MICROS: u64 = 3_000_000;
+/// Maximum time from acceptance until a drain takes effect, in microseconds.
+const MAX_DRAIN_DELAY_MICROS: u64 = 3_000_000;
 
 pub(super) fn check(history: &History) -> (u64, Vec<String>) {
-    let mut asked: BTreeMap<u64, &Vec<usize>> = BTreeMap::new();
-    let mut since: BTreeMap<usize, u64> = BTreeMap::new();
-    let mut stressed = 0;
+    let mut drained_by_operation: BTreeMap<u64, &Vec<usize>> = BTreeMap::new();
+    let mut drained_since: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut exercised = 0;
     let mut violations = Vec::new();
     for timed in &history.records {
         let at = timed.at;
@@ -20,31 +21,36 @@
             Record::ConfirmSent {
                 operation, drained, ..
             } => {
-                asked.insert(*operation, drained);
-                since.retain(|server, _| drained.contains(server));
+                drained_by_operation.insert(*operation, drained);
+                drained_since.retain(|server, _| drained.contains(server));
             }
             Record::Confirmed {
                 operation,
                 view: OperatorView::InForce(_),
             } => {
-                for server in asked.get(operation).into_iter().flat_map(|all| all.iter()) {
-                    since.entry(*server).or_insert_with(|| {
-                        stressed += 1;
+                for server in drained_by_operation
+                    .get(operation)
+                    .into_iter()
+                    .flat_map(|all| all.iter())
+                {
+                    drained_since.entry(*server).or_insert_with(|| {
+                        exercised += 1;
                         at
                     });
                 }
             }
             Record::Arrived { server, name } => {
-                let drained = since.get(&server.server);
-                if drained.is_some_and(|since| at > since + DRAIN_MICROS) {
+                let drained = drained_since.get(&server.server);
+                if drained.is_some_and(|drained_since| at > drained_since + MAX_DRAIN_DELAY_MICROS)
+                {
                     violations.push(format!(
                         "at {at}: {name} reached {server:?}, drained since {}",
-                        since[&server.server]
+                        drained_since[&server.server]
                     ));
                 }
             }
             _ => {}
         }
     }
-    (stressed, violations)
+    (exercised, violations)
 }
--- a/crates/sim/src/check/mod.rs
+++ b/crates/sim/src/check/mod.rs
@@ -1,8 +1,8 @@
-//! Checkers of what must always hold, one module a point.
+//! Invariant checkers, one module per invariant.
 //!
-//! They are fed only by the world's record of what took effect, never by what
-//! beamtray says of itself, except for the answers that callers and operators
-//! were given, which are what is being checked.
+//! The checkers read only the world's record of effects, never beamtray's own
+//! reports of its state. The exception is the responses to callers and
+//! operators, which are themselves under test.
 
 mod answers;
 mod at_most_once;
@@ -15,100 +15,101 @@
 mod sole_owner;
 mod survival;
 
-pub use survival::exposed;
+pub use survival::rolled_back_grants;
 
 use crate::record::History;
 use serde::{Deserialize, Serialize};
 
-/// What must always hold.
+/// A property that every history must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Point {
+pub enum Invariant {
     /// A key has at most one owner at any instant.
     SoleOwner,
     /// An acknowledged assignment survives.
     AssignmentSurvives,
-    /// Every caller gets the whole answer to its own request, and only that.
+    /// Every caller receives the complete response to its own request and no other.
     OwnWholeAnswer,
-    /// A request refused as not run did not run.
+    /// A request rejected as not executed was never executed.
     RefusedNotRun,
-    /// A request that may not be repeated runs at most once.
+    /// A non-repeatable request executes at most once.
     AtMostOnce,
-    /// A back end that leaves receives nothing new.
+    /// A draining back end receives no new requests.
     Drain,
-    /// A planned stop cuts nothing off.
+    /// A planned stop interrupts no request in flight.
     PlannedStop,
-    /// An accepted configuration is in force within seconds, never an older one.
+    /// An accepted configuration takes effect within seconds and never reverts to an
+    /// older revision.
     Configuration,
-    /// After the faults every key is served again.
+    /// Every key is served again after the faults end.
     Liveness,
 }
 
-impl Point {
-    /// All points in the order of the proofs.
-    pub const ALL: [Point; 9] = [
-        Point::SoleOwner,
-        Point::AtMostOnce,
-        Point::RefusedNotRun,
-        Point::AssignmentSurvives,
-        Point::OwnWholeAnswer,
-        Point::Configuration,
-        Point::Drain,
-        Point::PlannedStop,
-        Point::Liveness,
+impl Invariant {
+    /// All invariants, in the order in which they are reported.
+    pub const ALL: [Invariant; 9] = [
+        Invariant::SoleOwner,
+        Invariant::AtMostOnce,
+        Invariant::RefusedNotRun,
+        Invariant::AssignmentSurvives,
+        Invariant::OwnWholeAnswer,
+        Invariant::Configuration,
+        Invariant::Drain,
+        Invariant::PlannedStop,
+        Invariant::Liveness,
     ];
 
-    /// The point's name in reports.
+    /// The invariant's name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Point::SoleOwner => "sole-owner",
-            Point::AssignmentSurvives => "assignment-survives",
-            Point::OwnWholeAnswer => "own-whole-answer",
-            Point::RefusedNotRun => "refused-not-run",
-            Point::AtMostOnce => "at-most-once",
-            Point::Drain => "drain",
-            Point::PlannedStop => "planned-stop",
-            Point::Configuration => "configuration",
-            Point::Liveness => "liveness",
+            Invariant::SoleOwner => "sole-owner",
+            Invariant::AssignmentSurvives => "assignment-survives",
+            Invariant::OwnWholeAnswer => "own-whole-answer",
+            Invariant::RefusedNotRun => "refused-not-run",
+            Invariant::AtMostOnce => "at-most-once",
+            Invariant::Drain => "drain",
+            Invariant::PlannedStop => "planned-stop",
+            Invariant::Configuration => "configuration",
+            Invariant::Liveness => "liveness",
         }
     }
 }
 
-/// What a checker found.
+/// The result of one checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The point.
-    pub point: Point,
-    /// How often the history put it to the test.
-    pub stressed: u64,
-    /// What broke it, in words, with the world's time in microseconds.
+    /// The checked invariant.
+    pub invariant: Invariant,
+    /// Number of situations in the history that exercised the invariant.
+    pub exercised: u64,
+    /// Descriptions of the violations, with world time in microseconds.
     pub violations: Vec<String>,
 }
 
 /// Runs every checker.
 pub fn check_all(history: &History) -> Vec<Finding> {
-    Point::ALL
+    Invariant::ALL
         .into_iter()
-        .map(|point| check(point, history))
+        .map(|invariant| check(invariant, history))
         .collect()
 }
 
-/// Runs the checker of one point.
-pub fn check(point: Point, history: &History) -> Finding {
-    let (stressed, violations) = match point {
-        Point::SoleOwner => sole_owner::check(history),
-        Point::AssignmentSurvives => survival::check(history),
-        Point::OwnWholeAnswer => answers::check(history),
-        Point::RefusedNotRun => refusal::check(history),
-        Point::AtMostOnce => at_most_once::check(history),
-        Point::Drain => drain::check(history),
-        Point::PlannedStop => planned_stop::check(history),
-        Point::Configuration => configuration::check(history),
-        Point::Liveness => liveness::check(history),
+/// Runs the checker of one invariant.
+pub fn check(invariant: Invariant, history: &History) -> Finding {
+    let (exercised, violations) = match invariant {
+        Invariant::SoleOwner => sole_owner::check(history),
+        Invariant::AssignmentSurvives => survival::check(history),
+        Invariant::OwnWholeAnswer => answers::check(history),
+        Invariant::RefusedNotRun => refusal::check(history),
+        Invariant::AtMostOnce => at_most_once::check(history),
+        Invariant::Drain => drain::check(history),
+        Invariant::PlannedStop => planned_stop::check(history),
+        Invariant::Configuration => configuration::check(history),
+        Invariant::Liveness => liveness::check(history),
     };
     Finding {
-        point,
-        stressed,
+        invariant,
+        exercised,
         violations,
     }
 }
--- a/crates/sim/src/explore.rs
+++ b/crates/sim/src/explore.rs
@@ -1,6 +1,6 @@
-//! Many histories from many seeds, checked.
+//! Runs and checks histories over a range of seeds.
 
-use crate::check::{Point, check_all, exposed};
+use crate::check::{Invariant, check_all, rolled_back_grants};
 use crate::fault::Fault;
 use crate::guard::Guard;
 use crate::record::History;
@@ -12,51 +12,51 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// What to explore.
+/// Parameters of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration {
     /// First seed.
     pub first_seed: u64,
     /// Number of seeds.
     pub seeds: u64,
-    /// What operators declare; none takes a small deployment.
+    /// Declared configuration; `None` selects a small deployment.
     pub declaration: Option<Declaration>,
-    /// Kinds of faults; empty takes none.
+    /// Kinds of faults to inject; empty injects none.
     pub faults: Vec<String>,
-    /// A protection to do without, to see who notices.
+    /// Guard to disable, to verify that a checker detects its absence.
     pub without: Option<Guard>,
-    /// Threads; each runs whole worlds.
+    /// Number of threads; each world runs entirely on one thread.
     pub threads: usize,
 }
 
-/// What was found of one point.
+/// Results for one invariant across all seeds.
 #[derive(Clone, Debug, Default)]
-pub struct PointSummary {
-    /// Histories that put it to the test.
-    pub stressed_seeds: u64,
-    /// How often in all.
-    pub stressed: u64,
-    /// Histories that broke it.
+pub struct InvariantSummary {
+    /// Histories that exercised the invariant.
+    pub exercised_seeds: u64,
+    /// Total number of situations that exercised it.
+    pub exercised: u64,
+    /// Histories that violated it.
     pub violating_seeds: u64,
 }
 
-/// What was found in all.
+/// Results across all seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// Each point.
-    pub points: BTreeMap<Point, PointSummary>,
-    /// Grants that went back behind an acknowledged assignment because all
-    /// that knew of it were lost, and the seeds in which any did.
-    pub exposed: (u64, u64),
-    /// Violating seeds with what broke.
+    /// Results by invariant.
+    pub invariants: BTreeMap<Invariant, InvariantSummary>,
+    /// Grants with a lower fence than an acknowledged assignment, issued after a
+    /// majority of the voters was lost, and the number of seeds with such grants.
+    pub rolled_back_grants: (u64, u64),
+    /// Violations by seed.
     pub violations: BTreeMap<u64, Vec<String>>,
 }
 
-/// The name that selects every kind of fault.
+/// Name that selects every kind of fault.
 pub const ALL_FAULTS: &str = "all";
 
 impl Exploration {
-    /// The world of one seed.
+    /// Builds the scenario of one seed.
     pub fn scenario(&self, seed: u64) -> Scenario {
         let selected = |fault: &Fault| {
             let kinds = &self.faults;
@@ -66,7 +66,7 @@
         };
         let mut scenario = Scenario::random(seed, self.declaration.clone(), &selected);
         if let Some(guard) = self.without {
-            guard.remove_from(&mut scenario.guards);
+            guard.disable_in(&mut scenario.guards);
         }
         scenario
     }
@@ -98,8 +98,9 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Drops faults of a violating seed while it still violates.
-    pub fn shorten(&self, seed: u64) -> Scenario {
+    /// Minimizes the scenario of a violating seed by removing each fault that is not
+    /// needed for a violation.
+    pub fn minimize(&self, seed: u64) -> Scenario {
         let mut scenario = self.scenario(seed);
         let mut position = 0;
         while position < scenario.faults.len() {
@@ -115,13 +116,13 @@
     }
 }
 
-/// Everything that broke in a history.
+/// All violations in a history, prefixed with the invariant's name.
 pub fn violations(history: &History) -> Vec<String> {
     let findings = check_all(history);
     findings
         .into_iter()
         .flat_map(|finding| {
-            let name = finding.point.as_str();
+            let name = finding.invariant.as_str();
             let violations = finding.violations.into_iter();
             violations.map(move |text| format!("{name}: {text}"))
         })
@@ -130,15 +131,15 @@
 
 impl Summary {
     fn add(&mut self, seed: u64, history: &History) {
-        let exposed = exposed(history);
-        self.exposed.0 += exposed;
-        self.exposed.1 += u64::from(exposed > 0);
+        let rolled_back_grants = rolled_back_grants(history);
+        self.rolled_back_grants.0 += rolled_back_grants;
+        self.rolled_back_grants.1 += u64::from(rolled_back_grants > 0);
         for finding in check_all(history) {
-            let point = self.points.entry(finding.point).or_default();
-            point.stressed += finding.stressed;
-            point.stressed_seeds += u64::from(finding.stressed > 0);
-            point.violating_seeds += u64::from(!finding.violations.is_empty());
-            let name = finding.point.as_str();
+            let invariant = self.invariants.entry(finding.invariant).or_default();
+            invariant.exercised += finding.exercised;
+            invariant.exercised_seeds += u64::from(finding.exercised > 0);
+            invariant.violating_seeds += u64::from(!finding.violations.is_empty());
+            let name = finding.invariant.as_str();
             for text in finding.violations {
                 let all = self.violations.entry(seed).or_default();
                 all.push(format!("{name}: {text}"));
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,11 +1,11 @@
-//! `beamtray-sim`: see `beamtray-sim --help` and docs/PROOFS.md.
+//! Command line of `beamtray-sim`; see `beamtray-sim --help` and docs/PROOFS.md.
 
 mod router;
 
 use beamtray_placement::Policy;
 use beamtray_routersim::WorldSize;
 use beamtray_settings::Declaration;
-use beamtray_sim::check::Point;
+use beamtray_sim::check::Invariant;
 use beamtray_sim::explore::{ALL_FAULTS, Exploration, Summary, violations};
 use beamtray_sim::guard::Guard;
 use beamtray_sim::measure::{Kind, Measures, measure, policy_name};
@@ -36,7 +36,7 @@
     ExploreRouter(ExploreRouterArguments),
     #[options(help = "replay traces against their stated outcomes")]
     Replay(ReplayArguments),
-    #[options(help = "measure what control costs many nodes")]
+    #[options(help = "measure control-plane cost at scale")]
     Scale(ScaleArguments),
     #[options(help = "measure imbalance, churn and unavailable time")]
     Measure(MeasureArguments),
@@ -76,7 +76,7 @@
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "numbers of nodes, with commas",
+        help = "node counts, separated by commas",
         no_short,
         default = "23,69,230"
     )]
@@ -105,7 +105,7 @@
     seeds: u64,
     #[options(help = "threads", no_short, default = "8")]
     threads: u64,
-    #[options(help = "do without this protection", no_short, meta = "GUARD")]
+    #[options(help = "disable this guard", no_short, meta = "GUARD")]
     without: Option<String>,
     #[options(
         help = "size of the worlds: drawn (the default), many (17 to 23 nodes), large (300)",
@@ -130,12 +130,12 @@
     )]
     deployment: Option<String>,
     #[options(
-        help = "all, none, or a list of kinds with commas",
+        help = "all, none, or kinds separated by commas",
         no_short,
         default = "all"
     )]
     faults: String,
-    #[options(help = "do without this protection", no_short, meta = "GUARD")]
+    #[options(help = "disable this guard", no_short, meta = "GUARD")]
     without: Option<String>,
     #[options(help = "threads", no_short, default = "8")]
     threads: usize,
@@ -152,7 +152,7 @@
         Some(Command::Scale(arguments)) => scale(&arguments),
         Some(Command::Measure(arguments)) => measure_all(&arguments),
         None => {
-            eprintln!("name a command; --help lists them");
+            eprintln!("no command given; --help lists the commands");
             Ok(ExitCode::from(2))
         }
     }
@@ -163,7 +163,7 @@
         let file = arguments
             .traces
             .first()
-            .ok_or_else(|| eyre!("name the file to write"))?;
+            .ok_or_else(|| eyre!("no output file given"))?;
         let trace = record(&Scenario::random(seed, None, &|_| true));
         std::fs::write(file, trace.to_text()?)?;
         return Ok(ExitCode::SUCCESS);
@@ -341,24 +341,28 @@
 }
 
 fn print_summary(exploration: &Exploration, summary: &Summary, arguments: &ExploreArguments) {
-    for point in Point::ALL {
-        let found = summary.points.get(&point).cloned().unwrap_or_default();
-        let note = if found.stressed_seeds == 0 {
+    for invariant in Invariant::ALL {
+        let found = summary
+            .invariants
+            .get(&invariant)
+            .cloned()
+            .unwrap_or_default();
+        let note = if found.exercised_seeds == 0 {
             " never put to the test"
         } else {
             ""
         };
         println!(
             "{:<20} stressed in {} seeds, {} times; violating seeds {}{note}",
-            point.as_str(),
-            found.stressed_seeds,
-            found.stressed,
+            invariant.as_str(),
+            found.exercised_seeds,
+            found.exercised,
             found.violating_seeds,
         );
     }
     println!(
         "assignments exposed to the loss of a generation: {} in {} seeds",
-        summary.exposed.0, summary.exposed.1
+        summary.rolled_back_grants.0, summary.rolled_back_grants.1
     );
     let deployment = arguments
         .deployment
@@ -378,7 +382,7 @@
             "  replay: beamtray-sim explore --first-seed {seed} --seeds 1{faults}{deployment} --verbose"
         );
         println!("  shortened:");
-        for fault in exploration.shorten(*seed).faults {
+        for fault in exploration.minimize(*seed).faults {
             println!("    at {} ms: {:?}", fault.at_millis, fault.fault);
         }
     }
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -1,12 +1,12 @@
-//! `explore-router`: histories of the store-backed router.
+//! `explore-router`: runs and checks histories of the store-backed router.
 
 use crate::ExploreRouterArguments;
-use beamtray_routersim::{FaultPlan, Guard, Outcome, WorldConfig, WorldSize, play};
+use beamtray_routersim::{FaultPlan, Guard, Outcome, WorldConfig, WorldSize, run_plan};
 use eyre::{Result, eyre};
 use std::process::ExitCode;
 use std::thread;
 
-/// What came of all seeds.
+/// Totals over all seeds.
 #[derive(Default)]
 struct Total {
     asked: usize,
@@ -18,7 +18,7 @@
 
 impl Total {
     fn add(&mut self, seed: u64, outcome: &Outcome) {
-        self.asked += outcome.asked;
+        self.asked += outcome.requests;
         self.served += outcome.served;
         self.releases += outcome.releases;
         self.faults += outcome.plan.faults.len();
@@ -28,7 +28,7 @@
         }
     }
 
-    fn join(mut self, other: Total) -> Self {
+    fn merge(mut self, other: Total) -> Self {
         self.asked += other.asked;
         self.served += other.served;
         self.releases += other.releases;
@@ -53,7 +53,7 @@
     let mut total = Total::default();
     for worker in workers {
         let part = worker.join().map_err(|_| eyre!("a history panicked"))?;
-        total = total.join(part);
+        total = total.merge(part);
     }
     println!(
         "seeds {} faults {} requests {} answered {} releases {} violations {}",
@@ -71,7 +71,7 @@
     for seed in seeds {
         let config = WorldConfig::sized(size, seed);
         let plan = FaultPlan::draw(seed, &config);
-        total.add(seed, &play(config, plan, off));
+        total.add(seed, &run_plan(config, plan, off));
     }
     total
 }
--- a/crates/sim/src/world/callers.rs
+++ b/crates/sim/src/world/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: random, scripted, probing and last requests, and their answers.
+//! Callers: random, scripted, probe and final requests, and their responses.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{CallerView, Record};
 use crate::scenario::{LoadShape, PROBE_SERVICE, Scenario};
 use beamtray_control::Input;
@@ -17,19 +17,19 @@
 const TRANSFER_SHARE: f64 = 0.4;
 /// Share of requests that go to a pool.
 const POOL_SHARE: f64 = 0.15;
-/// Share of requests that a hot key takes.
+/// Share of requests that go to a hot key.
 const HOT_SHARE: f64 = 0.6;
 
-/// A request that waits for its answer.
+/// A request that awaits its response.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingRequest {
     name: String,
 }
 
-/// All callers.
+/// State of all callers.
 #[derive(Debug)]
 pub(crate) struct Callers {
-    waiting: BTreeMap<(usize, u64, RequestId), Waiting>,
+    waiting: BTreeMap<(usize, u64, RequestId), PendingRequest>,
     next_name: u64,
     cumulative: Vec<f64>,
     keyed: Vec<ServiceName>,
@@ -38,7 +38,7 @@
     pub(crate) probing: bool,
 }
 
-/// Keys that take a share of the requests together.
+/// Keys that together receive a share of the requests.
 #[derive(Clone, Debug)]
 pub(crate) struct HotKeys {
     pub(crate) keys: Vec<String>,
@@ -48,7 +48,7 @@
 }
 
 impl HotKeys {
-    /// One key that takes most of the requests from now on.
+    /// A single key that receives most of the requests immediately, without a ramp.
     pub(crate) fn at_once(key: String) -> Self {
         Self {
             keys: vec![key],
@@ -67,8 +67,8 @@
     }
 }
 
-/// What a caller asks for.
-struct Wanted {
+/// Parameters of a request to send.
+struct RequestParameters {
     name: String,
     service: ServiceName,
     key: Option<String>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Cumulative shares of the keys.
+/// Returns the cumulative Zipf distribution over the keys.
 fn zipf(load: LoadShape) -> Vec<f64> {
     let weights: Vec<f64> = (1..=load.keys)
         .map(|rank| f64::from(rank).powf(-load.skew))
@@ -142,7 +142,7 @@
         }
         let mean = 1_000_000.0 / f64::from(self.scenario.load.per_second.max(1));
         let draw: f64 = self.rng.random_range(0.000_1..1.0);
-        self.after((-draw.ln() * mean) as u64 + 1, Happening::RandomRequest);
+        self.after((-draw.ln() * mean) as u64 + 1, SimEvent::RandomRequest);
         let Some(node) = self.some_node() else { return };
         let transfer = self.rng.random_bool(TRANSFER_SHARE);
         let pool = self.rng.random_bool(POOL_SHARE) && !self.callers.pools.is_empty();
@@ -157,7 +157,7 @@
         let service = services[self.rng.random_range(0..services.len())].clone();
         let key = self.random_key();
         let kind = if transfer { "transfer" } else { "read" };
-        let wanted = Wanted {
+        let wanted = RequestParameters {
             name: self.new_name(kind),
             service,
             key: (!pool).then_some(key),
@@ -178,19 +178,19 @@
         Some(up[self.rng.random_range(0..up.len())])
     }
 
-    /// Asks every node which configuration is in force.
+    /// Probes every node for the configuration in force.
     pub(crate) fn send_probes(&mut self) {
         if !self.callers.probing {
             return;
         }
         if self.now + 2_000_000 < self.history.end {
-            self.after(PROBE_MICROS, Happening::Probe);
+            self.after(PROBE_MICROS, SimEvent::Probe);
         }
         for node in 0..self.nodes.len() {
             if self.nodes[node].state == ProcessState::Dead {
                 continue;
             }
-            let wanted = Wanted {
+            let wanted = RequestParameters {
                 name: self.new_name("probe"),
                 service: ServiceName::from(PROBE_SERVICE),
                 key: None,
@@ -204,7 +204,7 @@
 
     pub(crate) fn send_scripted(&mut self, position: usize) {
         let request = self.scenario.script[position].clone();
-        let wanted = Wanted {
+        let wanted = RequestParameters {
             name: request.name,
             service: ServiceName(request.service),
             key: Some(request.key).filter(|key| !key.is_empty()),
@@ -215,8 +215,9 @@
         self.send(request.node, wanted);
     }
 
-    /// After all faults: every key, and every pool, at some node.
-    pub(crate) fn send_last_requests(&mut self) {
+    /// Sends the final requests after all faults: one for every key and every pool,
+    /// each to some node.
+    pub(crate) fn send_final_requests(&mut self) {
         let keys = self.scenario.load.keys;
         let mut all = Vec::new();
         for service in self.callers.keyed.clone() {
@@ -225,7 +226,7 @@
         all.extend(self.callers.pools.iter().map(|pool| (pool.clone(), None)));
         for (service, key) in all {
             let Some(node) = self.some_node() else { return };
-            let wanted = Wanted {
+            let wanted = RequestParameters {
                 name: self.new_name("last"),
                 service,
                 key,
@@ -237,7 +238,7 @@
         }
     }
 
-    fn send(&mut self, node: usize, wanted: Wanted) {
+    fn send(&mut self, node: usize, wanted: RequestParameters) {
         let target = &mut self.nodes[node];
         let id = RequestId(target.next_request);
         target.next_request += 1;
@@ -270,11 +271,11 @@
         let name = wanted.name.clone();
         self.callers
             .waiting
-            .insert((node, run, id), Waiting { name: wanted.name });
-        self.after(PATIENCE_MICROS, Happening::CallerGivesUp { name });
+            .insert((node, run, id), PendingRequest { name: wanted.name });
+        self.after(PATIENCE_MICROS, SimEvent::CallerTimesOut { name });
         let input = Input::Caller { id, request };
         let delay = self.scenario.far_micros;
-        self.after(delay, Happening::ToNode { node, run, input });
+        self.after(delay, SimEvent::ToNode { node, run, input });
     }
 
     pub(crate) fn on_answer(&mut self, node: usize, id: RequestId, answer: Answer) {
@@ -295,7 +296,7 @@
         self.record(Record::Answered { name, view });
     }
 
-    pub(crate) fn on_caller_gives_up(&mut self, name: &str) {
+    pub(crate) fn on_caller_timeout(&mut self, name: &str) {
         let found = self
             .callers
             .waiting
@@ -309,11 +310,11 @@
             name: name.to_owned(),
             view,
         });
-        let input = Input::CallerGone { id };
-        self.after(0, Happening::ToNode { node, run, input });
+        let input = Input::CallerDisconnected { id };
+        self.after(0, SimEvent::ToNode { node, run, input });
     }
 
-    /// The connections of a node's callers broke.
+    /// Breaks the connections of a node's callers.
     pub(crate) fn drop_callers_of(&mut self, node: usize) {
         let mut dropped = Vec::new();
         self.callers.waiting.retain(|(other, _, _), waiting| {
--- a/crates/sim/src/world/network.rs
+++ b/crates/sim/src/world/network.rs
@@ -1,11 +1,11 @@
-//! Delays, losses and cuts between zones. The key-value service is a zone of
-//! its own.
+//! Network delay, message loss and partitions between zones. The platform with the
+//! key-value service is a zone of its own.
 
 use crate::scenario::Scenario;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Cut off links of one direction until a moment.
+/// A one-way link cut that lasts until a given time.
 #[derive(Clone, Copy, Debug)]
 struct Cut {
     from: usize,
@@ -13,23 +13,23 @@
     until: u64,
 }
 
-/// How badly messages between nodes fare until a moment.
+/// Loss, duplication and delay of messages between nodes until a given time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Weather {
+pub(crate) struct LinkConditions {
     pub(crate) until: u64,
     pub(crate) loss_percent: u8,
     pub(crate) duplicate_percent: u8,
     pub(crate) delay_micros: u64,
 }
 
-/// The network.
+/// The simulated network.
 #[derive(Debug)]
 pub(crate) struct Network {
     near: u64,
     far: u64,
     zones: usize,
     cuts: Vec<Cut>,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: LinkConditions,
 }
 
 impl Network {
@@ -39,11 +39,11 @@
             far: scenario.far_micros,
             zones: scenario.zones,
             cuts: Vec::new(),
-            weather: Weather::default(),
+            conditions: LinkConditions::default(),
         }
     }
 
-    /// The zone that stands for the platform.
+    /// Index of the zone that represents the platform.
     pub(crate) fn platform(&self) -> usize {
         self.zones
     }
@@ -52,7 +52,7 @@
         self.cuts.push(Cut { from, to, until });
     }
 
-    /// Cuts a zone off from all others and the platform.
+    /// Partitions a zone from all other zones and from the platform.
     pub(crate) fn cut_off(&mut self, zone: usize, until: u64) {
         for other in 0..=self.zones {
             if other != zone {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// One-way delay, or none when the link is cut.
+    /// Returns a one-way delay, or `None` if the link is cut.
     pub(crate) fn delay(
         &self,
         rng: &mut ChaCha8Rng,
@@ -81,7 +81,7 @@
         Some(base + rng.random_range(0..=base / 2))
     }
 
-    /// Delays of the copies of a message between nodes that arrive.
+    /// Returns the delay of each copy of a message between nodes that is delivered.
     pub(crate) fn copies(
         &self,
         rng: &mut ChaCha8Rng,
@@ -92,15 +92,15 @@
         let Some(delay) = self.delay(rng, now, from, to) else {
             return Vec::new();
         };
-        let weather = self.weather;
-        if now >= weather.until {
+        let conditions = self.conditions;
+        if now >= conditions.until {
             return vec![delay];
         }
         let mut copies = Vec::new();
-        let wanted = 1 + usize::from(rng.random_range(0..100) < weather.duplicate_percent);
+        let wanted = 1 + usize::from(rng.random_range(0..100) < conditions.duplicate_percent);
         for _ in 0..wanted {
-            if rng.random_range(0..100) >= weather.loss_percent {
-                copies.push(delay + rng.random_range(0..=weather.delay_micros));
+            if rng.random_range(0..100) >= conditions.loss_percent {
+                copies.push(delay + rng.random_range(0..=conditions.delay_micros));
             }
         }
         copies
--- a/crates/sim/src/world/nodes.rs
+++ b/crates/sim/src/world/nodes.rs
@@ -1,8 +1,8 @@
-//! Node processes: the product's actor, and what a process can suffer.
+//! Node processes: the production actor and the process faults.
 
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::Record;
-use beamtray_actor::{NodeActor, ProcessClock, TICK};
+use beamtray_actor::{NodeActor, ProcessClock, TICK_INTERVAL};
 use beamtray_control::{ControlConfig, Input, NodeCore, Output, PeerInfo, PeerMessage};
 use beamtray_types::{GroupId, Incarnation, Member, NodeId, Zone};
 use rand::RngExt;
@@ -11,22 +11,22 @@
 use std::rc::Rc;
 
 const STOP_MILLIS: u64 = 8_000;
-/// Largest deviation of a clock's rate. Two clocks differ by at most twice
-/// this, which stays under the drift that the timing allows for.
+/// Maximum deviation of a clock's rate. The rates of two clocks differ by at most
+/// twice this value, which is below the drift that the protocol timing tolerates.
 const MAX_DEVIATION_PPM: i64 = 9_000;
 const RESET_MICROS: u64 = 1_000;
 
-/// How a process is.
+/// State of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessState {
     Running,
-    /// Will freeze in the middle of its next step, until the time given.
-    Freezing(u64),
-    Frozen,
+    /// Will be suspended in the middle of its next step, until the given time.
+    Suspending(u64),
+    Suspended,
     Dead,
 }
 
-/// One node's process.
+/// A node's process.
 pub(crate) struct SimNode {
     pub(crate) zone: usize,
     pub(crate) run: u64,
@@ -96,8 +96,8 @@
         node.actor = Some(actor);
         node.held_inputs.clear();
         node.held_outputs.clear();
-        let first = self.rng.random_range(0..TICK.as_micros() as u64);
-        self.after(first, Happening::Tick { node: index, run });
+        let first = self.rng.random_range(0..TICK_INTERVAL.as_micros() as u64);
+        self.after(first, SimEvent::Tick { node: index, run });
     }
 
     fn control_config(&self, index: usize, me: Member, seed: u64) -> ControlConfig {
@@ -126,28 +126,32 @@
         if self.nodes[node].run != run || self.nodes[node].state == ProcessState::Dead {
             return;
         }
-        self.after(TICK.as_micros() as u64, Happening::Tick { node, run });
-        if self.nodes[node].state != ProcessState::Frozen {
+        self.after(
+            TICK_INTERVAL.as_micros() as u64,
+            SimEvent::Tick { node, run },
+        );
+        if self.nodes[node].state != ProcessState::Suspended {
             self.input(node, Input::Tick);
         }
     }
 
-    /// Gives a node an input: now, at its thaw, or never.
+    /// Delivers an input to a node: immediately, on resumption if the node is
+    /// suspended, or never if it is dead.
     pub(crate) fn input(&mut self, index: usize, input: Input) {
         match self.nodes[index].state {
             ProcessState::Dead => {}
-            ProcessState::Frozen => self.nodes[index].held_inputs.push(input),
+            ProcessState::Suspended => self.nodes[index].held_inputs.push(input),
             ProcessState::Running => {
                 let outputs = self.step(index, input);
                 self.carry_out(index, outputs);
             }
-            ProcessState::Freezing(until) => {
+            ProcessState::Suspending(until) => {
                 let outputs = self.step(index, input);
                 let node = &mut self.nodes[index];
                 node.held_outputs = outputs;
-                node.state = ProcessState::Frozen;
+                node.state = ProcessState::Suspended;
                 let run = node.run;
-                self.at(until, Happening::ThawNode { node: index, run });
+                self.at(until, SimEvent::ResumeNode { node: index, run });
             }
         }
     }
@@ -159,8 +163,8 @@
         };
         let started = self.meter.on.then(std::time::Instant::now);
         let stakker = &mut self.stakker;
-        // Moves the clock before the call is queued, so that the actor sees
-        // this moment.
+        // Advances the clock before the call is queued, so that the actor sees the
+        // current time.
         stakker.run(now, false);
         call!([actor, stakker], input(input));
         stakker.run(now, false);
@@ -211,7 +215,7 @@
                 let run = self.nodes[from].run;
                 let input = Input::Unsent { to, message };
                 let node = from;
-                self.after(2 * delay, Happening::ToNode { node, run, input });
+                self.after(2 * delay, SimEvent::ToNode { node, run, input });
             }
             return;
         }
@@ -222,11 +226,11 @@
         }
         for delay in copies {
             let message = message.clone();
-            self.after(delay, Happening::Peer { from, to, message });
+            self.after(delay, SimEvent::Peer { from, to, message });
         }
     }
 
-    /// Ends a node's process: its connections break.
+    /// Ends a node's process and breaks its connections.
     pub(crate) fn end_node(&mut self, index: usize, planned: bool) {
         if self.nodes[index].state == ProcessState::Dead {
             return;
@@ -245,12 +249,12 @@
                 continue;
             }
             let node = node_id(index);
-            let happening = Happening::ToNode {
+            let event = SimEvent::ToNode {
                 node: other,
                 run: self.nodes[other].run,
                 input: Input::PeerLost { node },
             };
-            self.after(RESET_MICROS, happening);
+            self.after(RESET_MICROS, event);
         }
     }
 
@@ -260,9 +264,9 @@
         }
     }
 
-    pub(crate) fn thaw_node(&mut self, index: usize, run: u64) {
+    pub(crate) fn resume_node(&mut self, index: usize, run: u64) {
         let node = &mut self.nodes[index];
-        if node.run != run || node.state != ProcessState::Frozen {
+        if node.run != run || node.state != ProcessState::Suspended {
             return;
         }
         node.state = ProcessState::Running;
@@ -274,8 +278,7 @@
         }
     }
 
-    /// Looks at a node's core; for choosing what to make fail, never for a
-    /// checker.
+    /// Reads a node's core. Used to select fault targets, never by a checker.
     pub(crate) fn inspect<T: Copy + 'static>(
         &mut self,
         index: usize,
@@ -300,7 +303,7 @@
     }
 }
 
-/// The number of the node at a position.
+/// Returns the ID of the node at an index.
 pub(crate) fn node_id(index: usize) -> NodeId {
     NodeId(index as u32 + 1)
 }
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -1,7 +1,7 @@
-//! Operators: they confirm what they want until it is in force.
+//! Operators, which confirm the desired declaration until it is in force.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{OperatorView, Record};
 use crate::scenario::PROBE_SERVICE;
 use beamtray_control::{Input, OperatorAnswer, OperatorCall, OperatorRequest};
@@ -22,20 +22,20 @@
     expires: u64,
 }
 
-/// Operators and what they want.
+/// State of the operators and the declaration they want.
 #[derive(Debug)]
 pub(crate) struct Operators {
     declared: Declaration,
-    /// Servers that are to be drained.
+    /// Servers to drain.
     pub(crate) drained: BTreeSet<usize>,
-    /// Counts changes of what is wanted.
+    /// Number of changes to the desired declaration.
     pub(crate) wanted: u64,
     accepted: u64,
     base: u64,
     next_operation: u64,
     next_call: u64,
     asked: BTreeMap<OperatorCall, Asked>,
-    /// Planned stops that wait for their drain to be in force.
+    /// Servers whose planned stop waits until their drain is in force.
     pub(crate) to_stop: BTreeSet<usize>,
 }
 
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The declaration with its drains, marked by the write that brings it.
+    /// Builds the declaration with the current drains and a probe pool that identifies
+    /// the write.
     fn declaration(&self, names: &[ServerName], operation: u64) -> Declaration {
         let mut declaration = self.declared.clone();
         for server in declaration.services.iter_mut().flat_map(|s| &mut s.servers) {
@@ -66,7 +67,7 @@
     }
 }
 
-/// The pool that shows which write is in force.
+/// Builds the probe pool that reveals which write is in force.
 fn probe_service(operation: u64) -> ServiceDeclaration {
     let [_, _, _, _, _, _, high, low] = operation.to_be_bytes();
     ServiceDeclaration {
@@ -90,9 +91,9 @@
 }
 
 impl World {
-    /// One operator's look at whether what is wanted is in force.
+    /// Checks whether the desired declaration is in force, and confirms it if not.
     pub(crate) fn operate(&mut self) {
-        self.after(OPERATE_MICROS, Happening::Operate);
+        self.after(OPERATE_MICROS, SimEvent::Operate);
         let now = self.now;
         let expired: Vec<OperatorCall> = self
             .operators
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Two operators at the same moment, with different declarations.
+    /// Submits different declarations from two operators at the same time.
     pub(crate) fn race_operators(&mut self) {
         self.operators.wanted += 1;
         self.send_confirm();
@@ -154,7 +155,7 @@
         });
         let run = self.nodes[node].run;
         let input = Input::Operator { call, request };
-        self.after(1_000, Happening::ToNode { node, run, input });
+        self.after(1_000, SimEvent::ToNode { node, run, input });
     }
 
     pub(crate) fn on_operator_answer(&mut self, call: OperatorCall, answer: OperatorAnswer) {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Drained servers are stopped some time after their drain is in force.
+    /// Schedules the planned stop of servers some time after their drain is in force.
     fn stop_drained(&mut self, drained: &BTreeSet<usize>) {
         let ready: Vec<usize> = self
             .operators
@@ -196,9 +197,9 @@
             .collect();
         for server in ready {
             self.operators.to_stop.remove(&server);
-            self.after(3_500_000, Happening::StopServer { server });
-            self.after(5_000_000, Happening::RestartServer { server });
-            self.after(5_500_000, Happening::FillServer { server });
+            self.after(3_500_000, SimEvent::StopServer { server });
+            self.after(5_000_000, SimEvent::RestartServer { server });
+            self.after(5_500_000, SimEvent::UndrainServer { server });
         }
     }
 
@@ -209,7 +210,7 @@
         }
     }
 
-    pub(crate) fn fill_server(&mut self, server: usize) {
+    pub(crate) fn undrain_server(&mut self, server: usize) {
         if self.operators.drained.remove(&server) {
             self.operators.wanted += 1;
         }
--- a/crates/sim/src/world/servers.rs
+++ b/crates/sim/src/world/servers.rs
@@ -1,7 +1,8 @@
-//! Servers and back ends: the stand-ins' models as processes with clocks.
+//! Servers and back ends: the stand-in models run as processes with their own
+//! clocks.
 
 use super::nodes::ProcessState;
-use super::{Happening, World};
+use super::{SimEvent, World};
 use crate::record::{Record, ServerRun};
 use beamtray_control::Input;
 use beamtray_ownership::{GrantReply, GrantRequest, PendingGrant};
@@ -16,23 +17,23 @@
 const MAX_DEVIATION_PPM: i64 = 9_000;
 const GRANT_TIMEOUT_MICROS: u64 = 700_000;
 const RESET_MICROS: u64 = 1_000;
-/// Position that stands for the back ends of the probing pool.
+/// Index that represents the back ends of the probe pool.
 pub(crate) const PROBE_SERVER: usize = usize::MAX;
 
-/// What a process serves.
+/// Model that a server process runs.
 pub(crate) enum Model {
     Keyed(Box<KeyedServer>),
     Pool(Backend),
 }
 
-/// Something that reached a frozen server.
-pub(crate) enum Held {
+/// An input that reached a suspended server.
+pub(crate) enum PendingInput {
     Call(u64),
     Commit(u64),
     Grant(usize, u64, GrantRequest, u64),
 }
 
-/// One server's process.
+/// A server's process.
 pub(crate) struct SimServer {
     pub(crate) name: ServerName,
     pub(crate) zone: usize,
@@ -45,17 +46,17 @@
     started: u64,
     deviation_ppm: i64,
     pub(crate) cut_until: u64,
-    pub(crate) held: Vec<Held>,
+    pub(crate) held: Vec<PendingInput>,
 }
 
 impl SimServer {
-    /// This run's clock at a moment of the world.
+    /// Returns this run's clock at a world time.
     pub(crate) fn clock(&self, at: u64) -> Time {
         let elapsed = at.saturating_sub(self.started) as i64;
         Time((elapsed + elapsed / 1_000 * self.deviation_ppm / 1_000) as u64)
     }
 
-    /// The first moment of the world at which this run's clock shows `time`.
+    /// Returns the first world time at which this run's clock has reached `time`.
     fn world_time(&self, time: Time) -> u64 {
         let rate = 1.0 + self.deviation_ppm as f64 / 1_000_000.0;
         self.started + (time.0 as f64 / rate).ceil() as u64 + 1_000
@@ -133,7 +134,7 @@
         let Some(server) = found else { return };
         let name = grant.server.clone();
         let sent = self.now;
-        let happening = Happening::ToNode {
+        let event = SimEvent::ToNode {
             node,
             run,
             input: Input::Grant {
@@ -145,12 +146,12 @@
         let delay = self.network.delay(&mut self.rng, self.now, from, to);
         let reachable = self.now >= self.servers[server].cut_until;
         match delay.filter(|_| reachable) {
-            // A refused connection is known at once.
+            // The sender learns of a refused connection after one round trip.
             Some(delay) if self.servers[server].state == ProcessState::Dead => {
-                self.after(2 * delay, happening);
+                self.after(2 * delay, event);
             }
             Some(delay) => {
-                // Now and then a message is held up for long.
+                // A share of the grants is delayed by up to 3 s.
                 let held_up = if self.rng.random_bool(self.scenario.held_up_share) {
                     self.rng.random_range(0..3_000_000)
                 } else {
@@ -159,7 +160,7 @@
                 let request = grant.request;
                 self.after(
                     delay + held_up,
-                    Happening::GrantArrives {
+                    SimEvent::GrantArrives {
                         node,
                         run,
                         server,
@@ -168,7 +169,7 @@
                     },
                 );
             }
-            None => self.after(GRANT_TIMEOUT_MICROS, happening),
+            None => self.after(GRANT_TIMEOUT_MICROS, event),
         }
     }
 
@@ -182,8 +183,8 @@
     ) {
         match self.servers[index].state {
             ProcessState::Dead => return self.grant_failed(node, run, index, sent),
-            ProcessState::Frozen | ProcessState::Freezing(_) => {
-                let held = Held::Grant(node, run, request, sent);
+            ProcessState::Suspended | ProcessState::Suspending(_) => {
+                let held = PendingInput::Grant(node, run, request, sent);
                 self.servers[index].held.push(held);
                 return self.grant_failed(node, run, index, sent);
             }
@@ -199,7 +200,7 @@
         let valid_until = table.valid_until();
         let unlimited = !table.checks_expiry;
         let slices = if unlimited || now < valid_until {
-            table.all()
+            table.granted_slices()
         } else {
             Vec::new()
         };
@@ -238,7 +239,7 @@
                 let server = self.servers[index].name.clone();
                 let reply = Some(reply);
                 let input = Input::Grant { server, reply };
-                self.after(delay, Happening::ToNode { node, run, input });
+                self.after(delay, SimEvent::ToNode { node, run, input });
             }
             None => self.grant_failed(node, run, index, sent),
         }
@@ -249,7 +250,7 @@
         let reply = None;
         let input = Input::Grant { server, reply };
         let at = (sent + GRANT_TIMEOUT_MICROS).max(self.now);
-        self.at(at, Happening::ToNode { node, run, input });
+        self.at(at, SimEvent::ToNode { node, run, input });
     }
 
     /// Ends a server's process.
@@ -262,12 +263,12 @@
         self.disconnect_server(index);
     }
 
-    /// Cuts a run off and starts another in its place. The old one is not
-    /// ended: for the record it holds its grants until they lapse.
+    /// Disconnects a run and starts another in its place. The record does not mark
+    /// the old run as ended, so it holds its grants until they expire.
     pub(crate) fn replace_server(&mut self, index: usize, millis: u64) {
         if self.servers[index].state == ProcessState::Running {
             self.disconnect_server(index);
-            self.after(millis * 1_000, Happening::RestartServer { server: index });
+            self.after(millis * 1_000, SimEvent::RestartServer { server: index });
         }
     }
 
@@ -286,7 +287,7 @@
             };
             self.after(
                 RESET_MICROS,
-                Happening::CallEnds {
+                SimEvent::CallEnds {
                     exchange: id,
                     outcome,
                 },
@@ -305,34 +306,38 @@
         if server.state != ProcessState::Running {
             return;
         }
-        server.state = ProcessState::Frozen;
+        server.state = ProcessState::Suspended;
         let run = server.run;
-        self.after(millis * 1_000, Happening::ThawServer { server: index, run });
+        self.after(
+            millis * 1_000,
+            SimEvent::ResumeServer { server: index, run },
+        );
     }
 
-    pub(crate) fn thaw_server(&mut self, index: usize, run: u64) {
+    pub(crate) fn resume_server(&mut self, index: usize, run: u64) {
         let server = &mut self.servers[index];
-        if server.run != run || server.state != ProcessState::Frozen {
+        if server.run != run || server.state != ProcessState::Suspended {
             return;
         }
         server.state = ProcessState::Running;
         let held = std::mem::take(&mut server.held);
-        // What it was doing goes on before it reads what came meanwhile.
-        let (commits, rest): (Vec<Held>, Vec<Held>) = held
+        // Work in progress continues before inputs received meanwhile are read.
+        let (commits, rest): (Vec<PendingInput>, Vec<PendingInput>) = held
             .into_iter()
-            .partition(|held| matches!(held, Held::Commit(_)));
+            .partition(|held| matches!(held, PendingInput::Commit(_)));
         for held in commits.into_iter().chain(rest) {
             match held {
-                Held::Commit(id) => self.commit(id, index),
-                Held::Call(id) => self.on_call_arrives(id),
-                Held::Grant(node, run, request, sent) => {
+                PendingInput::Commit(id) => self.commit(id, index),
+                PendingInput::Call(id) => self.on_call_arrives(id),
+                PendingInput::Grant(node, run, request, sent) => {
                     self.on_grant_arrives(node, run, index, request, sent);
                 }
             }
         }
     }
 
-    /// A planned stop: takes nothing new, finishes what it has, then ends.
+    /// Starts a planned stop: the server admits no new requests, finishes those in
+    /// flight and then ends.
     pub(crate) fn stop_server(&mut self, index: usize) {
         if self.servers[index].state != ProcessState::Running {
             return;
@@ -347,12 +352,12 @@
             Model::Pool(model) => model.load() > 0,
         };
         if busy {
-            return self.after(50_000, Happening::StopServer { server: index });
+            return self.after(50_000, SimEvent::StopServer { server: index });
         }
         self.end_server(index);
     }
 
-    /// The server that holds a key now, as the world knows it.
+    /// Returns the server that currently holds a key according to the world.
     pub(crate) fn owner_of(&self, key: &str) -> Option<usize> {
         let hash = beamtray_types::KeyHash::of(key);
         self.servers.iter().position(|server| match &server.model {
--- a/crates/sim/tests/guards.rs
+++ b/crates/sim/tests/guards.rs
@@ -1,10 +1,11 @@
-//! Every protection matters: switched off alone, a checker objects within a
-//! stated number of seeds. With all of them on, the same histories are clean.
+//! Verifies that every guard is necessary: with one guard disabled, a checker
+//! reports a violation within a given number of seeds, and the same history has
+//! no violation with all guards enabled.
 //!
-//! The withholding of votes is shown to matter on the log alone, in the tests of
-//! `beamtray-consensus`: two leaders hold a lease at once without it.
+//! Vote withholding is covered by the tests of `beamtray-consensus`, which show on
+//! the log alone that two leaders hold a lease at once without it.
 
-use beamtray_sim::check::{Point, check_all};
+use beamtray_sim::check::{Invariant, check_all};
 use beamtray_sim::explore::violations;
 use beamtray_sim::fault::{Fault, ScheduledFault};
 use beamtray_sim::guard::Guard;
@@ -16,7 +17,7 @@
     ScheduledFault { at_millis, fault }
 }
 
-/// Two zones lose each other, both ways.
+/// Cuts the link between two zones in both directions.
 fn cut(from: usize, to: usize, millis: u64) -> Fault {
     Fault::CutZones {
         from,
@@ -26,25 +27,26 @@
     }
 }
 
-fn broken_points(scenario: Scenario) -> BTreeSet<Point> {
+fn violated_invariants(scenario: Scenario) -> BTreeSet<Invariant> {
     let findings = check_all(&World::new(scenario).run());
     let broken = findings
         .into_iter()
         .filter(|finding| !finding.violations.is_empty());
-    broken.map(|finding| finding.point).collect()
+    broken.map(|finding| finding.invariant).collect()
 }
 
-/// Runs `seeds` histories without the guard; the points broken, and checks
-/// that the first history that breaks one is clean with the guard.
-fn points_without(
+/// Runs histories with the guard disabled until one violates an invariant, and
+/// returns the violated invariants. Asserts that this history has no violation
+/// with all guards enabled.
+fn invariants_violated_without(
     guard: Guard,
     seeds: std::ops::Range<u64>,
     scenario: impl Fn(u64) -> Scenario,
-) -> BTreeSet<Point> {
+) -> BTreeSet<Invariant> {
     for seed in seeds {
         let mut unguarded = scenario(seed);
-        guard.remove_from(&mut unguarded.guards);
-        let broken = broken_points(unguarded);
+        guard.disable_in(&mut unguarded.guards);
+        let broken = violated_invariants(unguarded);
         if !broken.is_empty() {
             let clean = violations(&World::new(scenario(seed)).run());
             assert!(clean.is_empty(), "seed {seed} with all guards: {clean:?}");
@@ -65,8 +67,13 @@
     }
 }
 
-fn assert_noticed(guard: Guard, expected: Point, seeds: u64, scenario: impl Fn(u64) -> Scenario) {
-    let broken = points_without(guard, 1..seeds + 1, scenario);
+fn assert_violation_detected(
+    guard: Guard,
+    expected: Invariant,
+    seeds: u64,
+    scenario: impl Fn(u64) -> Scenario,
+) {
+    let broken = invariants_violated_without(guard, 1..seeds + 1, scenario);
     let name = guard.as_str();
     assert!(
         broken.contains(&expected),
@@ -77,11 +84,11 @@
 #[test]
 fn lapse_wait() {
     let scenario = random(&["pause-owner", "pause-server", "cut-server"]);
-    assert_noticed(Guard::LapseWait, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::LapseWait, Invariant::SoleOwner, 20, scenario);
 }
 
-/// A leader that froze right after it took slices back, with their owner cut
-/// off: the next leader knows nothing of the owner's grant.
+/// The leader is suspended right after it revokes slices whose owner is
+/// partitioned, so the next leader does not know of the owner's grant.
 #[test]
 fn former_leader_wait() {
     let scenario = directed(|seed| {
@@ -103,23 +110,23 @@
             ),
         ]
     });
-    assert_noticed(Guard::FormerLeaderWait, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::FormerLeaderWait, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn release_wait() {
     let scenario = random(&["stop-server", "machine-leaves", "hot-key"]);
-    assert_noticed(Guard::ReleaseWait, Point::SoleOwner, 100, scenario);
+    assert_violation_detected(Guard::ReleaseWait, Invariant::SoleOwner, 100, scenario);
 }
 
 #[test]
 fn server_incarnation() {
     let scenario = random(&["replace-server"]);
-    assert_noticed(Guard::ServerIncarnation, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::ServerIncarnation, Invariant::SoleOwner, 20, scenario);
 }
 
-/// The leader's zone is cut off: without its lease it goes on granting to the
-/// servers there.
+/// The leader's zone is partitioned. Without the lease, the leader keeps granting
+/// slices to the servers in its zone.
 #[test]
 fn leader_lease() {
     let scenario = directed(|seed| {
@@ -129,42 +136,47 @@
             at(7_000, cut(from, (from + 2) % 3, 6_000)),
         ]
     });
-    assert_noticed(Guard::LeaderLease, Point::SoleOwner, 40, scenario);
+    assert_violation_detected(Guard::LeaderLease, Invariant::SoleOwner, 40, scenario);
 }
 
 #[test]
 fn unknown_outcome() {
     let scenario = random(&["bad-network", "cut-zones"]);
-    assert_noticed(Guard::UnknownOutcome, Point::RefusedNotRun, 20, scenario);
+    assert_violation_detected(
+        Guard::UnknownOutcome,
+        Invariant::RefusedNotRun,
+        20,
+        scenario,
+    );
 }
 
 #[test]
 fn duplicate_drop() {
     let scenario = random(&["bad-network"]);
-    assert_noticed(Guard::DuplicateDrop, Point::AtMostOnce, 20, scenario);
+    assert_violation_detected(Guard::DuplicateDrop, Invariant::AtMostOnce, 20, scenario);
 }
 
 #[test]
 fn configuration_lease() {
     let scenario = random(&["cut-zone", "operator-race"]);
-    assert_noticed(
+    assert_violation_detected(
         Guard::ConfigurationLease,
-        Point::Configuration,
+        Invariant::Configuration,
         100,
         scenario,
     );
 }
 
-/// Whoever reaches the key-value service founds the group again while the old
-/// majority lives.
+/// A node that reaches the key-value service refounds the group while the old
+/// majority is still running.
 #[test]
 fn refounding_proof() {
     let scenario = directed(|_| vec![at(7_000, cut(2, 0, 9_000)), at(7_000, cut(2, 1, 9_000))]);
-    assert_noticed(Guard::RefoundingProof, Point::SoleOwner, 10, scenario);
+    assert_violation_detected(Guard::RefoundingProof, Invariant::SoleOwner, 10, scenario);
 }
 
-/// The leader is cut off from the other voters, accepts a configuration that
-/// only the key-value service keeps, and that service goes down.
+/// The leader is partitioned from the other voters and accepts a configuration
+/// that only the key-value service stores; then that service fails.
 #[test]
 fn committed_acceptance() {
     let scenario = directed(|seed| {
@@ -176,16 +188,16 @@
             at(7_040, Fault::KeyValueDown { millis: 17_000 }),
         ]
     });
-    assert_noticed(
+    assert_violation_detected(
         Guard::CommittedAcceptance,
-        Point::Configuration,
+        Invariant::Configuration,
         40,
         scenario,
     );
 }
 
-/// Two founders are replaced one after the other; a third that is cut off
-/// finds a record in which a majority is gone.
+/// Two founding voters are replaced one after the other. A third one, which is
+/// partitioned, finds a record that shows the majority as lost.
 #[test]
 fn voter_record() {
     let scenario = directed(|_| {
@@ -208,41 +220,46 @@
             at(20_000, cut(2, 1, 9_000)),
         ]
     });
-    assert_noticed(Guard::VoterRecord, Point::SoleOwner, 10, scenario);
+    assert_violation_detected(Guard::VoterRecord, Invariant::SoleOwner, 10, scenario);
 }
 
 #[test]
 fn read_back() {
     let scenario = random(&["key-value-loses-replies", "operator-race"]);
-    assert_noticed(Guard::ReadBack, Point::Configuration, 40, scenario);
+    assert_violation_detected(Guard::ReadBack, Invariant::Configuration, 40, scenario);
 }
 
 #[test]
 fn drain() {
     let scenario = random(&["stop-server", "operator-race"]);
-    assert_noticed(Guard::Drain, Point::Drain, 20, scenario);
+    assert_violation_detected(Guard::Drain, Invariant::Drain, 20, scenario);
 }
 
 #[test]
 fn grant_expiry() {
     let scenario = random(&["cut-server", "pause-server", "pause-owner"]);
-    assert_noticed(Guard::GrantExpiry, Point::SoleOwner, 20, scenario);
+    assert_violation_detected(Guard::GrantExpiry, Invariant::SoleOwner, 20, scenario);
 }
 
 #[test]
 fn server_fence() {
     let scenario = random(&["pause-leader", "pause-owner", "hot-key", "stop-server"]);
-    assert_noticed(Guard::ServerFence, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::ServerFence, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn effect_check() {
     let scenario = random(&["pause-owner", "pause-server"]);
-    assert_noticed(Guard::EffectCheck, Point::SoleOwner, 200, scenario);
+    assert_violation_detected(Guard::EffectCheck, Invariant::SoleOwner, 200, scenario);
 }
 
 #[test]
 fn connection_close() {
     let scenario = random(&["pause-server", "pause-owner"]);
-    assert_noticed(Guard::ConnectionClose, Point::OwnWholeAnswer, 20, scenario);
+    assert_violation_detected(
+        Guard::ConnectionClose,
+        Invariant::OwnWholeAnswer,
+        20,
+        scenario,
+    );
 }
--- a/crates/soak/src/checker/owners.rs
+++ b/crates/soak/src/checker/owners.rs
@@ -1,33 +1,33 @@
-//! The promise that a key has one owner.
+//! Checks that a key has at most one owner.
 
-use super::{Begun, Checker, Promise};
+use super::{Checker, ExecutionStart, Promise};
 use beamtray_types::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long two upstreams may hold the same keys.
+/// Longest tolerated overlap of holds of the same keys by two upstreams.
 const OVERLAP: Duration = Duration::from_millis(500);
 
 impl Checker<'_> {
-    /// Two upstreams must not both begin requests on a key while both hold it. Grants right
-    /// after trouble don't count: their sender could not know better.
-    pub(super) fn judge_owners(&mut self) {
+    /// Two upstreams must not both start requests on a key while both hold it. Grants right
+    /// after a fault are exempt, since their sender could not yet know that they were outdated.
+    pub(super) fn check_owners(&mut self) {
         let all = self.holdings.clone();
         let mut holdings = all.clone();
-        holdings.retain(|holding| !self.is_after_trouble(&holding.upstream, holding.taken));
+        holdings.retain(|holding| !self.follows_fault(&holding.upstream, holding.taken));
         for holding in &mut holdings {
-            if self.is_after_trouble(&holding.upstream, holding.since) {
+            if self.follows_fault(&holding.upstream, holding.since) {
                 holding.since = holding.taken;
             }
         }
         self.holdings = holdings;
-        self.judge_beginnings();
+        self.check_concurrent_starts();
         self.holdings = all;
-        self.judge_overlaps();
+        self.check_overlapping_holds();
     }
 
-    fn judge_beginnings(&mut self) {
-        let mut begun: Vec<(u16, Begun)> = self
+    fn check_concurrent_starts(&mut self) {
+        let mut begun: Vec<(u16, ExecutionStart)> = self
             .requests
             .values()
             .flat_map(|request| request.begun.iter())
@@ -53,15 +53,18 @@
             self.verdict
                 .test(Promise::Owner, other.is_none(), begun.at, || {
                     let other = other.unwrap_or_default();
-                    format!("{} and {other} both work on key {key}", begun.upstream)
+                    format!(
+                        "{} and {other} both execute requests on key {key}",
+                        begun.upstream
+                    )
                 });
             last.insert((key, begun.upstream), begun.at);
         }
     }
 
-    /// Since when the upstream of a run has held its key under grants that count.
-    fn counted_since(&self, begun: &Begun, key: u16) -> Option<Time> {
-        if !self.is_after_trouble(&begun.upstream, begun.held_since) {
+    /// Since when the upstream of an execution has held its key under grants that are not exempt.
+    fn counted_since(&self, begun: &ExecutionStart, key: u16) -> Option<Time> {
+        if !self.follows_fault(&begun.upstream, begun.held_since) {
             return Some(begun.held_since);
         }
         let own = self.holdings.iter().filter(|holding| {
@@ -73,13 +76,13 @@
         own.map(|holding| holding.taken).min()
     }
 
-    /// Two upstreams must not hold the same keys for long, with requests or without. What
-    /// was held up on its way does not count: it lasts from its arrival, later than its
-    /// sender can know by any clock.
-    fn judge_overlaps(&mut self) {
+    /// Two upstreams must not hold the same keys for long, with or without requests. Delayed
+    /// grants are exempt: their hold is timed from arrival, so it ends later than their sender
+    /// can know by any clock.
+    fn check_overlapping_holds(&mut self) {
         let all = std::mem::take(&mut self.holdings);
         let mut holdings = all.clone();
-        holdings.retain(|holding| !self.is_held_up(&holding.upstream, holding.taken));
+        holdings.retain(|holding| !self.is_delayed_delivery(&holding.upstream, holding.taken));
         for (index, one) in holdings.iter().enumerate() {
             let other = holdings[index + 1..].iter().find(|other| {
                 let from = one.since.max(other.since);
--- a/crates/soak/src/checker/rates.rs
+++ b/crates/soak/src/checker/rates.rs
@@ -1,4 +1,4 @@
-//! The promise about upstreams that name a rate.
+//! Checks that upstreams receive no more than the rate limit they announce.
 
 use super::{Checker, Disturbed, NamedRate, Promise};
 use crate::config::CONTACT;
@@ -6,24 +6,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Over which requests are counted.
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long a router has had an answer that names the rate when its requests count.
-const TOLD_FOR: Duration = Duration::from_millis(500);
-/// Requests that an upstream may get, as a multiple of what it takes.
+/// Requests of a router count only this long after it received a response with the limit.
+const RATE_KNOWN_FOR: Duration = Duration::from_millis(500);
+/// Requests that an upstream may receive, as a multiple of its limit.
 const OVERAGE: f64 = 1.5;
-/// Requests beyond that.
+/// Further requests allowed in each window.
 const SLACK: f64 = 5.0;
 
-/// A time in which an upstream named a rate.
-struct Need {
+/// An interval in which an upstream announced a rate limit.
+struct RateWindow {
     upstream: String,
     rate: f64,
     from: Time,
     until: Time,
 }
 
-/// A request as it came to an upstream, and when its work there ended.
+/// The arrival of a request at an upstream, and the end of its execution there.
 struct Arrival {
     at: Time,
     node: usize,
@@ -31,21 +31,21 @@
 }
 
 impl Checker<'_> {
-    pub(super) fn judge_rates(&mut self) {
-        for need in self.needs() {
+    pub(super) fn check_rates(&mut self) {
+        for need in self.rate_windows() {
             let arrivals = self.arrivals(&need.upstream);
-            self.judge_need(&need, &arrivals);
+            self.check_rate_window(&need, &arrivals);
         }
     }
 
-    fn needs(&self) -> Vec<Need> {
+    fn rate_windows(&self) -> Vec<RateWindow> {
         let begun = self.named.iter().enumerate();
         let begun = begun.filter_map(|(index, named)| Some((index, named, named.rate_milli?)));
         begun
             .map(|(index, named, rate_milli)| {
                 let is_next = |later: &&NamedRate| later.upstream == named.upstream;
                 let next = self.named[index + 1..].iter().find(is_next);
-                Need {
+                RateWindow {
                     upstream: named.upstream.clone(),
                     rate: f64::from(rate_milli) / 1e3,
                     from: named.at,
@@ -70,7 +70,7 @@
         arrivals
     }
 
-    fn judge_need(&mut self, need: &Need, arrivals: &[Arrival]) {
+    fn check_rate_window(&mut self, need: &RateWindow, arrivals: &[Arrival]) {
         let mut told: BTreeMap<usize, Time> = BTreeMap::new();
         for arrival in arrivals {
             let answered = arrival.finished.filter(|at| *at >= need.from);
@@ -87,13 +87,13 @@
         for end in ends {
             let counts = |node: usize| {
                 let told = told.get(&node);
-                told.is_some_and(|told| *told + TOLD_FOR <= end) && !self.is_excused(node, end)
+                told.is_some_and(|told| *told + RATE_KNOWN_FOR <= end) && !self.had_fault(node, end)
             };
             let within = arrivals
                 .iter()
                 .filter(|one| one.at + WINDOW > end && one.at <= end);
             let counted: Vec<&Arrival> = within.filter(|one| counts(one.node)).collect();
-            // No router can take back what came before the first answer that named the rate.
+            // Routers cannot take back requests sent before the first response with the limit.
             let before = counted.iter().filter(|one| Some(one.at) < known_from);
             let before = before.count();
             if before as f64 > allowed {
@@ -108,15 +108,15 @@
         self.verdict
             .test(Promise::Limit, count as f64 <= allowed, at, || {
                 format!(
-                    "{} takes {} a second and got {count} in 4 s, allowed {allowed}",
+                    "{} announced {} requests/s and received {count} in 4 s, allowed {allowed}",
                     need.upstream, need.rate
                 )
             });
     }
 
-    /// Whether a router was killed, stopped, stood still or was cut off of late, or its way
-    /// to an upstream was harmed.
-    fn is_excused(&self, node: usize, until: Time) -> bool {
+    /// Whether a router was recently killed, stopped, suspended or cut off, or the link to an
+    /// upstream had a fault.
+    fn had_fault(&self, node: usize, until: Time) -> bool {
         let from = until - WINDOW - CONTACT;
         let disturbs = |whom: Disturbed| matches!(whom, Disturbed::Router(other) if other == node);
         let is_stopped = self
--- a/crates/soak/src/driver/cluster.rs
+++ b/crates/soak/src/driver/cluster.rs
@@ -4,12 +4,14 @@
 use super::faults::{ActiveFault, Target};
 use super::ports::Ports;
 use crate::channel::MessageReader;
-use crate::checker::{Disturbance, Disturbed, Healed, HeldUp, History, PlannedStop, UpstreamEnd};
+use crate::checker::{
+    DelayedDelivery, Disturbance, Disturbed, FaultEnd, History, PlannedStop, UpstreamEnd,
+};
 use crate::children::{Process, router_program};
 use crate::clock;
 use crate::config::{
-    CONTACT, DRAIN, GRACE, HEARTBEAT, KEYED, LONGEST_HOLD, POOL, RETRY_ALLOWANCE, RETRY_RATIO,
-    RETRY_WINDOW, ZONES,
+    CONTACT, DRAIN, HEARTBEAT, KEYED, LONGEST_HOLD, POOL, RETRY_ALLOWANCE, RETRY_RATIO,
+    RETRY_WINDOW, STOP_GRACE, ZONES,
 };
 use crate::message::{Command, Report};
 use crate::proxy::Proxy;
@@ -27,28 +29,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// Milliseconds of the shortest lease.
+/// Shortest lease in milliseconds.
 const LEAST_TTL_MS: u64 = 1_000;
 const MEMORY_MB: u64 = 256;
 const DESCRIPTORS: u64 = 1_024;
-/// One upstream's clock for holds runs that much slower.
+/// Speed of the clock that times holds on the first upstream, to test clock drift.
 const SLOW_CLOCK_PERCENT: u32 = 98;
 
 type Commands = Rc<RefCell<HashMap<String, UnboundedSender<Command>>>>;
 type Reports = Rc<RefCell<Vec<Report>>>;
 
-/// A router's place: its settings and the proxy on its way to the store.
+/// A router, its settings and the proxy on its link to the store.
 pub(super) struct RouterSlot {
     pub process: Option<Process>,
     pub store_proxy: Proxy,
     settings: PathBuf,
     pub clients: SocketAddr,
-    /// When a planned stop began, until it is over.
+    /// Start of a planned stop that is in progress.
     pub stopping: Option<Time>,
 }
 
-/// An upstream's place: its address, the proxy before it and the one on its way to the
-/// store.
+/// An upstream, its address, and the proxies on the links to it and from it to the store.
 pub(super) struct UpstreamSlot {
     pub process: Option<Process>,
     pub proxy: Proxy,
@@ -57,7 +58,7 @@
     generation: u32,
 }
 
-/// All processes.
+/// All processes of a run.
 pub(super) struct Cluster {
     pub routers: Vec<RouterSlot>,
     pub upstreams: Vec<UpstreamSlot>,
@@ -73,18 +74,22 @@
     pub disturbances: Vec<Disturbance>,
     pub stops: Vec<PlannedStop>,
     pub upstream_ends: Vec<UpstreamEnd>,
-    pub healed: Vec<Healed>,
-    pub held_up: Vec<HeldUp>,
+    pub fault_ends: Vec<FaultEnd>,
+    pub delayed_deliveries: Vec<DelayedDelivery>,
 }
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts all processes and proxies.
     pub async fn start(settings: &RunSettings) -> Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let driver = listener.local_addr()?;
         let commands = Commands::default();
         let reports = Reports::default();
-        tokio::task::spawn_local(hear(listener, commands.clone(), reports.clone()));
+        tokio::task::spawn_local(accept_processes(
+            listener,
+            commands.clone(),
+            reports.clone(),
+        ));
         let folder = settings.folder.clone();
         let own = std::env::current_exe()?;
         let size = settings.size;
@@ -135,8 +140,8 @@
             disturbances: Vec::new(),
             stops: Vec::new(),
             upstream_ends: Vec::new(),
-            healed: Vec::new(),
-            held_up: Vec::new(),
+            fault_ends: Vec::new(),
+            delayed_deliveries: Vec::new(),
         };
         for index in 0..size.upstreams() {
             cluster.start_upstream(index)?;
@@ -147,26 +152,26 @@
         Ok(cluster)
     }
 
-    /// Gives everything time to come up, then lets the callers begin.
-    pub async fn settle(&mut self, time: Duration) -> Result<()> {
+    /// Waits for the processes to start, then starts the traffic.
+    pub async fn warm_up(&mut self, time: Duration) -> Result<()> {
         tokio::time::sleep(time / 4).await;
         self.configure();
         tokio::time::sleep(time * 3 / 4).await;
-        self.tell("caller", &Command::Begin);
+        self.send_command("caller", &Command::StartTraffic);
         Ok(())
     }
 
-    /// Puts the next configuration in force.
+    /// Publishes the next configuration.
     pub fn configure(&mut self) {
         self.version += 1;
-        self.tell("store", &Command::Configure(self.version));
-        self.tell("caller", &Command::Probe(self.version));
+        self.send_command("store", &Command::Configure(self.version));
+        self.send_command("caller", &Command::Probe(self.version));
     }
 
-    /// Tells a process something; one that is not there hears nothing.
-    pub fn tell(&self, name: &str, command: &Command) {
+    /// Sends a command to a process, if it is connected.
+    pub fn send_command(&self, name: &str, command: &Command) {
         if let Some(sender) = self.commands.borrow().get(name) {
-            // One that has just ended needs no command.
+            // Sending fails only if the process has just ended.
             let _ = sender.send(command.clone());
         }
     }
@@ -185,13 +190,13 @@
         if index < self.size.keyed { KEYED } else { POOL }
     }
 
-    /// Name of the incarnation of an upstream that runs now.
+    /// Name of the current incarnation of an upstream.
     pub fn upstream_name(&self, index: usize) -> String {
         let service = self.service(index);
         format!("{service}-{index}-{}", self.upstreams[index].generation)
     }
 
-    /// Notes that the incarnation of an upstream that ran has ended.
+    /// Records the end of the current incarnation of an upstream.
     pub fn upstream_ended(&mut self, index: usize) {
         let upstream = self.upstream_name(index);
         let at = now();
@@ -221,8 +226,8 @@
         Ok(())
     }
 
-    /// Notes a fault that lasted from `from` until now.
-    pub fn disturbed(&mut self, fault: &ActiveFault, until: Time) {
+    /// Records a fault that lasted until `until`.
+    pub fn record_disturbance(&mut self, fault: &ActiveFault, until: Time) {
         let from = fault.from;
         let whom = match fault.target {
             Target::Nobody => return,
@@ -240,34 +245,34 @@
         self.disturbances.push(Disturbance { whom, from, until });
     }
 
-    /// Fails if a router has ended by itself: a run without one of its routers says
+    /// Fails if a router has exited unexpectedly, since a run without one of its routers proves
     /// nothing.
     pub fn require_routers(&mut self) -> Result<()> {
         for (node, slot) in self.routers.iter_mut().enumerate() {
             let has_ended = slot.process.as_mut().is_none_or(Process::has_ended);
-            ensure!(!has_ended, "router {node} ended by itself: see its log");
+            ensure!(!has_ended, "router {node} exited unexpectedly; see its log");
         }
         Ok(())
     }
 
-    /// Notes that the machine ran nobody.
-    pub fn stalled(&mut self, from: Time, until: Time) {
+    /// Records a stall of the machine as a disturbance of all processes.
+    pub fn record_stall(&mut self, from: Time, until: Time) {
         let routers = (0..self.routers.len()).map(Disturbed::Router);
         let all = routers.chain([Disturbed::Store, Disturbed::Upstream]);
         let stalls = all.map(|whom| Disturbance { whom, from, until });
         self.disturbances.extend(stalls);
     }
 
-    /// What was seen so far.
+    /// The observations recorded so far.
     pub fn history(&mut self, recovered: Time) -> History {
-        self.follow_links();
+        self.collect_delayed_deliveries();
         History {
             reports: self.reports.borrow().clone(),
             disturbances: self.disturbances.clone(),
             stops: self.stops.clone(),
             upstream_ends: self.upstream_ends.clone(),
-            healed: self.healed.clone(),
-            held_up: self.held_up.clone(),
+            fault_ends: self.fault_ends.clone(),
+            delayed_deliveries: self.delayed_deliveries.clone(),
             recovered,
         }
     }
@@ -314,25 +319,25 @@
          [limits]\nmemory_mb = {MEMORY_MB}\ndescriptors = {DESCRIPTORS}\n",
         DRAIN.as_millis(),
         CONTACT.as_millis(),
-        GRACE.as_secs(),
+        STOP_GRACE.as_secs(),
         RETRY_WINDOW.as_secs(),
         LONGEST_HOLD.as_millis(),
         HEARTBEAT.as_millis(),
     ))
 }
 
-async fn hear(listener: TcpListener, commands: Commands, reports: Reports) {
+async fn accept_processes(listener: TcpListener, commands: Commands, reports: Reports) {
     while let Ok((stream, _)) = listener.accept().await {
         let commands = commands.clone();
         let reports = reports.clone();
         tokio::task::spawn_local(async move {
-            // A process that is killed ends its connection.
-            let _ = hear_one(stream, commands, reports).await;
+            // The connection ends with an error when the process is killed.
+            let _ = serve_process(stream, commands, reports).await;
         });
     }
 }
 
-async fn hear_one(stream: TcpStream, commands: Commands, reports: Reports) -> Result<()> {
+async fn serve_process(stream: TcpStream, commands: Commands, reports: Reports) -> Result<()> {
     stream.set_nodelay(true)?;
     let (reading, mut writing) = stream.into_split();
     let mut reader = MessageReader::new(reading);
@@ -355,7 +360,7 @@
     }
 }
 
-/// The time now.
+/// The current time.
 pub(super) fn now() -> Time {
     clock::now()
 }
--- a/crates/soak/src/driver/faults.rs
+++ b/crates/soak/src/driver/faults.rs
@@ -1,34 +1,34 @@
-//! Carries faults out and ends them.
+//! Injects faults and ends them.
 
 use super::cluster::{Cluster, now};
-use crate::checker::{Disturbed, Healed, HeldUp, PlannedStop};
+use crate::checker::{DelayedDelivery, Disturbed, FaultEnd, PlannedStop};
 use crate::message::{Command, StoreFaults};
 use crate::plan::{PlannedFault, SoakFault};
-use crate::proxy::LinkHarm;
+use crate::proxy::LinkFault;
 use beamtray_types::Time;
 use eyre::Result;
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
-/// Milliseconds that a slow store takes longer.
+/// Response delay of a slow store in milliseconds.
 const SLOW_STORE_MS: u32 = 200;
-/// Time that a slow link takes longer.
+/// Additional latency of a slow link.
 const SLOW_LINK: Duration = Duration::from_millis(120);
-/// Percent of answers that are lost.
+/// Percentage of lost responses.
 const LOST_PERCENT: u32 = 30;
-/// Requests in a thousand seconds that an upstream in need takes: less than half of what it
-/// gets.
-const IN_NEED_MILLI: u32 = 3_000;
-/// Milliseconds of rest that an upstream asks for.
-const REST_MS: u32 = 3_000;
-/// How old the copy is from which the store comes back, in milliseconds.
-const BACK_MS: u32 = 5_000;
-/// How long watches hear nothing before the history is dropped.
-const DEAF: Duration = Duration::from_secs(1);
+/// Rate limit that an upstream announces, in requests per 1000 seconds: less than half of what
+/// it receives without a limit.
+const ANNOUNCED_RATE_MILLI: u32 = 3_000;
+/// Length of the pause that an upstream asks for, in milliseconds.
+const PAUSE_MS: u32 = 3_000;
+/// Age of the snapshot from which the store is restored, in milliseconds.
+const SNAPSHOT_AGE_MS: u32 = 5_000;
+/// How long watches receive nothing before the history is compacted.
+const WATCH_SILENCE: Duration = Duration::from_secs(1);
 /// How long a planned stop may take before the process is killed.
-const LONGEST_STOP: Duration = Duration::from_secs(8);
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Whom a fault harms, as the checks see it.
+/// Which processes the checks consider disturbed by a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Target {
     Nobody,
@@ -36,7 +36,7 @@
     AllRouters,
 }
 
-/// A fault under way.
+/// A fault in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveFault {
     pub fault: SoakFault,
@@ -79,21 +79,20 @@
 }
 
 impl Cluster {
-    /// Whether any fault is under way.
-    pub fn is_harmed(&self) -> bool {
+    /// Whether any fault or planned stop is in progress.
+    pub fn has_active_faults(&self) -> bool {
         let stopping = self.routers.iter().any(|slot| slot.stopping.is_some());
         stopping || !self.active.is_empty()
     }
 
-    /// Begins a fault. One that hits a process which is down or stands still
-    /// is left out.
-    pub fn harm(&mut self, now: Time, planned: &PlannedFault) -> Result<()> {
+    /// Starts a fault. Faults of a process that is down or suspended are skipped.
+    pub fn inject(&mut self, now: Time, planned: &PlannedFault) -> Result<()> {
         let fault = planned.fault;
         if self.is_busy(fault) {
             return Ok(());
         }
         let lasts = match fault {
-            SoakFault::StoreCompact => DEAF,
+            SoakFault::StoreCompact => WATCH_SILENCE,
             _ => Duration::from_millis(planned.for_ms),
         };
         self.begin(now, fault)?;
@@ -107,7 +106,7 @@
         Ok(())
     }
 
-    /// Whether the process that a fault hits is harmed already.
+    /// Whether another fault already affects the target process.
     fn is_busy(&self, fault: SoakFault) -> bool {
         let down = |node: usize| {
             self.active.iter().any(|one| {
@@ -125,7 +124,7 @@
             SoakFault::RouterKill(node)
             | SoakFault::RouterPause(node)
             | SoakFault::RouterStop(node) => router(node),
-            // A router that stops may be told meanwhile that its settings changed.
+            // A router may be told to reload its settings while it stops.
             SoakFault::RouterReload(node) => down(node),
             SoakFault::KillAll => (0..self.routers.len()).any(router),
             SoakFault::UpstreamKill(index)
@@ -159,15 +158,15 @@
             SoakFault::UpstreamReset(index) => self.upstreams[index].proxy.reset(),
             SoakFault::AnswersLost(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::LoseAnswers(LOST_PERCENT));
+                self.send_command(&name, &Command::DropResponses(LOST_PERCENT));
             }
             SoakFault::UpstreamInNeed(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::NameRate(Some(IN_NEED_MILLI)));
+                self.send_command(&name, &Command::AnnounceRate(Some(ANNOUNCED_RATE_MILLI)));
             }
             SoakFault::UpstreamRests(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::Rest(Some(REST_MS)));
+                self.send_command(&name, &Command::RequestPause(Some(PAUSE_MS)));
             }
             SoakFault::Configure => self.configure(),
             _ => {}
@@ -189,12 +188,12 @@
         }
     }
 
-    /// Ends faults whose time is over, and starts again what has stopped.
-    pub fn heal(&mut self, at: Time) -> Result<()> {
+    /// Ends faults whose time is over, and restarts routers that have stopped.
+    pub fn end_due_faults(&mut self, at: Time) -> Result<()> {
         let mut over = Vec::new();
         let mut active = std::mem::take(&mut self.active);
         active.retain(|fault| {
-            let is_over = at >= fault.until && self.may_end(fault.fault);
+            let is_over = at >= fault.until && self.can_end(fault.fault);
             if is_over {
                 over.push(*fault);
             }
@@ -208,15 +207,15 @@
             self.apply_states();
         }
         for fault in over {
-            self.disturbed(&fault, now());
-            self.healed(fault.fault);
+            self.record_disturbance(&fault, now());
+            self.record_fault_end(fault.fault);
         }
-        self.follow_links();
-        self.follow_stops(at)
+        self.collect_delayed_deliveries();
+        self.restart_stopped_routers(at)
     }
 
-    /// Whether a fault that lasts until a process has ended may end.
-    fn may_end(&mut self, fault: SoakFault) -> bool {
+    /// Whether a fault may end: a drain lasts until its process has exited.
+    fn can_end(&mut self, fault: SoakFault) -> bool {
         match fault {
             SoakFault::UpstreamDrain(index) => {
                 let process = self.upstreams[index].process.as_mut();
@@ -243,26 +242,28 @@
             SoakFault::UpstreamPause(index) => self.signal_upstream(index, Signal::SIGCONT)?,
             SoakFault::AnswersLost(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::LoseAnswers(0));
+                self.send_command(&name, &Command::DropResponses(0));
             }
             SoakFault::UpstreamInNeed(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::NameRate(None));
+                self.send_command(&name, &Command::AnnounceRate(None));
             }
             SoakFault::UpstreamRests(index) => {
                 let name = self.upstream_name(index);
-                self.tell(&name, &Command::Rest(None));
+                self.send_command(&name, &Command::RequestPause(None));
             }
-            SoakFault::StoreGoesBack => self.tell("store", &Command::GoBack(BACK_MS)),
-            SoakFault::StoreCompact => self.tell("store", &Command::Compact),
+            SoakFault::StoreGoesBack => {
+                self.send_command("store", &Command::RestoreSnapshot(SNAPSHOT_AGE_MS))
+            }
+            SoakFault::StoreCompact => self.send_command("store", &Command::Compact),
             _ => {}
         }
         Ok(())
     }
 
-    /// Notes the end of a trouble after which a grant may come that its sender would not
-    /// send any more.
-    fn healed(&mut self, fault: SoakFault) {
+    /// Records the end of a fault after which a grant may arrive that its sender would no
+    /// longer send.
+    fn record_fault_end(&mut self, fault: SoakFault) {
         let upstream = match fault {
             SoakFault::RouterPause(_) => None,
             SoakFault::UpstreamCut(index) | SoakFault::UpstreamUnreachable(index) => {
@@ -270,26 +271,29 @@
             }
             _ => return,
         };
-        self.healed.push(Healed {
+        self.fault_ends.push(FaultEnd {
             upstream,
             at: now(),
         });
     }
 
-    /// Notes what came to upstreams that had been held up.
-    pub fn follow_links(&mut self) {
+    /// Records delayed deliveries to upstreams.
+    pub fn collect_delayed_deliveries(&mut self) {
         for index in 0..self.upstreams.len() {
             let upstream = self.upstream_name(index);
-            let times = self.upstreams[index].proxy.take_held_up().into_iter();
-            let held_up = times.map(|at| HeldUp {
+            let times = self.upstreams[index]
+                .proxy
+                .take_delayed_deliveries()
+                .into_iter();
+            let deliveries = times.map(|at| DelayedDelivery {
                 upstream: upstream.clone(),
                 at,
             });
-            self.held_up.extend(held_up);
+            self.delayed_deliveries.extend(deliveries);
         }
     }
 
-    fn follow_stops(&mut self, at: Time) -> Result<()> {
+    fn restart_stopped_routers(&mut self, at: Time) -> Result<()> {
         for node in 0..self.routers.len() {
             let slot = &mut self.routers[node];
             let Some(begun) = slot.stopping else { continue };
@@ -297,7 +301,7 @@
                 .process
                 .as_mut()
                 .is_none_or(|process| process.has_ended());
-            if !ended && at.since(begun) < LONGEST_STOP {
+            if !ended && at.since(begun) < STOP_TIMEOUT {
                 continue;
             }
             slot.stopping = None;
@@ -312,8 +316,7 @@
         Ok(())
     }
 
-    /// Puts the store and the links into the state that the active faults ask
-    /// for.
+    /// Sets the store and the links to the state that the active faults require.
     fn apply_states(&mut self) {
         let active: Vec<SoakFault> = self.active.iter().map(|one| one.fault).collect();
         let has = |fault: SoakFault| active.contains(&fault);
@@ -334,34 +337,35 @@
                 0
             },
             late: has(SoakFault::StoreLate),
-            deaf: has(SoakFault::StoreCompact),
+            watches_silent: has(SoakFault::StoreCompact),
         };
-        self.tell("store", &Command::Store(faults));
+        self.send_command("store", &Command::Store(faults));
         for (node, slot) in self.routers.iter().enumerate() {
-            slot.store_proxy.harm(if has(SoakFault::StoreCut(node)) {
-                LinkHarm::cut()
-            } else if has(SoakFault::StoreOneWay(node)) {
-                LinkHarm::one_way()
-            } else if has(SoakFault::StoreDelay(node)) {
-                LinkHarm::delayed(SLOW_LINK)
-            } else {
-                LinkHarm::default()
-            });
+            slot.store_proxy
+                .set_fault(if has(SoakFault::StoreCut(node)) {
+                    LinkFault::cut()
+                } else if has(SoakFault::StoreOneWay(node)) {
+                    LinkFault::one_way()
+                } else if has(SoakFault::StoreDelay(node)) {
+                    LinkFault::delayed(SLOW_LINK)
+                } else {
+                    LinkFault::default()
+                });
         }
         for (index, slot) in self.upstreams.iter().enumerate() {
             let is_unreachable = has(SoakFault::UpstreamUnreachable(index));
-            slot.store_proxy.harm(if is_unreachable {
-                LinkHarm::cut()
+            slot.store_proxy.set_fault(if is_unreachable {
+                LinkFault::cut()
             } else {
-                LinkHarm::default()
+                LinkFault::default()
             });
             let is_cut = is_unreachable || has(SoakFault::UpstreamCut(index));
-            slot.proxy.harm(if is_cut {
-                LinkHarm::cut()
+            slot.proxy.set_fault(if is_cut {
+                LinkFault::cut()
             } else if has(SoakFault::UpstreamDelay(index)) {
-                LinkHarm::delayed(SLOW_LINK)
+                LinkFault::delayed(SLOW_LINK)
             } else {
-                LinkHarm::default()
+                LinkFault::default()
             });
         }
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A soak of the router under faults, with real processes.
+//! Soak test of the router under fault injection, with real processes.
 //!
-//! The driver starts routers, an emulated store, upstreams and callers as
-//! processes of their own, harms them from outside (signals, and proxies on the
-//! way to the store and to upstreams), and afterwards checks what callers,
-//! upstreams and the store saw against the promises. The same seed gives the
-//! same plan of faults.
+//! The driver starts routers, an emulated store, upstreams and callers as separate
+//! processes, injects faults from outside (signals, and proxies on the links to the
+//! store and to upstreams), and afterwards checks the reports of callers, upstreams
+//! and the store against the router's guarantees. The same seed produces the same
+//! fault plan.
 
 mod bodies;
 mod caller;
@@ -25,14 +25,14 @@
 
 pub use caller::{CallerSettings, run as run_caller};
 pub use checker::{
-    Count, Disturbance, Disturbed, Finding, Healed, HeldUp, History, PlannedStop, Promise,
-    UpstreamEnd, Verdict, check,
+    Count, DelayedDelivery, Disturbance, Disturbed, FaultEnd, Finding, History, PlannedStop,
+    Promise, UpstreamEnd, Verdict, check,
 };
 pub use config::{HOST, ORDER, PROBE};
-pub use driver::{Ports, RunSettings, play, shorten};
+pub use driver::{Ports, RunSettings, run_plan, shorten};
 pub use message::{CallerEnd, Command, Observation, Report};
 pub use plan::{Plan, PlannedFault, SoakFault};
-pub use proxy::{Harm, LinkHarm, Proxy};
+pub use proxy::{DirectionFault, LinkFault, Proxy};
 pub use regressions::{Regression, load as load_regressions};
 pub use size::Size;
 pub use store::{StoreSettings, run as run_store};
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The store's process: the emulated store behind the platform's calls.
+//! The store process: serves the emulated store through the platform's protocol.
 
 use crate::channel::{Reporter, connect};
 use crate::clock;
@@ -27,29 +27,29 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Path below which upstreams keep their entries.
-pub(crate) const REGISTER: &str = "/soak/register/";
-/// How long the store remembers changes.
+/// Path prefix of upstream registrations.
+pub(crate) const REGISTRATION_PREFIX: &str = "/soak/register/";
+/// How long the store keeps its change history.
 const HISTORY: Duration = Duration::from_secs(20);
-/// Heartbeats without a write after which an entry goes.
-const HEARTBEATS: u32 = 3;
-/// Between looks at waiting watches, leases and entries.
+/// Number of missed heartbeats after which a registration expires.
+const MISSED_HEARTBEATS: u32 = 3;
+/// Interval at which watches, leases and registrations are checked.
 const POLL: Duration = Duration::from_millis(10);
-/// Between two copies of the store.
-const COPY_PAUSE: Duration = Duration::from_millis(250);
-/// How long copies are kept.
-const COPIES_KEPT: Duration = Duration::from_secs(20);
-/// The store's era at first.
+/// Interval between two snapshots.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
+/// How long snapshots are kept.
+const SNAPSHOT_RETENTION: Duration = Duration::from_secs(20);
+/// Initial era of the store.
 const FIRST_ERA: u32 = 1;
-/// Range of the time after which a late write is done.
+/// Range of the delay of a late write in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 1_000..6_000;
 
-/// Settings of the store's process.
+/// Settings of the store process.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where the driver listens.
+    /// Address of the driver.
     pub driver: SocketAddr,
 }
 
@@ -63,14 +63,14 @@
     entries: RefCell<BTreeMap<String, Entry>>,
     faults: Cell<StoreFaults>,
     era: Cell<u32>,
-    /// Copies of the store, the oldest first.
-    copies: RefCell<VecDeque<(Time, StoreEmulator)>>,
+    /// Snapshots of the store, oldest first.
+    snapshots: RefCell<VecDeque<(Time, StoreEmulator)>>,
     /// The newest configuration.
     configuration: RefCell<Option<Vec<u8>>>,
     reporter: Reporter,
 }
 
-/// Runs the store until the driver is gone.
+/// Runs the store until the driver disconnects.
 ///
 /// # Errors
 /// When it can't listen or reach the driver.
@@ -82,12 +82,12 @@
         entries: RefCell::default(),
         faults: Cell::default(),
         era: Cell::new(FIRST_ERA),
-        copies: RefCell::default(),
+        snapshots: RefCell::default(),
         configuration: RefCell::default(),
         reporter,
     });
     tokio::task::spawn_local(accept(listener, store.clone()));
-    tokio::task::spawn_local(keep_time(store.clone()));
+    tokio::task::spawn_local(run_timers(store.clone()));
     while let Some(command) = commands.recv().await {
         store.command(&command);
     }
@@ -100,7 +100,7 @@
         let store = store.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| answer(store.clone(), request));
-            // A caller that leaves is no failure of the store.
+            // A client may disconnect at any time.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -108,10 +108,10 @@
     }
 }
 
-async fn keep_time(store: Rc<Store>) {
+async fn run_timers(store: Rc<Store>) {
     loop {
         tokio::time::sleep(POLL).await;
-        store.keep_time();
+        store.run_timers();
     }
 }
 
@@ -129,12 +129,12 @@
         return pending().await;
     }
     tokio::time::sleep(Duration::from_millis(faults.delay_ms.into())).await;
-    let mut answer = carry(&store, faults, &method, &target, &body).await;
-    store.tell_era(&mut answer);
+    let mut answer = handle_call(&store, faults, &method, &target, &body).await;
+    store.add_era_header(&mut answer);
     Ok(answer)
 }
 
-async fn carry(
+async fn handle_call(
     store: &Rc<Store>,
     faults: StoreFaults,
     method: &Method,
@@ -144,7 +144,7 @@
     if faults.busy {
         return status(503);
     }
-    if let Some(id) = target.strip_prefix(REGISTER) {
+    if let Some(id) = target.strip_prefix(REGISTRATION_PREFIX) {
         store.register(id, method, body);
         return status(200);
     }
@@ -159,7 +159,7 @@
     if store.loses(&call) {
         return pending().await;
     }
-    let outcome = store.carry_out(&call).await;
+    let outcome = store.execute(&call).await;
     match reverse::write_store_outcome(&outcome) {
         Some(answer) => {
             let mut response = Response::new(Full::from(answer.body));
@@ -181,7 +181,7 @@
 }
 
 impl Store {
-    fn tell_era(&self, answer: &mut Answer) {
+    fn add_era_header(&self, answer: &mut Answer) {
         let era = self.era.get().into();
         answer
             .headers_mut()
@@ -193,8 +193,8 @@
         match command {
             Command::Store(faults) => self.set_faults(now, *faults),
             Command::Compact => self.emulator.borrow_mut().compact(),
-            Command::GoBack(millis) => {
-                self.go_back(now, Duration::from_millis((*millis).into()));
+            Command::RestoreSnapshot(millis) => {
+                self.restore_snapshot(now, Duration::from_millis((*millis).into()));
             }
             Command::Configure(version) => {
                 let value = reverse::write_configuration(&configuration(*version));
@@ -202,36 +202,37 @@
                 self.emulator.borrow_mut().put(now, key, value.clone());
                 self.configuration.replace(Some(value));
                 let version = *version;
-                self.reporter.tell(Observation::Configured { version });
+                self.reporter
+                    .report(Observation::ConfigurationAccepted { version });
             }
-            Command::LoseAnswers(_)
-            | Command::NameRate(_)
-            | Command::Rest(_)
+            Command::DropResponses(_)
+            | Command::AnnounceRate(_)
+            | Command::RequestPause(_)
             | Command::Probe(_)
-            | Command::Begin
-            | Command::End => {}
+            | Command::StartTraffic
+            | Command::StopTraffic => {}
         }
     }
 
-    /// Comes back from an older copy; what upstreams and operators wrote since is written
-    /// again.
-    fn go_back(&self, now: Time, age: Duration) {
-        let mut copies = self.copies.borrow_mut();
-        let old = copies.iter().rev().find(|(at, _)| now.since(*at) >= age);
-        let Some((_, copy)) = old.or(copies.front()).cloned() else {
+    /// Restores an older snapshot, then writes the current registrations and configuration
+    /// again, as upstreams and operators would.
+    fn restore_snapshot(&self, now: Time, age: Duration) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        let old = snapshots.iter().rev().find(|(at, _)| now.since(*at) >= age);
+        let Some((_, snapshot)) = old.or(snapshots.front()).cloned() else {
             return;
         };
-        copies.clear();
+        snapshots.clear();
         self.era.set(self.era.get() + 1);
         let mut emulator = self.emulator.borrow_mut();
-        emulator.go_back_to(copy);
-        emulator.renew_all(now);
+        emulator.restore(snapshot);
+        emulator.renew_all_leases(now);
         if let Some(value) = self.configuration.borrow().clone() {
             emulator.put(now, Platform.keys().configuration, value);
         }
         let prefix = Platform.keys().upstream_prefix;
         let entries = self.entries.borrow();
-        for key in emulator.keys_below(prefix) {
+        for key in emulator.keys_with_prefix(prefix) {
             if !entries.contains_key(&key[prefix.len()..]) {
                 emulator.delete(now, &key);
             }
@@ -241,26 +242,26 @@
         }
     }
 
-    /// Notes how the store stands, so that it can go back to that.
-    fn copy(&self, now: Time) {
-        let mut copies = self.copies.borrow_mut();
-        let last = copies.back().map(|(at, _)| *at);
-        if last.is_some_and(|last| now.since(last) < COPY_PAUSE) {
+    /// Takes a snapshot of the store if one is due.
+    fn snapshot(&self, now: Time) {
+        let mut snapshots = self.snapshots.borrow_mut();
+        let last = snapshots.back().map(|(at, _)| *at);
+        if last.is_some_and(|last| now.since(last) < SNAPSHOT_INTERVAL) {
             return;
         }
-        copies.push_back((now, self.emulator.borrow().clone()));
-        while now.since(copies[0].0) > COPIES_KEPT {
-            copies.pop_front();
+        snapshots.push_back((now, self.emulator.borrow().clone()));
+        while now.since(snapshots[0].0) > SNAPSHOT_RETENTION {
+            snapshots.pop_front();
         }
     }
 
     fn set_faults(&self, now: Time, faults: StoreFaults) {
         let before = self.faults.replace(faults);
         let mut emulator = self.emulator.borrow_mut();
-        emulator.leases_run = !faults.silent || faults.lapse;
+        emulator.lease_expiry_enabled = !faults.silent || faults.lapse;
         if before.silent && !faults.silent {
             if !before.lapse {
-                emulator.renew_all(now);
+                emulator.renew_all_leases(now);
             }
             for entry in self.entries.borrow_mut().values_mut() {
                 entry.written = entry.written.max(now);
@@ -268,17 +269,17 @@
         }
     }
 
-    fn keep_time(&self) {
+    fn run_timers(&self) {
         let now = clock::now();
         self.emulator.borrow_mut().advance(now);
         let faults = self.faults.get();
         if !faults.silent {
-            self.copy(now);
+            self.snapshot(now);
         }
         if faults.silent && !faults.lapse {
             return;
         }
-        let limit = HEARTBEAT * HEARTBEATS;
+        let limit = HEARTBEAT * MISSED_HEARTBEATS;
         let silent: Vec<String> = {
             let entries = self.entries.borrow();
             let silent = entries.iter();
@@ -296,7 +297,7 @@
         let now = clock::now();
         if *method == Method::DELETE {
             self.remove_entry(now, id);
-            self.left(id);
+            self.report_left(id);
             return;
         }
         let mut entries = self.entries.borrow_mut();
@@ -317,13 +318,13 @@
             .is_ok_and(|record| record.state == beamtray_catalog::UpstreamState::Draining);
         self.emulator.borrow_mut().put(now, &key, value.to_vec());
         if draining {
-            self.left(id);
+            self.report_left(id);
         }
     }
 
-    fn left(&self, id: &str) {
+    fn report_left(&self, id: &str) {
         let upstream = id.to_owned();
-        self.reporter.tell(Observation::Left { upstream });
+        self.reporter.report(Observation::UpstreamLeft { upstream });
     }
 
     fn remove_entry(&self, now: Time, id: &str) {
@@ -332,8 +333,7 @@
         self.emulator.borrow_mut().delete(now, &key);
     }
 
-    /// Whether the answer to a call is lost; what the call does is then done,
-    /// now or later.
+    /// Whether the response to a call is lost; the call is then applied, at once or late.
     fn loses(self: &Rc<Self>, call: &StoreCall) -> bool {
         let faults = self.faults.get();
         let writes = matches!(call, StoreCall::Commit(_) | StoreCall::GrantLease { .. });
@@ -355,7 +355,7 @@
         true
     }
 
-    async fn carry_out(&self, call: &StoreCall) -> StoreOutcome {
+    async fn execute(&self, call: &StoreCall) -> StoreOutcome {
         let reply = self.emulator.borrow_mut().call(clock::now(), call);
         match reply {
             StoreReply::Done(outcome) => outcome,
@@ -367,7 +367,7 @@
         loop {
             tokio::time::sleep(POLL).await;
             let faults = self.faults.get();
-            if faults.silent || faults.deaf {
+            if faults.silent || faults.watches_silent {
                 continue;
             }
             if let Some(outcome) = self.emulator.borrow().watch(clock::now(), wait) {
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -1,11 +1,11 @@
-//! An upstream's process: it holds keys, runs requests and may lose answers.
+//! The upstream process: holds keys, executes requests and may drop responses.
 
 use crate::bodies;
 use crate::channel::{Reporter, connect};
 use crate::clock;
 use crate::config::{DRAIN, HEARTBEAT, KEYED};
 use crate::message::{Command, Observation};
-use crate::store::REGISTER;
+use crate::store::REGISTRATION_PREFIX;
 use beamtray_adapter::{Platform, reverse};
 use beamtray_catalog::{UpstreamId, UpstreamState};
 use beamtray_dialect::Dialect;
@@ -36,39 +36,39 @@
 
 const SLOTS: usize = 4;
 const QUEUE: usize = 8;
-/// Longest wait for the store.
+/// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How much longer than the drain time it serves before it ends.
-const LINGER: Duration = Duration::from_millis(1_500);
-/// Between looks at releases that wait for work to end.
+/// How long the upstream continues to serve after the drain time.
+const EXIT_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval at which releases that wait for requests to finish are checked.
 const RELEASE_POLL: Duration = Duration::from_millis(5);
 
-/// A request with this in its path ends the process that begins to run it.
+/// A request with this in its path kills the process that executes it.
 pub const POISON: &str = "/poison/";
-/// How long it runs before that.
+/// Execution time of such a request before the process exits.
 const POISON_WORK: Duration = Duration::from_millis(15);
 
-/// Settings of an upstream's process.
+/// Settings of an upstream process.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// Its incarnation.
+    /// Name of the incarnation.
     pub id: String,
-    /// Its service.
+    /// Service name.
     pub service: String,
-    /// Its zone.
+    /// Zone name.
     pub zone: String,
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where routers reach it.
+    /// Address advertised to routers.
     pub advertised: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// The driver.
+    /// Address of the driver.
     pub driver: SocketAddr,
-    /// How fast its clock for holds runs, in percent.
+    /// Speed of the clock that times holds, in percent.
     pub clock_percent: u32,
-    /// Requests in a thousand seconds that its answers name as what it takes from all
-    /// routers together, until it is told otherwise.
+    /// Initial rate limit announced in responses for all routers together, in requests per
+    /// 1000 seconds.
     pub rate_milli: Option<u32>,
 }
 
@@ -77,17 +77,17 @@
 struct Upstream {
     settings: UpstreamSettings,
     emulator: RefCell<UpstreamEmulator>,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     waiting: RefCell<HashMap<String, oneshot::Sender<Option<Run>>>>,
     lost_percent: Cell<u32>,
     rate_milli: Cell<Option<u32>>,
-    /// Milliseconds of rest that it asks for as it turns all requests away.
+    /// If set, all requests are rejected with a pause of this many milliseconds.
     rest_ms: Cell<Option<u32>>,
     calls: Cell<u64>,
     reporter: Reporter,
 }
 
-/// Runs an upstream until it is told to leave.
+/// Runs an upstream until it is terminated and has drained.
 ///
 /// # Errors
 /// When it can't listen or reach the driver.
@@ -104,7 +104,7 @@
         zone: settings.zone.as_str().into(),
         slots: SLOTS,
         queue: QUEUE,
-        divided: settings.service == KEYED,
+        is_sharded: settings.service == KEYED,
         full: FullPolicy::Hang,
         slowness_percent: 100,
     });
@@ -120,30 +120,30 @@
         reporter,
     });
     tokio::task::spawn_local(accept(listener, upstream.clone()));
-    tokio::task::spawn_local(keep_entry(upstream.clone()));
+    tokio::task::spawn_local(refresh_entry(upstream.clone()));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             command = commands.recv() => match command {
-                Some(Command::LoseAnswers(percent)) => upstream.lost_percent.set(percent),
-                Some(Command::NameRate(rate_milli)) => upstream.set_rate(rate_milli),
-                Some(Command::Rest(rest_ms)) => upstream.rest_ms.set(rest_ms),
+                Some(Command::DropResponses(percent)) => upstream.lost_percent.set(percent),
+                Some(Command::AnnounceRate(rate_milli)) => upstream.set_rate(rate_milli),
+                Some(Command::RequestPause(rest_ms)) => upstream.rest_ms.set(rest_ms),
                 Some(_) => {}
                 None => return Ok(()),
             },
         }
     }
     upstream.emulator.borrow_mut().state = UpstreamState::Draining;
-    // The store may be silent; the entry says so with its next write.
+    // If the store does not respond, the next heartbeat writes the draining state.
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
-    tokio::time::sleep(DRAIN + LINGER).await;
+    tokio::time::sleep(DRAIN + EXIT_DELAY).await;
     let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::DELETE)).await;
     Ok(())
 }
 
-async fn keep_entry(upstream: Rc<Upstream>) {
+async fn refresh_entry(upstream: Rc<Upstream>) {
     loop {
-        // A write that fails is made good by the next one.
+        // A failed write is repaired by the next heartbeat.
         let _ = timeout(STORE_TIMEOUT, upstream.write_entry(Method::POST)).await;
         tokio::time::sleep(HEARTBEAT).await;
     }
@@ -155,7 +155,7 @@
         let upstream = upstream.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| serve(upstream.clone(), request));
-            // A caller that leaves is no failure of the upstream.
+            // A client may disconnect at any time.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -170,14 +170,14 @@
     };
     let body = body.to_bytes();
     let path = head.uri.path().to_owned();
-    if upstream.is_other(&head.headers) {
+    if upstream.is_misrouted(&head.headers) {
         return Ok(upstream.not_executed(421));
     }
     let call = CallId(upstream.calls.get());
     upstream.calls.set(call.0 + 1);
     let holder = UpstreamId::from(upstream.settings.id.clone());
     if let Some(order) = reverse::read_order(&path, &body, holder, call) {
-        // One that has come is carried out, also when its sender has left.
+        // A received order is executed even if its sender has disconnected.
         let task = tokio::task::spawn_local({
             let upstream = upstream.clone();
             async move { upstream.order(order).await }
@@ -186,24 +186,24 @@
         return Ok(answer.unwrap_or_else(|_| upstream.status(500)));
     }
     let mut answer = upstream.request(&head.headers, &path).await;
-    upstream.name_rate(&mut answer);
-    upstream.say_it_leaves(&head.headers, &mut answer);
+    upstream.add_rate_header(&mut answer);
+    upstream.announce_leaving(&head.headers, &mut answer);
     Ok(answer)
 }
 
-/// Tells when a request's work ended, also when its caller left.
-struct AtWork {
+/// A request being executed. Reports its end on drop, also when the caller has disconnected.
+struct RunningRequest {
     upstream: Rc<Upstream>,
     run: Run,
 }
 
-impl Drop for AtWork {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.upstream.finish(&self.run);
     }
 }
 
-/// A request that waits for a slot.
+/// A request waiting for a slot; removed from the queue on drop.
 struct Queued {
     upstream: Rc<Upstream>,
     id: String,
@@ -214,7 +214,7 @@
     fn drop(&mut self) {
         self.upstream.waiting.borrow_mut().remove(&self.id);
         self.upstream.emulator.borrow_mut().drop_request(&self.id);
-        // The slot may have come just as the caller left.
+        // The slot may have been assigned just as the caller disconnected.
         if let Ok(Some(run)) = self.receiver.try_recv() {
             self.upstream.finish(&run);
         }
@@ -222,7 +222,7 @@
 }
 
 impl Upstream {
-    fn is_other(&self, headers: &HeaderMap) -> bool {
+    fn is_misrouted(&self, headers: &HeaderMap) -> bool {
         let target = header(headers, Platform.headers().target_upstream);
         target.is_some_and(|target| target != self.settings.id)
     }
@@ -231,7 +231,7 @@
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() =
             StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        self.sign(
+        self.set_header(
             &mut response,
             Platform.headers().answering_upstream,
             &self.settings.id,
@@ -239,47 +239,48 @@
         response
     }
 
-    fn sign(&self, response: &mut Answer, name: &'static str, value: &str) {
+    fn set_header(&self, response: &mut Answer, name: &'static str, value: &str) {
         if let Ok(value) = value.parse() {
             response.headers_mut().insert(name, value);
         }
     }
 
-    /// Has answers name a rate from now on, or none.
+    /// Sets the rate limit that responses announce.
     fn set_rate(&self, rate_milli: Option<u32>) {
         self.rate_milli.set(rate_milli);
-        self.reporter.tell(Observation::NamesRate { rate_milli });
+        self.reporter
+            .report(Observation::RateAnnounced { rate_milli });
     }
 
-    /// Has an answer name the rate that this upstream takes.
-    fn name_rate(&self, response: &mut Answer) {
+    /// Adds the rate limit header, if a limit is set.
+    fn add_rate_header(&self, response: &mut Answer) {
         if let Some(milli) = self.rate_milli.get() {
             let rate = f64::from(milli) / 1e3;
-            self.sign(response, Platform.headers().rate_limit, &rate.to_string());
+            self.set_header(response, Platform.headers().rate_limit, &rate.to_string());
         }
     }
 
-    /// Has an answer say that this upstream leaves, if it does.
-    fn say_it_leaves(&self, headers: &HeaderMap, response: &mut Answer) {
+    /// Adds the header that announces draining, if the upstream is draining.
+    fn announce_leaving(&self, headers: &HeaderMap, response: &mut Answer) {
         if self.emulator.borrow().state != UpstreamState::Draining {
             return;
         }
-        self.sign(response, Platform.headers().leaving, "1");
+        self.set_header(response, Platform.headers().leaving, "1");
         if let Some(id) = header(headers, Platform.headers().request_id) {
-            self.reporter.tell(Observation::SaidItLeaves { id });
+            self.reporter.report(Observation::LeaveAnnounced { id });
         }
     }
 
-    /// Turns a request away and asks its router for rest.
-    fn ask_for_rest(&self, id: &str, rest_ms: u32) -> Answer {
+    /// Rejects a request with a `Retry-After` header.
+    fn reject_with_pause(&self, id: &str, rest_ms: u32) -> Answer {
         let mut response = self.not_executed(503);
         let seconds = f64::from(rest_ms) / 1e3;
-        self.sign(
+        self.set_header(
             &mut response,
             Platform.headers().retry_after,
             &seconds.to_string(),
         );
-        self.reporter.tell(Observation::AskedForRest {
+        self.reporter.report(Observation::PauseRequested {
             id: id.to_owned(),
             rest_ms,
         });
@@ -288,7 +289,7 @@
 
     fn not_executed(&self, status: u16) -> Answer {
         let mut response = self.status(status);
-        self.sign(&mut response, Platform.headers().not_executed, "1");
+        self.set_header(&mut response, Platform.headers().not_executed, "1");
         response
     }
 
@@ -299,35 +300,36 @@
         let reply = self.emulator.borrow_mut().order(clock::now(), &order);
         if matches!(order.kind, OrderKind::Release) {
             let (first, last) = (order.range.first.0, order.range.last.0);
-            self.reporter.tell(Observation::Released { first, last });
+            self.reporter
+                .report(Observation::KeysReleased { first, last });
         }
         let reply = match reply {
             Some(reply) => reply,
             None => self.released(order.call).await,
         };
         if reply == GrantReply::Granted {
-            self.tell_held(&order);
+            self.report_grant(&order);
         }
         let Some(written) = reverse::write_order_reply(&reply) else {
             return pending().await;
         };
         let mut response = self.status(written.status);
         if let Some(handover) = written.handover {
-            self.sign(&mut response, Platform.headers().handover, &handover);
+            self.set_header(&mut response, Platform.headers().handover, &handover);
         }
         *response.body_mut() = Full::from(written.body);
         response
     }
 
-    fn tell_held(&self, order: &beamtray_sharding::GrantOrder) {
-        self.reporter.tell(Observation::Taken {
+    fn report_grant(&self, order: &beamtray_sharding::GrantOrder) {
+        self.reporter.report(Observation::GrantAccepted {
             first: order.range.first.0,
             last: order.range.last.0,
             token: order.token.0,
         });
         let emulator = self.emulator.borrow();
         if let Some(grant) = emulator.grant(clock::now(), order.range.first) {
-            self.reporter.tell(Observation::Held {
+            self.reporter.report(Observation::KeysHeld {
                 first: order.range.first.0,
                 last: order.range.last.0,
                 since: grant.since,
@@ -336,11 +338,11 @@
         }
     }
 
-    /// Waits until the work on released keys has ended.
+    /// Waits until requests on the released keys have finished.
     async fn released(&self, call: CallId) -> GrantReply {
         loop {
             tokio::time::sleep(RELEASE_POLL).await;
-            let done = self.emulator.borrow_mut().released();
+            let done = self.emulator.borrow_mut().take_completed_releases();
             if done.contains(&call.0) {
                 return GrantReply::Released(None);
             }
@@ -352,9 +354,10 @@
         let Some(id) = header(headers, names.request_id) else {
             return self.not_executed(400);
         };
-        self.reporter.tell(Observation::Arrived { id: id.clone() });
+        self.reporter
+            .report(Observation::RequestArrived { id: id.clone() });
         if let Some(rest_ms) = self.rest_ms.get() {
-            return self.ask_for_rest(&id, rest_ms);
+            return self.reject_with_pause(&id, rest_ms);
         }
         let key = header(headers, names.shard_key).and_then(|key| key.parse().ok());
         let request = WorkRequest {
@@ -377,7 +380,7 @@
         self.work(run, &id, path).await
     }
 
-    /// Waits for a slot; `None` when the key is gone by then.
+    /// Waits for a slot; `None` if the key is no longer held by then.
     async fn queued(self: &Rc<Self>, id: &str) -> Option<Run> {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(id.to_owned(), sender);
@@ -398,7 +401,7 @@
             grant.map_or(now, |grant| grant.since)
         };
         let divided = self.settings.service == KEYED;
-        self.reporter.tell(Observation::Begun {
+        self.reporter.report(Observation::WorkStarted {
             id: id.to_owned(),
             path: path.to_owned(),
             key: key.filter(|_| divided).map(|key| key.0),
@@ -409,20 +412,20 @@
             std::process::exit(1);
         }
         let lasts = run.ends.since(now);
-        let at_work = AtWork {
+        let running = RunningRequest {
             upstream: self.clone(),
             run,
         };
         tokio::time::sleep(lasts).await;
-        drop(at_work);
+        drop(running);
         if rand::rng().random_range(0..100) < self.lost_percent.get() {
             return pending().await;
         }
         let body = bodies::body(id, &self.settings.id);
         let mut response = self.status(200);
         let names = Platform.headers();
-        self.sign(&mut response, names.request_id, id);
-        self.sign(
+        self.set_header(&mut response, names.request_id, id);
+        self.set_header(
             &mut response,
             names.signature,
             &bodies::signature(body.as_bytes()),
@@ -433,14 +436,14 @@
 
     fn finish(&self, run: &Run) {
         let id = run.request.id.clone();
-        self.reporter.tell(Observation::Finished { id });
+        self.reporter.report(Observation::WorkFinished { id });
         let mut ended = vec![run.id];
         while let Some(run) = ended.pop() {
             let (_, begun, refused) = self.emulator.borrow_mut().end(clock::now(), run);
             let mut waiting = self.waiting.borrow_mut();
             for request in refused {
                 if let Some(waiter) = waiting.remove(&request.id) {
-                    // One that has just left needs no answer.
+                    // Sending fails only if the caller has just disconnected.
                     let _ = waiter.send(None);
                 }
             }
@@ -464,7 +467,7 @@
         let body = reverse::write_upstream(&record, 0);
         let request = Request::builder()
             .method(method)
-            .uri(format!("{REGISTER}{}", self.settings.id))
+            .uri(format!("{REGISTRATION_PREFIX}{}", self.settings.id))
             .header(HOST, self.settings.store.to_string())
             .body(Full::new(Bytes::from(body)))?;
         sender.send_request(request).await?;
@@ -476,7 +479,7 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// The work of a request: the last part of its path, in milliseconds.
+/// Execution time of a request: the last segment of its path, in milliseconds.
 fn work(path: &str) -> Duration {
     let last = path.rsplit('/').next().unwrap_or_default();
     Duration::from_millis(last.parse().unwrap_or(10))
--- a/crates/soak/tests/given_up_calls.rs
+++ b/crates/soak/tests/given_up_calls.rs
@@ -1,8 +1,8 @@
-//! What becomes of a call that nobody waits for any more.
+//! How the router ends the connection of an abandoned call.
 //!
-//! After an ordinary close the kernel goes on sending what was written, for as long as the
-//! path is cut; a reset has it dropped. A stand-in for the path reads on without passing
-//! anything on and sees which of the two ended the connection.
+//! After an ordinary close the kernel continues to retransmit written data for as long as the
+//! path is cut; a reset drops the data. A forwarder on the path continues to read without
+//! forwarding anything, and records which of the two ended the connection.
 
 mod common;
 
@@ -16,18 +16,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CLIENT_PATIENCE: Duration = Duration::from_millis(500);
-/// How long after its last byte a given-up connection may stay open.
-const END_PATIENCE: Duration = Duration::from_secs(4);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long the connection of an abandoned call may stay open after its last byte.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How a connection of the router ended that had a call under way.
+/// How a router's connection with a call in progress ended.
 #[derive(Debug, PartialEq, Eq)]
 enum End {
     Closed,
     Reset,
 }
 
-/// The way to an upstream.
+/// A forwarder on the path to an upstream.
 struct Path {
     address: SocketAddr,
     is_cut: Arc<AtomicBool>,
@@ -86,15 +86,15 @@
             Err(error) => panic!("{error}"),
         };
         if was_held_back {
-            // Nobody waits for it when the test has ended.
+            // Sending fails if the test has already ended.
             let _ = ends.send(end);
         }
         return;
     }
 }
 
-/// A router that has served a read over the path, which is cut then; it, and what has to
-/// live as long.
+/// A router that has served a read over the path before it was cut, and the other processes,
+/// which must live as long.
 struct Served {
     path: Path,
     router: SocketAddr,
@@ -103,7 +103,7 @@
 }
 
 fn read(router: SocketAddr) -> Option<String> {
-    ask(router, "GET", &format!("{PROBE}1/1"), CLIENT_PATIENCE)
+    ask(router, "GET", &format!("{PROBE}1/1"), CLIENT_TIMEOUT)
 }
 
 fn serve_and_cut(name: &str) -> Served {
@@ -123,10 +123,10 @@
         driver,
     };
     let others = vec![store_process, upstream.start(&folder)];
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !is_served(&read(router)) {
         assert!(Instant::now() < deadline, "the router does not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     path.cut();
     Served {
@@ -141,7 +141,7 @@
 fn a_call_that_is_given_up_is_reset() {
     let served = serve_and_cut("given-up-calls");
     assert!(!is_served(&read(served.router)));
-    let end = served.path.ends.recv_timeout(END_PATIENCE);
+    let end = served.path.ends.recv_timeout(CLOSE_TIMEOUT);
     assert_eq!(end, Ok(End::Reset));
 }
 
@@ -150,10 +150,10 @@
     let served = serve_and_cut("calls-of-a-killed-process");
     let router = served.router;
     let reader = thread::spawn(move || read(router));
-    // The request is on its way to the upstream by then, and not given up yet.
-    thread::sleep(CLIENT_PATIENCE / 4);
+    // By then the request has been sent to the upstream and is not yet abandoned.
+    thread::sleep(CLIENT_TIMEOUT / 4);
     drop(served.process);
-    let end = served.path.ends.recv_timeout(END_PATIENCE);
+    let end = served.path.ends.recv_timeout(CLOSE_TIMEOUT);
     assert_eq!(end, Ok(End::Reset));
     let answer = reader.join().expect("it ends");
     assert!(!is_served(&answer));
--- a/crates/soak/tests/named_rates.rs
+++ b/crates/soak/tests/named_rates.rs
@@ -1,9 +1,10 @@
-//! An upstream in need, with real processes: three routers, the store's stand-in, and the
-//! only upstream of a service, whose answers name the requests a second that it takes.
+//! Rate limits announced by an upstream, with real processes: three routers, the emulated
+//! store, and the only upstream of a service, which announces its limit in responses.
 //!
-//! Seen: upstreams named 4.5 a second and got 12, from all of eleven routers that had passed
-//! such an answer on. Cause: nobody read what the answers named. Proof: here it got 105 in
-//! four seconds where 32 are allowed while each router's line told that it knew of the rate.
+//! Guards against routers that ignore the announced limit: upstreams announced 4.5 requests
+//! per second and received 12, from all of eleven routers that had forwarded such a response.
+//! In this test the upstream received 105 requests in four seconds where 32 are allowed, while
+//! the log of each router showed that it knew the limit.
 
 mod common;
 
@@ -16,33 +17,33 @@
 use std::time::{Duration, Instant};
 
 const ROUTERS: usize = 3;
-/// Requests a second that the upstream takes.
+/// Rate limit of the upstream in requests per second.
 const RATE: f64 = 4.5;
-/// Over which they are counted.
+/// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests that it may get in that time: half more than it takes, and five.
+/// Requests allowed in the window: one and a half times the limit, and five.
 const ALLOWED: f64 = RATE * 4.0 * 1.5 + 5.0;
 /// How long clients send.
 const LASTS: Duration = Duration::from_secs(12);
-/// Between two requests of the clients of a router.
+/// Interval between requests of the clients of a router.
 const REQUEST_EVERY: Duration = Duration::from_millis(120);
-const CLIENT_PATIENCE: Duration = Duration::from_millis(400);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Has the clients of a router send requests for a while.
+/// Sends client requests to a router for the length of the test.
 fn send(router: SocketAddr) {
     let until = Instant::now() + LASTS;
     while Instant::now() < until {
-        thread::spawn(move || ask(router, "POST", &format!("{ORDER}20"), CLIENT_PATIENCE));
+        thread::spawn(move || ask(router, "POST", &format!("{ORDER}20"), CLIENT_TIMEOUT));
         thread::sleep(REQUEST_EVERY);
     }
 }
 
-/// When requests came to upstreams, in their order.
+/// Arrival times of requests at upstreams, in order.
 fn arrivals(told: &Arc<Mutex<Vec<Report>>>) -> Vec<Time> {
     let told = told.lock().expect("not poisoned");
     let arrived = told
         .iter()
-        .filter(|report| matches!(report.observation, Observation::Arrived { .. }));
+        .filter(|report| matches!(report.observation, Observation::RequestArrived { .. }));
     let mut times: Vec<Time> = arrived.map(|report| report.at).collect();
     times.sort_unstable();
     times
@@ -53,7 +54,7 @@
     let folder = folder("named-rates");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let driver = listener.local_addr().expect("an address");
-    let told = drive_and_listen(listener);
+    let told = drive_and_collect(listener);
     let (store, _store_process) = store(&folder, driver);
     let routers: Vec<(SocketAddr, Process)> = (0..ROUTERS)
         .map(|node| router(&folder, node, store))
@@ -67,14 +68,14 @@
         driver,
     };
     let _upstream_process = upstream.start_in_need((RATE * 1e3) as u32, &folder);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     let serves = |router: SocketAddr| {
         let order = format!("{ORDER}5");
-        is_served(&ask(router, "POST", &order, CLIENT_PATIENCE))
+        is_served(&ask(router, "POST", &order, CLIENT_TIMEOUT))
     };
     while !routers.iter().all(|(router, _)| serves(*router)) {
         assert!(Instant::now() < deadline, "the routers do not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let clients: Vec<_> = routers
         .iter()
@@ -97,7 +98,7 @@
         .max();
     let most = most.unwrap_or_default();
     assert!(most as f64 <= ALLOWED, "{most} in 4 s, allowed {ALLOWED}");
-    // It gets what it takes, too.
+    // The limit must also be used.
     let least = RATE * LASTS.as_secs_f64() * 0.8;
     let all = times.len();
     assert!(all as f64 >= least, "{all} came, {least} are taken");
--- a/crates/soak/tests/poison_request.rs
+++ b/crates/soak/tests/poison_request.rs
@@ -1,5 +1,5 @@
-//! A request that ends each upstream which runs it, with real processes: two routers, the
-//! store's stand-in, and upstreams that routers reach without a proxy between.
+//! A request that kills each upstream that executes it, with real processes: two routers, the
+//! emulated store, and upstreams without a proxy in between.
 
 mod common;
 
@@ -12,9 +12,9 @@
 
 const ROUTERS: usize = 2;
 const UPSTREAMS: usize = 4;
-/// Upstreams that may end before the request is kept off.
+/// Upstreams that may be killed before routers block the request.
 const ALLOWED: usize = 3;
-const CLIENT_PATIENCE: Duration = Duration::from_secs(2);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 struct Cluster {
     folder: PathBuf,
@@ -22,7 +22,7 @@
     driver: SocketAddr,
     routers: Vec<SocketAddr>,
     upstreams: Vec<(SocketAddr, Process)>,
-    /// Upstreams that ended.
+    /// Number of upstreams that have exited.
     ended: usize,
     _processes: Vec<Process>,
 }
@@ -68,7 +68,7 @@
         upstream.start(&self.folder)
     }
 
-    /// Starts another incarnation in place of each upstream that ended.
+    /// Starts a new incarnation of each upstream that has exited.
     fn replace_ended(&mut self) {
         for index in 0..self.upstreams.len() {
             if self.upstreams[index].1.has_ended() {
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Sends an order to a router; its answer.
+    /// Sends an order to a router; returns the response.
     fn order(&self, node: usize, path: &str) -> Option<String> {
-        ask(self.routers[node], "POST", path, CLIENT_PATIENCE)
+        ask(self.routers[node], "POST", path, CLIENT_TIMEOUT)
     }
 
     fn serves(&self, node: usize) -> bool {
@@ -92,10 +92,10 @@
 #[test]
 fn routers_keep_off_a_request_that_ends_upstreams() {
     let mut cluster = Cluster::start();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !(0..ROUTERS).all(|node| cluster.serves(node)) {
         assert!(Instant::now() < deadline, "the routers do not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let poison = format!(
         "{}{}",
@@ -111,7 +111,7 @@
         );
         cluster.order(sent % ROUTERS, &poison);
         sent += 1;
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
         cluster.replace_ended();
     }
     thread::sleep(CONTACT);
@@ -126,7 +126,7 @@
         let later: f64 = later.and_then(|text| text.parse().ok()).expect("a time");
         assert!(later > 60.0, "{answer}");
     }
-    thread::sleep(PAUSE);
+    thread::sleep(POLL_INTERVAL);
     cluster.replace_ended();
     assert_eq!(cluster.ended, before, "an upstream ended under it");
     assert!(
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -1,6 +1,6 @@
-//! The proxy carries bytes over a cut as kernels do.
+//! The proxy simulates TCP retransmission across a cut.
 
-use beamtray_soak::{LinkHarm, Proxy};
+use beamtray_soak::{LinkFault, Proxy};
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const CUT: Duration = Duration::from_millis(500);
-/// What is written as the cut begins is sent again after 0.2, 0.6 and 1.4 s.
+/// Data written as the cut begins is retransmitted after 0.2, 0.6 and 1.4 s.
 const SENT_AGAIN: Duration = Duration::from_millis(1_400);
-/// Time for bytes over loopback.
+/// Time for data to pass over loopback.
 const SOON: Duration = Duration::from_millis(100);
 const LONG: Duration = Duration::from_secs(5);
 
@@ -29,7 +29,7 @@
         Self { proxy, listener }
     }
 
-    /// Both ends of a connection that came up and was used.
+    /// Both ends of an established connection that has carried data.
     async fn connection(&self) -> (TcpStream, TcpStream) {
         let client = TcpStream::connect(self.proxy.address).await;
         let mut client = client.expect("it comes up");
@@ -40,17 +40,17 @@
     }
 
     async fn cut(&self) {
-        self.proxy.harm(LinkHarm::cut());
-        // No connection comes up once the queue is full.
+        self.proxy.set_fault(LinkFault::cut());
+        // Connections are blocked once the accept queue is full.
         sleep(SOON).await;
     }
 
     fn heal(&self) {
-        self.proxy.harm(LinkHarm::default());
+        self.proxy.set_fault(LinkFault::default());
     }
 }
 
-/// What comes within that time; nothing for an end.
+/// Data received within the given time; empty at the end of the stream.
 async fn read(stream: &mut TcpStream, within: Duration) -> Option<Vec<u8>> {
     let mut buffer = vec![0; 1_024];
     let read = timeout(within, stream.read(&mut buffer)).await.ok()?;
@@ -58,7 +58,7 @@
     Some(buffer)
 }
 
-fn play(story: impl Future<Output = ()>) {
+fn run_plan(story: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, story);
@@ -66,7 +66,7 @@
 
 #[test]
 fn bytes_pass_a_cut_when_they_are_sent_again() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -74,18 +74,18 @@
         client.write_all(b"order").await.expect("it is written");
         sleep(CUT).await;
         path.heal();
-        // It was sent again after 0.2 s, in the cut, and is heard after 0.6 s.
+        // The retransmission after 0.2 s falls into the cut; that after 0.6 s is delivered.
         assert_eq!(read(&mut server, LONG).await, Some(b"order".to_vec()));
         let passed = written.elapsed();
         let sent_again = passed > CUT && passed < SENT_AGAIN + SOON;
         assert!(sent_again, "after {passed:?}");
-        assert_eq!(path.proxy.take_held_up().len(), 1);
+        assert_eq!(path.proxy.take_delayed_deliveries().len(), 1);
     });
 }
 
 #[test]
 fn an_ordinary_close_does_not_end_what_was_written() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_reset_drops_what_was_written() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (mut client, mut server) = path.connection().await;
         path.cut().await;
@@ -111,13 +111,13 @@
         assert_eq!(read(&mut server, CUT).await, None, "nothing passes a cut");
         path.heal();
         assert_eq!(read(&mut server, LONG).await, Some(Vec::new()), "its end");
-        assert!(path.proxy.take_held_up().is_empty());
+        assert!(path.proxy.take_delayed_deliveries().is_empty());
     });
 }
 
 #[test]
 fn no_connection_comes_up_in_a_cut_nor_is_one_refused() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         path.cut().await;
         for _ in 0..3 {
@@ -130,14 +130,14 @@
     });
 }
 
-/// Neither what waits to be accepted nor what is open passes on anything later.
+/// Neither queued nor established connections deliver data after the proxy is dropped.
 #[test]
 fn nothing_passes_after_the_end_of_a_proxy() {
-    play(async {
+    run_plan(async {
         let path = Path::start().await;
         let (client, mut server) = path.connection().await;
         let Path { proxy, listener } = path;
-        // Both are read by the proxy's tasks, which have not run since.
+        // The proxy's tasks, which would read both, have not run since.
         let mut waiting = std::net::TcpStream::connect(proxy.address).expect("it comes up");
         std::io::Write::write_all(&mut waiting, b"order").expect("it is written");
         client.try_write(b"order").expect("it is written");
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_target_that_is_gone_resets() {
-    play(async {
+    run_plan(async {
         let Path { proxy, listener } = Path::start().await;
         drop(listener);
         let client = TcpStream::connect(proxy.address).await;
--- a/crates/soak/tests/short_run.rs
+++ b/crates/soak/tests/short_run.rs
@@ -3,17 +3,17 @@
 
 mod common;
 
-use common::plays_clean;
+use common::assert_clean_run;
 
-/// Any seed does. This one stops all routers one after the other while another is killed,
-/// and replaces upstreams one after the other while the store loses answers to writes that
-/// it does late; a stopping router is told that its settings changed.
+/// Any seed will do. This one stops all routers one after the other while another is killed,
+/// replaces upstreams one after the other while the store loses responses to writes and applies
+/// them late, and has a router reload its settings while it stops.
 const SEED: &str = "9001";
-/// Length in seconds: 6 of troubles, the rest for start and recovery.
+/// Length in seconds: 6 with faults, the rest for start and recovery.
 const SECONDS: &str = "34";
 
 #[test]
 fn a_short_run_with_a_fixed_seed_breaks_no_promise() {
     let arguments = ["run", "--seed", SEED, "--seconds", SECONDS];
-    plays_clean(&arguments, "soak-short-run");
+    assert_clean_run(&arguments, "soak-short-run");
 }
--- a/crates/soak/tests/silent_connections.rs
+++ b/crates/soak/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work.
+//! Established connections go silent permanently while new ones work.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections that a router keeps to one upstream.
+/// Connections that a router keeps open to one upstream.
 const KEPT: usize = 4;
-const CLIENT_PATIENCE: Duration = Duration::from_millis(500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Passes on bytes, until it is told to pass on no more on connections that are open.
+/// A forwarder whose open connections can be silenced.
 struct Link {
     address: SocketAddr,
     silence: Arc<std::sync::Mutex<Arc<AtomicBool>>>,
@@ -74,17 +74,18 @@
     let _ = to.shutdown(std::net::Shutdown::Both);
 }
 
-/// A read that takes so long at its upstream.
+/// Sends a read with the given execution time.
 fn read(router: SocketAddr, work_ms: u64) -> Option<String> {
     ask(
         router,
         "GET",
         &format!("{PROBE}1/{work_ms}"),
-        CLIENT_PATIENCE,
+        CLIENT_TIMEOUT,
     )
 }
 
-/// Each kept connection cost a request of its own before.
+/// Guards against a failed request for each silent pooled connection: the first timeout must
+/// make the router discard the others as well.
 #[test]
 fn one_silent_connection_to_an_upstream_tells_of_the_others() {
     let folder = folder("silent-connections");
@@ -103,10 +104,10 @@
         driver,
     };
     let _upstream = upstream.start(&folder);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     while !is_served(&read(router, 1)) {
         assert!(Instant::now() < deadline, "the router does not serve");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     let together: Vec<_> = (0..KEPT)
         .map(|_| thread::spawn(move || read(router, 150)))
@@ -116,8 +117,8 @@
     }
     link.silence();
     let served = (0..KEPT).filter(|_| {
-        // After a failure the upstream is left alone for a moment.
-        thread::sleep(PAUSE);
+        // After a failure the router avoids the upstream for a moment.
+        thread::sleep(POLL_INTERVAL);
         is_served(&read(router, 1))
     });
     let served = served.count();
