--- a/crates/standin/src/key_value.rs
+++ b/crates/standin/src/key_value.rs
@@ -1,4 +1,4 @@
-//! A small key-value service: compare-and-swap, leases, watches, a rate limit
+//! A model of a key-value service: compare-and-swap, leases, watches, a rate limit
 //! and outages.
 
 use beamtray_keyvalue::{KeyValueRequest, KeyValueResult};
@@ -6,37 +6,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Switches that make the service fail.
+/// Fault-injection switches of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyValueFaults {
-    /// Nothing is answered and nothing takes effect.
+    /// Calls have no effect and get no reply.
     pub down: bool,
-    /// Calls take effect and their replies are lost.
+    /// Calls take effect, but their replies are lost.
     pub loses_replies: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredValue {
     version: u64,
     value: Vec<u8>,
     lease: Option<u64>,
 }
 
-/// The service's state.
+/// State of the key-value service.
 #[derive(Clone, Debug)]
 pub struct KeyValueStore {
-    keys: BTreeMap<String, Stored>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Time>,
     next_lease: u64,
-    /// What fails now.
+    /// Faults that are active.
     pub faults: KeyValueFaults,
     per_second: u32,
     window: Time,
-    in_window: u32,
+    calls_in_window: u32,
 }
 
 impl KeyValueStore {
-    /// An empty service that takes `per_second` calls a second.
+    /// Creates an empty service that admits `per_second` calls a second.
     pub fn new(per_second: u32) -> Self {
         Self {
             keys: BTreeMap::new(),
@@ -45,16 +45,16 @@
             faults: KeyValueFaults::default(),
             per_second,
             window: Time::ZERO,
-            in_window: 0,
+            calls_in_window: 0,
         }
     }
 
-    /// Serves one call; none when the caller gets no answer.
+    /// Serves one call. Returns `None` if the caller gets no reply.
     pub fn handle(&mut self, now: Time, request: &KeyValueRequest) -> Option<KeyValueResult> {
         if self.faults.down {
             return None;
         }
-        if let Some(retry_after) = self.over_rate(now) {
+        if let Some(retry_after) = self.check_rate_limit(now) {
             return Some(KeyValueResult::RateLimited { retry_after });
         }
         self.expire(now);
@@ -69,35 +69,35 @@
         (!self.faults.loses_replies).then_some(result)
     }
 
-    /// The present version of a key, 0 when absent; what a watch waits on.
+    /// Returns the current version of a key, 0 if absent. Watches wait for it to change.
     pub fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// A key's value, past rate limit and faults.
+    /// Returns a key's value, bypassing the rate limit and faults.
     pub fn peek(&self, key: &str) -> Option<&[u8]> {
         self.keys.get(key).map(|stored| stored.value.as_slice())
     }
 
-    /// Grants a lease: keys written under it vanish when it lapses.
-    pub fn grant_lease(&mut self, now: Time, life: Duration) -> u64 {
+    /// Grants a lease; keys written under it are removed when it expires.
+    pub fn grant_lease(&mut self, now: Time, ttl: Duration) -> u64 {
         let lease = self.next_lease;
         self.next_lease += 1;
-        self.leases.insert(lease, now + life);
+        self.leases.insert(lease, now + ttl);
         lease
     }
 
-    /// Prolongs a lease; false when it lapsed already.
-    pub fn keep_lease(&mut self, now: Time, lease: u64, life: Duration) -> bool {
+    /// Renews a lease. Returns false if it has already expired.
+    pub fn keep_lease(&mut self, now: Time, lease: u64, ttl: Duration) -> bool {
         self.expire(now);
-        let Some(until) = self.leases.get_mut(&lease) else {
+        let Some(expires) = self.leases.get_mut(&lease) else {
             return false;
         };
-        *until = now + life;
+        *expires = now + ttl;
         true
     }
 
-    /// Writes a key under a lease.
+    /// Writes a key under a lease. Returns `None` if the lease has expired.
     pub fn put_leased(
         &mut self,
         now: Time,
@@ -135,7 +135,7 @@
             return KeyValueResult::Conflict { version: present };
         }
         let version = present + 1;
-        let stored = Stored {
+        let stored = StoredValue {
             version,
             value,
             lease,
@@ -144,18 +144,19 @@
         KeyValueResult::Stored { version }
     }
 
-    fn over_rate(&mut self, now: Time) -> Option<Duration> {
+    fn check_rate_limit(&mut self, now: Time) -> Option<Duration> {
         let second = Duration::from_secs(1);
         if now.since(self.window) >= second {
             self.window = now;
-            self.in_window = 0;
+            self.calls_in_window = 0;
         }
-        self.in_window += 1;
-        (self.in_window > self.per_second).then(|| second.saturating_sub(now.since(self.window)))
+        self.calls_in_window += 1;
+        (self.calls_in_window > self.per_second)
+            .then(|| second.saturating_sub(now.since(self.window)))
     }
 
     fn expire(&mut self, now: Time) {
-        self.leases.retain(|_, until| now < *until);
+        self.leases.retain(|_, expires| now < *expires);
         let leases = &self.leases;
         self.keys.retain(|_, stored| {
             let lease = stored.lease;
