--- a/crates/router/src/shell/metrics.rs
+++ b/crates/router/src/shell/metrics.rs
@@ -255,7 +255,7 @@
         registry.register(
             "permits",
             "Permits for upstreams that name a rate: questions and what was used here; lent and \
-             denied as an issuer",
+             denied as a lender",
             self.permits.clone(),
         );
         registry.register(
